--- a/src/app/internal/gate/callledger.h
+++ b/src/app/internal/gate/callledger.h
@@ -3,7 +3,7 @@
 #include <boost/smart_ptr/intrusive_ptr.hpp>
 #include <boost/smart_ptr/intrusive_ref_counter.hpp>
 
-#include "coordination/retries/internal/attemptledger.h"
+#include "coordination/retries/internal/attemptbudget.h"
 #include "state/usage.h"
 
 namespace ivyspar {
@@ -16,7 +16,7 @@
     {
     }
 
-    AttemptLedger ledger;
+    AttemptBudget ledger;
 };
 /// What the calls below one call cost, summed up while it runs.
 struct CallTree : boost::intrusive_ref_counter<CallTree, boost::thread_unsafe_counter>
--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -61,9 +61,9 @@
 
 } // namespace
 
-EntryCall::EntryCall(EntryPolicies policies, IAttemptLedger &ledger, EntryCallTerms terms)
+EntryCall::EntryCall(EntryPolicies policies, IAttemptBudget &budget, EntryCallTerms terms)
     : m_policies(policies)
-    , m_ledger(ledger)
+    , m_budget(budget)
     , m_terms(std::move(terms))
 {
 }
@@ -289,7 +289,7 @@
 std::optional<EntryAction> EntryCall::sendNext(TimePoint now, Verdict &failure)
 {
     // Checked before a server is chosen: a choice counts there as an attempt to come.
-    if (m_ledger.left().value() < 1 + neededBelow().value()) {
+    if (m_budget.left().value() < 1 + neededBelow().value()) {
         failure.reason = Reason::BudgetSpent;
         return std::nullopt;
     }
@@ -335,7 +335,7 @@
     const std::uint32_t below = m_terms.rule.attempts.value();
     const AttemptCount wanted(m_terms.isSingleAttempt || below == 0 ? 0 : below - 1);
     AttemptCount granted;
-    if (!m_ledger.spend(neededBelow(), wanted, granted)) {
+    if (!m_budget.spend(neededBelow(), wanted, granted)) {
         return std::nullopt;
     }
     m_tried.push_back(target);
@@ -374,7 +374,7 @@
 void EntryCall::settle(TimePoint now, Attempt &attempt, const AttemptEnd &end)
 {
     attempt.isOpen = false;
-    m_ledger.giveBack(attempt.granted, end.unspent);
+    m_budget.returnUnspent(attempt.granted, end.unspent);
     const ServiceName &service = m_terms.rule.service;
     const auto latency = std::chrono::duration_cast<Duration>(now - attempt.sentAt);
     const bool isOwnCancel = m_isFinished && end.verdict.outcome != Outcome::Answered;
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -6,7 +6,7 @@
 
 #include "coordination/calls/ientrycall.h"
 #include "coordination/quarantine/suspect.h"
-#include "coordination/retries/iattemptledger.h"
+#include "coordination/retries/iattemptbudget.h"
 #include "coordination/retries/iretrypolicy.h"
 #include "coordination/routing/irouter.h"
 #include "state/configuration.h"
@@ -40,7 +40,7 @@
 class EntryCall : public IEntryCall
 {
 public:
-    EntryCall(EntryPolicies policies, IAttemptLedger &ledger, EntryCallTerms terms);
+    EntryCall(EntryPolicies policies, IAttemptBudget &budget, EntryCallTerms terms);
 
     EntryActions start(TimePoint now) override;
     EntryActions onEnd(TimePoint now, AttemptIndex attempt, const AttemptEnd &end) override;
@@ -82,7 +82,7 @@
     bool hasOpenAttempt() const;
 
     EntryPolicies m_policies;
-    IAttemptLedger &m_ledger;
+    IAttemptBudget &m_budget;
     EntryCallTerms m_terms;
     std::vector<Attempt> m_attempts;
     std::vector<DaemonId> m_tried;
--- a/src/coordination/calls/tests/entrycalltest.cpp
+++ b/src/coordination/calls/tests/entrycalltest.cpp
@@ -4,7 +4,7 @@
 
 #include "coordination/calls/tests/mocks/fakeretrypolicy.h"
 #include "coordination/calls/tests/mocks/fakerouter.h"
-#include "coordination/retries/internal/attemptledger.h"
+#include "coordination/retries/internal/attemptbudget.h"
 #include "state/internal/seededrandom.h"
 
 #include <CppUTest/TestHarness.h>
@@ -43,7 +43,7 @@
     FakeRouter router;
     FakeRetryPolicy retries;
     SeededRandom random{ 1 };
-    AttemptLedger ledger{ AttemptCount(9) };
+    AttemptBudget budget{ AttemptCount(9) };
     EntryCallTerms terms;
     TimePoint now{ milliseconds(1000) };
 
@@ -59,7 +59,7 @@
 
     EntryCall makeCall()
     {
-        return EntryCall(EntryPolicies{ router, retries, random }, ledger, terms);
+        return EntryCall(EntryPolicies{ router, retries, random }, budget, terms);
     }
 };
 
@@ -132,13 +132,13 @@
     CHECK(finish->verdict.reason == Reason::BelowFloor);
     CHECK(finish->verdict.retryAfter == retries.comeBack);
     CHECK_EQUAL(0, router.sent);
-    CHECK(ledger.left() == AttemptCount(9));
+    CHECK(budget.left() == AttemptCount(9));
 }
 
 TEST(EntryCall, SpentBudgetIsRefusedWithoutInvitingBack)
 {
     AttemptCount granted;
-    while (ledger.spend(AttemptCount(0), AttemptCount(100), granted)) { }
+    while (budget.spend(AttemptCount(0), AttemptCount(100), granted)) { }
     EntryCall call = makeCall();
     const EntryActions ended = call.start(now);
     const EntryAction *finish = findAction(ended, EntryVerb::Finish);
@@ -218,7 +218,7 @@
 TEST(EntryCall, CallThatCannotFinishWithinItsBudgetIsNotStarted)
 {
     terms.rule.calls = 4;
-    AttemptLedger small(AttemptCount(2));
+    AttemptBudget small(AttemptCount(2));
     EntryCall call(EntryPolicies{ router, retries, random }, small, terms);
     const EntryActions ended = call.start(now);
     CHECK(findAction(ended, EntryVerb::Finish)->verdict.reason == Reason::BudgetSpent);
--- a/src/coordination/calls/tests/suspectcalltest.cpp
+++ b/src/coordination/calls/tests/suspectcalltest.cpp
@@ -2,7 +2,7 @@
 
 #include "coordination/calls/tests/mocks/fakeretrypolicy.h"
 #include "coordination/calls/tests/mocks/fakerouter.h"
-#include "coordination/retries/internal/attemptledger.h"
+#include "coordination/retries/internal/attemptbudget.h"
 #include "state/internal/seededrandom.h"
 
 #include <CppUTest/TestHarness.h>
@@ -37,7 +37,7 @@
     FakeRouter m_router;
     FakeRetryPolicy m_retries;
     SeededRandom m_random{ 1 };
-    AttemptLedger m_ledger{ AttemptCount(9) };
+    AttemptBudget m_budget{ AttemptCount(9) };
     EntryCallTerms m_terms;
     Standing m_standing;
     TimePoint m_now{ 1000ms };
@@ -54,7 +54,7 @@
     }
     EntryCall makeCall()
     {
-        return EntryCall(EntryPolicies{ m_router, m_retries, m_random }, m_ledger, m_terms);
+        return EntryCall(EntryPolicies{ m_router, m_retries, m_random }, m_budget, m_terms);
     }
     void suspect(std::size_t crashes)
     {
--- a/src/coordination/retries/iattemptledger.h
+++ b/src/coordination/retries/iattemptbudget.h
@@ -4,13 +4,13 @@
 
 namespace ivyspar {
 
-/// Attempts left for one call and all calls below it. Conservation: what was granted to the ledger
+/// Attempts left for one call and all calls below it. Conservation: what was granted to the budget
 /// equals what was spent here, plus what is out with callees, plus what is left, plus what was
 /// lost.
-class IAttemptLedger
+class IAttemptBudget
 {
 public:
-    virtual ~IAttemptLedger() = default;
+    virtual ~IAttemptBudget() = default;
 
     virtual AttemptCount left() const = 0;
     /// Spends one attempt on a callee and takes a grant for it out of the rest: at least `needed`,
@@ -19,11 +19,11 @@
     /// callee could not finish, and its work would be wasted.
     virtual bool spend(AttemptCount needed, AttemptCount wanted, AttemptCount &granted) = 0;
     /// The callee's answer brought back part of its grant. Never more than is out is accepted.
-    virtual void giveBack(AttemptCount granted, AttemptCount unspent) = 0;
-    /// Spent by this ledger and by callees that answered. A grant whose answer is lost stays out
+    virtual void returnUnspent(AttemptCount granted, AttemptCount unspent) = 0;
+    /// Spent by this budget and by callees that answered. A grant whose answer is lost stays out
     /// for good: it is never given back.
     virtual AttemptCount spent() const = 0;
-    /// Ends the ledger and returns what is left. From then on nothing is left here, and what comes
+    /// Ends the budget and returns what is left. From then on nothing is left here, and what comes
     /// back is lost: the caller of this call was already told how much was unspent.
     virtual AttemptCount close() = 0;
 };
--- a/src/coordination/retries/internal/attemptledger.cpp
+++ b/src/coordination/retries/internal/attemptbudget.cpp
@@ -1,21 +1,21 @@
-#include "coordination/retries/internal/attemptledger.h"
+#include "coordination/retries/internal/attemptbudget.h"
 
 #include <algorithm>
 
 namespace ivyspar {
 
-AttemptLedger::AttemptLedger(AttemptCount granted)
+AttemptBudget::AttemptBudget(AttemptCount granted)
     : m_granted(granted.value())
     , m_left(granted.value())
 {
 }
 
-AttemptCount AttemptLedger::left() const
+AttemptCount AttemptBudget::left() const
 {
     return AttemptCount(m_left);
 }
 
-bool AttemptLedger::spend(AttemptCount needed, AttemptCount wanted, AttemptCount &granted)
+bool AttemptBudget::spend(AttemptCount needed, AttemptCount wanted, AttemptCount &granted)
 {
     if (m_left < 1 + needed.value()) {
         return false;
@@ -26,29 +26,29 @@
     const std::uint32_t most = std::max(wanted.value(), needed.value());
     const std::uint32_t grant = std::min(most, m_left - kept);
     m_left -= grant;
-    m_out += grant;
+    m_outstanding += grant;
     granted = AttemptCount(grant);
     return true;
 }
 
-void AttemptLedger::giveBack(AttemptCount granted, AttemptCount unspent)
+void AttemptBudget::returnUnspent(AttemptCount granted, AttemptCount unspent)
 {
     if (m_isClosed) {
         return;
     }
-    const std::uint32_t out = std::min(granted.value(), m_out);
+    const std::uint32_t out = std::min(granted.value(), m_outstanding);
     // A callee that returns more than it was granted must not create attempts.
     const std::uint32_t back = std::min(unspent.value(), out);
-    m_out -= out;
+    m_outstanding -= out;
     m_left += back;
 }
 
-AttemptCount AttemptLedger::spent() const
+AttemptCount AttemptBudget::spent() const
 {
-    return AttemptCount(m_granted - m_left - m_out);
+    return AttemptCount(m_granted - m_left - m_outstanding);
 }
 
-AttemptCount AttemptLedger::close()
+AttemptCount AttemptBudget::close()
 {
     const AttemptCount unspent(m_left);
     m_left = 0;
--- a/src/coordination/retries/internal/attemptledger.h
+++ b/src/coordination/retries/internal/attemptbudget.h
@@ -1,17 +1,17 @@
 #pragma once
 
-#include "coordination/retries/iattemptledger.h"
+#include "coordination/retries/iattemptbudget.h"
 
 namespace ivyspar {
 
-class AttemptLedger : public IAttemptLedger
+class AttemptBudget : public IAttemptBudget
 {
 public:
-    explicit AttemptLedger(AttemptCount granted);
+    explicit AttemptBudget(AttemptCount granted);
 
     AttemptCount left() const override;
     bool spend(AttemptCount needed, AttemptCount wanted, AttemptCount &granted) override;
-    void giveBack(AttemptCount granted, AttemptCount unspent) override;
+    void returnUnspent(AttemptCount granted, AttemptCount unspent) override;
     AttemptCount spent() const override;
     AttemptCount close() override;
 
@@ -19,7 +19,7 @@
     std::uint32_t m_granted = 0;
     std::uint32_t m_left = 0;
     /// Grants of callees that have not answered.
-    std::uint32_t m_out = 0;
+    std::uint32_t m_outstanding = 0;
     bool m_isClosed = false;
 };
 
--- a/src/coordination/retries/tests/attemptledgertest.cpp
+++ b/src/coordination/retries/tests/attemptbudgettest.cpp
@@ -1,4 +1,4 @@
-#include "coordination/retries/internal/attemptledger.h"
+#include "coordination/retries/internal/attemptbudget.h"
 
 #include <optional>
 
@@ -37,7 +37,7 @@
     /// Attempts that a caller's request makes with this budget.
     std::uint32_t run(std::uint32_t budget)
     {
-        Hop hop{ AttemptLedger(AttemptCount(budget)), {} };
+        Hop hop{ AttemptBudget(AttemptCount(budget)), {} };
         for (int i = 0; i < 3; ++i) {
             call(hop, m_depth);
         }
@@ -50,7 +50,7 @@
 private:
     struct Hop
     {
-        AttemptLedger ledger;
+        AttemptBudget budget;
         /// What it returned with its answer, once it answered.
         std::optional<AttemptCount> returned;
     };
@@ -63,18 +63,18 @@
         const std::uint64_t tries = 1 + m_random.below(3);
         for (std::uint64_t i = 0; i < tries; ++i) {
             AttemptCount granted;
-            const std::uint32_t before = hop.ledger.left().value();
+            const std::uint32_t before = hop.budget.left().value();
             const AttemptCount needed(static_cast<std::uint32_t>(m_random.below(3)));
-            if (!hop.ledger.spend(needed, AttemptCount(m_random.below(200)), granted)) {
+            if (!hop.budget.spend(needed, AttemptCount(m_random.below(200)), granted)) {
                 isConserved = isConserved && before < 1 + needed.value();
                 return;
             }
-            const std::uint32_t after = hop.ledger.left().value();
+            const std::uint32_t after = hop.budget.left().value();
             isConserved = isConserved && after + granted.value() + 1 == before;
             isConserved = isConserved && granted >= needed;
             const AttemptCount unspent = attempt(granted, depth - 1);
             if (happens(5)) {
-                answerEarly(hop);
+                closeBudget(hop);
             }
             end(hop, granted, unspent);
         }
@@ -83,21 +83,21 @@
     void end(Hop &hop, AttemptCount granted, AttemptCount unspent)
     {
         if (!happens(m_lossPercent)) {
-            hop.ledger.giveBack(granted, unspent);
+            hop.budget.returnUnspent(granted, unspent);
         } else if (m_mutation == Mutation::LostGrantsReturn) {
-            hop.ledger.giveBack(granted, granted);
+            hop.budget.returnUnspent(granted, granted);
         }
     }
 
     /// The hop's upstream answers while a call below is still out.
-    void answerEarly(Hop &hop)
+    void closeBudget(Hop &hop)
     {
         if (hop.returned) {
             return;
         }
-        hop.returned = hop.ledger.close();
+        hop.returned = hop.budget.close();
         if (m_mutation == Mutation::SpendsAfterAnswer) {
-            hop.ledger = AttemptLedger(*hop.returned);
+            hop.budget = AttemptBudget(*hop.returned);
         }
     }
 
@@ -105,7 +105,7 @@
     AttemptCount attempt(AttemptCount granted, std::uint64_t depth)
     {
         ++m_attempts;
-        Hop hop{ AttemptLedger(granted), {} };
+        Hop hop{ AttemptBudget(granted), {} };
         const std::uint64_t calls = depth == 0 ? 0 : m_random.below(m_width + 1);
         for (std::uint64_t i = 0; i < calls && m_attempts < LIMIT; ++i) {
             if (happens(2)) {
@@ -114,16 +114,16 @@
                 call(hop, depth);
             }
         }
-        answerEarly(hop);
+        closeBudget(hop);
         return m_mutation == Mutation::CalleeReturnsSpent ? granted : *hop.returned;
     }
 
     void callWithoutContext()
     {
         const std::uint32_t fresh = m_mutation == Mutation::ContextMakesFresh ? 30 : 1;
-        AttemptLedger ledger{ AttemptCount(fresh) };
+        AttemptBudget budget{ AttemptCount(fresh) };
         AttemptCount granted;
-        while (ledger.spend(AttemptCount(0), AttemptCount(0), granted)) {
+        while (budget.spend(AttemptCount(0), AttemptCount(0), granted)) {
             ++m_attempts;
         }
         ++withoutContext;
@@ -159,13 +159,13 @@
 
 } // namespace
 
-TEST_GROUP(AttemptLedger){};
+TEST_GROUP(AttemptBudget){};
 
 // A tap on a tablet runs through 25 hops, each of which retries and hedges, and answers get lost.
 // Without a budget the last service would see an exponential number of attempts. Each hop can only
 // hand over what it was handed, so the sum stays within what the first one got. A call without
 // context adds its one attempt, and no more.
-TEST(AttemptLedger, AttemptsStayWithinTheBudgetInAnyTree)
+TEST(AttemptBudget, AttemptsStayWithinTheBudgetInAnyTree)
 {
     const bool holds = rc::check([](std::uint64_t seed) {
         const std::uint32_t budget = 1 + static_cast<std::uint32_t>(seed % 300);
@@ -174,7 +174,7 @@
     CHECK(holds);
 }
 
-TEST(AttemptLedger, CheckNoticesBudgetsThatAreNotConserved)
+TEST(AttemptBudget, CheckNoticesBudgetsThatAreNotConserved)
 {
     CHECK_FALSE(isCaught(Mutation::None));
     CHECK(isCaught(Mutation::LostGrantsReturn));
@@ -183,46 +183,46 @@
     CHECK(isCaught(Mutation::ContextMakesFresh));
 }
 
-TEST(AttemptLedger, KeepsOneAttemptForARetry)
+TEST(AttemptBudget, KeepsOneAttemptForARetry)
 {
-    AttemptLedger ledger{ AttemptCount(10) };
+    AttemptBudget budget{ AttemptCount(10) };
     AttemptCount granted;
-    CHECK(ledger.spend(AttemptCount(0), AttemptCount(100), granted));
+    CHECK(budget.spend(AttemptCount(0), AttemptCount(100), granted));
     LONGS_EQUAL(8, granted.value());
-    LONGS_EQUAL(1, ledger.left().value());
-    ledger.giveBack(granted, AttemptCount(5));
-    LONGS_EQUAL(6, ledger.left().value());
-    LONGS_EQUAL(4, ledger.spent().value());
+    LONGS_EQUAL(1, budget.left().value());
+    budget.returnUnspent(granted, AttemptCount(5));
+    LONGS_EQUAL(6, budget.left().value());
+    LONGS_EQUAL(4, budget.spent().value());
 }
 
 // A call whose subtree makes three more calls has a budget for a retry of the whole tree only if
 // eight attempts are there. With fewer, the first attempt gets what it needs and no retry is kept;
 // with too few it is not started, as it could only fail half-way.
-TEST(AttemptLedger, KeepsAWholeSecondAttemptIfThereIsThatMuch)
+TEST(AttemptBudget, KeepsAWholeSecondAttemptIfThereIsThatMuch)
 {
     AttemptCount granted;
-    AttemptLedger ample{ AttemptCount(8) };
+    AttemptBudget ample{ AttemptCount(8) };
     CHECK(ample.spend(AttemptCount(3), AttemptCount(100), granted));
     LONGS_EQUAL(3, granted.value());
     LONGS_EQUAL(4, ample.left().value());
     CHECK(ample.spend(AttemptCount(3), AttemptCount(100), granted));
 
-    AttemptLedger scarce{ AttemptCount(5) };
+    AttemptBudget scarce{ AttemptCount(5) };
     CHECK(scarce.spend(AttemptCount(3), AttemptCount(100), granted));
     LONGS_EQUAL(3, granted.value());
 
-    AttemptLedger tooSmall{ AttemptCount(3) };
+    AttemptBudget tooSmall{ AttemptCount(3) };
     CHECK_FALSE(tooSmall.spend(AttemptCount(3), AttemptCount(100), granted));
     LONGS_EQUAL(3, tooSmall.left().value());
 }
 
-TEST(AttemptLedger, GrantComesBackOnceAndNeverLarger)
+TEST(AttemptBudget, GrantComesBackOnceAndNeverLarger)
 {
-    AttemptLedger ledger{ AttemptCount(10) };
+    AttemptBudget budget{ AttemptCount(10) };
     AttemptCount granted;
-    CHECK(ledger.spend(AttemptCount(0), AttemptCount(4), granted));
-    ledger.giveBack(granted, AttemptCount(1000));
-    ledger.giveBack(granted, AttemptCount(1000));
-    LONGS_EQUAL(9, ledger.left().value());
-    LONGS_EQUAL(1, ledger.spent().value());
+    CHECK(budget.spend(AttemptCount(0), AttemptCount(4), granted));
+    budget.returnUnspent(granted, AttemptCount(1000));
+    budget.returnUnspent(granted, AttemptCount(1000));
+    LONGS_EQUAL(9, budget.left().value());
+    LONGS_EQUAL(1, budget.spent().value());
 }
