--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -77,7 +77,7 @@
     upstream.heardAt = now;
     if (isNew) {
         upstream.gate = m_makeGate(announcement.info);
-        upstream.repeats = makeRepeatBudget(m_options.repeats);
+        upstream.repeats = makeLocalRetryBudget(m_options.repeats);
         upstream.tickTimer =
             std::make_unique<WakeTimer>(m_loop, [this, service] { tick(service); });
     }
@@ -514,7 +514,7 @@
     if (call.isCancelled || now >= call.deadline || !isSameRun) {
         return false;
     }
-    return upstream->repeats->take(now, priorityOf(call.message.rank));
+    return upstream->repeats->tryTake(now, priorityOf(call.message.rank));
 }
 
 RunEnd GateService::exchange(const Announcement &server, CallId id, const Call &call)
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -21,7 +21,7 @@
 #include "coordination/admission/lossestimate.h"
 #include "coordination/admission/processorload.h"
 #include "coordination/calls/iparentfinder.h"
-#include "coordination/retries/irepeatbudget.h"
+#include "coordination/retries/ilocalretrybudget.h"
 #include "protocol/iupstreamdialect.h"
 #include "state/irandom.h"
 #include "state/result.h"
@@ -43,7 +43,7 @@
     /// Passes deadlines and cancels on to the upstream.
     bool cancelUpstream = true;
     /// For calls that a server of this host turns away.
-    RepeatBudgetOptions repeats;
+    LocalRetryBudgetOptions repeats;
     /// A daemon that is behind tells a full service.
     bool mindsLag = false;
 };
@@ -103,7 +103,7 @@
         /// The daemon ends before calls of this service may: entries are told to go elsewhere.
         bool endsTooSoon = false;
         LossEstimate loss;
-        std::unique_ptr<IRepeatBudget> repeats;
+        std::unique_ptr<ILocalRetryBudget> repeats;
     };
     struct Call
     {
--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -73,10 +73,10 @@
     return options;
 }
 
-RepeatBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings)
+LocalRetryBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings)
 {
-    RepeatBudgetOptions options;
-    options.isOn = !settings.ablations.turnedAway;
+    LocalRetryBudgetOptions options;
+    options.isEnabled = !settings.ablations.turnedAway;
     if (settings.retryBudget) {
         options.ratio = settings.retryBudget->ratio;
         options.window = settings.retryBudget->window;
--- a/src/app/internal/settings/policies.h
+++ b/src/app/internal/settings/policies.h
@@ -3,7 +3,7 @@
 #include "app/settings.h"
 #include "coordination/admission/gatefactory.h"
 #include "coordination/admission/irootadmission.h"
-#include "coordination/retries/irepeatbudget.h"
+#include "coordination/retries/ilocalretrybudget.h"
 #include "coordination/retries/retrypolicyfactory.h"
 #include "coordination/routing/routerfactory.h"
 
@@ -13,7 +13,7 @@
 GateOptions makeGateOptions(const DaemonSettings &settings);
 RouterOptions makeRouterOptions(const DaemonSettings &settings);
 RetryOptions makeRetryOptions(const DaemonSettings &settings);
-RepeatBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings);
+LocalRetryBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings);
 RootAdmissionOptions makeRootAdmissionOptions(const DaemonSettings &settings);
 
 } // namespace ivyspar
--- a/src/coordination/retries/irepeatbudget.h
+++ b/src/coordination/retries/ilocalretrybudget.h
@@ -14,32 +14,32 @@
 /// after all services above it have worked. Sent again at once, a call that was not begun costs a
 /// message on the host. All that arrives at the server passes this place, so the bound on repeats
 /// is kept exactly here and needs no share for each daemon.
-class IRepeatBudget
+class ILocalRetryBudget
 {
 public:
-    virtual ~IRepeatBudget() = default;
+    virtual ~ILocalRetryBudget() = default;
 
     /// A call is sent to the server for the first time from here. `isRepeat`: an entry sent it
     /// elsewhere before, or its request is a repeat.
     virtual void onArrival(TimePoint now, bool isRepeat) = 0;
     /// Whether a call of this priority may be sent once more; counts it if so.
-    virtual bool take(TimePoint now, Priority priority) = 0;
+    virtual bool tryTake(TimePoint now, Priority priority) = 0;
 };
 
-struct RepeatBudgetOptions
+struct LocalRetryBudgetOptions
 {
     /// Off: nothing is sent once more from here.
-    bool isOn = true;
+    bool isEnabled = true;
     /// Repeats for each first arrival of the window: 0 allows none.
     double ratio = 0;
     /// Time over which repeats are counted.
     Duration window = std::chrono::seconds(10);
     /// Of the allowed repeats, the share that is used: windows of other daemons begin elsewhere.
-    double usedShare = 0.9;
+    double usedRatio = 0.9;
     /// Repeats that more important calls asked for lately are kept for this time to come.
-    Duration reserve = std::chrono::seconds(5);
+    Duration reserveTime = std::chrono::seconds(5);
 };
 
-std::unique_ptr<IRepeatBudget> makeRepeatBudget(const RepeatBudgetOptions &options);
+std::unique_ptr<ILocalRetryBudget> makeLocalRetryBudget(const LocalRetryBudgetOptions &options);
 
 } // namespace ivyspar
--- a/src/coordination/retries/tests/repeatbudgettest.cpp
+++ b/src/coordination/retries/tests/localretrybudgettest.cpp
@@ -1,4 +1,4 @@
-#include "coordination/retries/irepeatbudget.h"
+#include "coordination/retries/ilocalretrybudget.h"
 
 #include <algorithm>
 #include <deque>
@@ -14,21 +14,21 @@
 const Priority IMPORTANT(90);
 const Priority MINOR(10);
 
-RepeatBudgetOptions makeOptions()
+LocalRetryBudgetOptions makeOptions()
 {
-    RepeatBudgetOptions options;
+    LocalRetryBudgetOptions options;
     options.ratio = 0.2;
     return options;
 }
 
 } // namespace
 
-TEST_GROUP(RepeatBudget)
+TEST_GROUP(LocalRetryBudget)
 {
     TimePoint m_now{ 100s };
-    std::unique_ptr<IRepeatBudget> m_budget = makeRepeatBudget(makeOptions());
+    std::unique_ptr<ILocalRetryBudget> m_budget = makeLocalRetryBudget(makeOptions());
 
-    void arrive(int count, Duration gap)
+    void recordArrivals(int count, Duration gap)
     {
         for (int i = 0; i < count; ++i, m_now += gap) {
             m_budget->onArrival(m_now, false);
@@ -37,44 +37,44 @@
     int takeAll(Priority priority)
     {
         int taken = 0;
-        while (taken < 100000 && m_budget->take(m_now, priority)) {
+        while (taken < 100000 && m_budget->tryTake(m_now, priority)) {
             ++taken;
         }
         return taken;
     }
 };
 
-TEST(RepeatBudget, AllowsItsShareOfTheFirstArrivals)
+TEST(LocalRetryBudget, AllowsItsShareOfTheFirstArrivals)
 {
-    arrive(1000, 5ms);
+    recordArrivals(1000, 5ms);
     DOUBLES_EQUAL(0.2 * 0.9 * 1000, takeAll(IMPORTANT), 1);
 }
 
-TEST(RepeatBudget, CountsRepeatsOfEntriesAsWell)
+TEST(LocalRetryBudget, CountsRepeatsOfEntriesAsWell)
 {
-    arrive(1000, 5ms);
+    recordArrivals(1000, 5ms);
     for (int i = 0; i < 100; ++i) {
         m_budget->onArrival(m_now, true);
     }
     DOUBLES_EQUAL(0.2 * 0.9 * 1000 - 100, takeAll(IMPORTANT), 1);
 }
 
-TEST(RepeatBudget, AllowsNoneWithoutArrivalsOrWhenOff)
+TEST(LocalRetryBudget, AllowsNoneWithoutArrivalsOrWhenOff)
 {
-    CHECK_FALSE(m_budget->take(m_now, IMPORTANT));
-    RepeatBudgetOptions off = makeOptions();
-    off.isOn = false;
-    m_budget = makeRepeatBudget(off);
-    arrive(1000, 5ms);
-    CHECK_FALSE(m_budget->take(m_now, IMPORTANT));
+    CHECK_FALSE(m_budget->tryTake(m_now, IMPORTANT));
+    LocalRetryBudgetOptions off = makeOptions();
+    off.isEnabled = false;
+    m_budget = makeLocalRetryBudget(off);
+    recordArrivals(1000, 5ms);
+    CHECK_FALSE(m_budget->tryTake(m_now, IMPORTANT));
 }
 
 // 1. Callers press for a minute, and the server turns away half of what comes.
 // 2. Whatever calls ask for, no window of ten seconds sees more repeats than a fifth of the calls
 //    of that window, of the one half a window before, or of the one before it.
-TEST(RepeatBudget, HoldsInEveryWindow)
+TEST(LocalRetryBudget, HoldsInEveryWindow)
 {
-    std::deque<TimePoint> firsts;
+    std::deque<TimePoint> firstArrivals;
     std::deque<TimePoint> repeats;
     const auto countIn = [](const std::deque<TimePoint> &times, TimePoint from, TimePoint to) {
         return std::distance(std::upper_bound(times.begin(), times.end(), from),
@@ -86,13 +86,13 @@
             continue;
         }
         m_budget->onArrival(m_now, false);
-        firsts.push_back(m_now);
-        if (m_budget->take(m_now, IMPORTANT)) {
+        firstArrivals.push_back(m_now);
+        if (m_budget->tryTake(m_now, IMPORTANT)) {
             repeats.push_back(m_now);
         }
-        const auto most = std::max({ countIn(firsts, m_now - 10s, m_now),
-                                     countIn(firsts, m_now - 15s, m_now - 5s),
-                                     countIn(firsts, m_now - 20s, m_now - 10s) });
+        const auto most = std::max({ countIn(firstArrivals, m_now - 10s, m_now),
+                                     countIn(firstArrivals, m_now - 15s, m_now - 5s),
+                                     countIn(firstArrivals, m_now - 20s, m_now - 10s) });
         CHECK(static_cast<double>(countIn(repeats, m_now - 10s, m_now)) <= 0.2 * most);
     }
     CHECK(repeats.size() > 1000);
@@ -102,18 +102,18 @@
 //    are far more minor ones.
 // 2. First come first served, the minor calls would take four fifths of the repeats, and half of
 //    the important requests would fail after their work was done.
-TEST(RepeatBudget, KeepsForImportantCallsWhatTheyNeed)
+TEST(LocalRetryBudget, KeepsForImportantCallsWhatTheyNeed)
 {
-    arrive(20000, 500us);
+    recordArrivals(20000, 500us);
     int importantAsked = 0;
     int importantTaken = 0;
     int minorTaken = 0;
     for (int i = 0; i < 4000; ++i, m_now += 1ms) {
-        minorTaken += m_budget->take(m_now, MINOR) ? 1 : 0;
-        minorTaken += m_budget->take(m_now, MINOR) ? 1 : 0;
+        minorTaken += m_budget->tryTake(m_now, MINOR) ? 1 : 0;
+        minorTaken += m_budget->tryTake(m_now, MINOR) ? 1 : 0;
         if (i % 2 == 0) {
             ++importantAsked;
-            importantTaken += m_budget->take(m_now, IMPORTANT) ? 1 : 0;
+            importantTaken += m_budget->tryTake(m_now, IMPORTANT) ? 1 : 0;
         }
     }
     CHECK_EQUAL(importantAsked, importantTaken);
@@ -123,13 +123,13 @@
 // 1. A service fails, and entries begin hardly any trees that lead there.
 // 2. The few that go on need their repeats all the more. What was asked in the ten seconds before
 //    still counts; by the arrivals of now alone a third of them would get none.
-TEST(RepeatBudget, RemembersWhatWasAskedBeforeTheTrouble)
+TEST(LocalRetryBudget, RemembersWhatWasAskedBeforeTheTrouble)
 {
-    arrive(10000, 1ms);
+    recordArrivals(10000, 1ms);
     int taken = 0;
     for (int i = 0; i < 80; ++i, m_now += 100ms) {
         for (int n = 0; n < 15; ++n) {
-            taken += m_budget->take(m_now, IMPORTANT) ? 1 : 0;
+            taken += m_budget->tryTake(m_now, IMPORTANT) ? 1 : 0;
         }
     }
     CHECK_EQUAL(80 * 15, taken);
