--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -97,7 +97,7 @@
         return {};
     }
     settle(now, attempt, end);
-    m_arrivals += end.hasReachedUpstream ? 1 : 0;
+    m_upstreamAttempts += end.hasReachedUpstream ? 1 : 0;
     if (m_isFinished) {
         return {};
     }
@@ -350,7 +350,7 @@
     return action;
 }
 
-bool EntryCall::mayRetry(TimePoint now, const AttemptEnd &end, bool isFromBelow)
+bool EntryCall::mayRetry(TimePoint now, const AttemptEnd &end, bool isUpstreamError)
 {
     if (m_terms.isSingleAttempt || now >= m_terms.deadline) {
         return false;
@@ -358,17 +358,17 @@
     if (!mayReachAnother()) {
         return false;
     }
-    RetryQuestion question;
-    question.service = m_terms.rule.service;
-    question.priority = m_terms.rule.priority;
-    question.verdict = end.verdict;
-    question.hasArrived = end.hasReachedUpstream;
-    question.repetition = m_terms.rule.repetition;
-    question.attempts = attempts();
-    question.arrivals = m_arrivals;
-    question.isFromBelow = isFromBelow;
-    question.remaining = std::chrono::duration_cast<Duration>(m_terms.deadline - now);
-    return m_policies.retries.shouldRetry(now, question);
+    RetryQuery query;
+    query.service = m_terms.rule.service;
+    query.priority = m_terms.rule.priority;
+    query.verdict = end.verdict;
+    query.hasReachedUpstream = end.hasReachedUpstream;
+    query.repetition = m_terms.rule.repetition;
+    query.attempts = attempts();
+    query.upstreamAttempts = m_upstreamAttempts;
+    query.isUpstreamError = isUpstreamError;
+    query.remaining = std::chrono::duration_cast<Duration>(m_terms.deadline - now);
+    return m_policies.retries.shouldRetry(now, query);
 }
 
 void EntryCall::settle(TimePoint now, Attempt &attempt, const AttemptEnd &end)
@@ -402,7 +402,7 @@
     const auto open = std::count_if(m_attempts.begin(), m_attempts.end(),
                                     [](const Attempt &attempt) { return attempt.isOpen; });
     return m_terms.rule.servers == 0
-        || m_arrivals + static_cast<std::uint32_t>(open) < m_terms.rule.servers;
+        || m_upstreamAttempts + static_cast<std::uint32_t>(open) < m_terms.rule.servers;
 }
 
 bool EntryCall::hasOpenAttempt() const
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -72,7 +72,7 @@
     Standing standing() const;
     std::optional<EntryAction> launch(TimePoint now, const DaemonId &target, const char *why);
     /// `isFromBelow`: the upstream answered with an error of its own or of a call that it made.
-    bool mayRetry(TimePoint now, const AttemptEnd &end, bool isFromBelow);
+    bool mayRetry(TimePoint now, const AttemptEnd &end, bool isUpstreamError);
     /// Attempts that the calls below this one need at the least.
     AttemptCount neededBelow() const;
     void settle(TimePoint now, Attempt &attempt, const AttemptEnd &end);
@@ -98,7 +98,7 @@
     /// An attempt may have run without our knowing how it ended.
     bool m_mayHaveRun = false;
     /// Attempts that reached an upstream, or may have.
-    std::uint32_t m_arrivals = 0;
+    std::uint32_t m_upstreamAttempts = 0;
     bool m_isRedirected = false;
     bool m_isFinished = false;
 };
--- a/src/coordination/calls/tests/mocks/fakeretrypolicy.h
+++ b/src/coordination/calls/tests/mocks/fakeretrypolicy.h
@@ -13,10 +13,10 @@
     Duration comeBack = std::chrono::milliseconds(40);
     int successes = 0;
 
-    bool shouldRetry(TimePoint /*now*/, const RetryQuestion &question) override
+    bool shouldRetry(TimePoint /*now*/, const RetryQuery &query) override
     {
-        const bool isSafe = question.verdict.outcome == Outcome::NotRun
-            || question.repetition == Repetition::Idempotent;
+        const bool isSafe =
+            query.verdict.outcome == Outcome::NotRun || query.repetition == Repetition::Idempotent;
         return mayRetry && isSafe;
     }
     void onSuccess(TimePoint /*now*/, const ServiceName & /*service*/,
--- a/src/coordination/retries/internal/retrypolicy.cpp
+++ b/src/coordination/retries/internal/retrypolicy.cpp
@@ -33,18 +33,18 @@
     }
 }
 
-bool mayRepeat(const RetryQuestion &question)
+bool mayRepeat(const RetryQuery &query)
 {
-    switch (question.verdict.outcome) {
+    switch (query.verdict.outcome) {
     case Outcome::NotRun:
-        return canPassElsewhere(question.verdict.reason);
+        return canPassElsewhere(query.verdict.reason);
     case Outcome::Unknown:
-        return question.repetition == Repetition::Idempotent
-            && question.verdict.reason != Reason::Cancelled
-            && question.verdict.reason != Reason::DeadlineExceeded;
+        return query.repetition == Repetition::Idempotent
+            && query.verdict.reason != Reason::Cancelled
+            && query.verdict.reason != Reason::DeadlineExceeded;
     case Outcome::Answered:
         // An upstream's error is its answer. Only the baseline without "next hop only" gets here.
-        return question.isFromBelow && question.repetition == Repetition::Idempotent;
+        return query.isUpstreamError && query.repetition == Repetition::Idempotent;
     }
     return false;
 }
@@ -88,12 +88,12 @@
     return m_services.try_emplace(name, m_options).first->second;
 }
 
-bool RetryPolicy::isFree(TimePoint now, const Service &service, const RetryQuestion &question) const
+bool RetryPolicy::isFree(TimePoint now, const Service &service, const RetryQuery &query) const
 {
-    if (question.hasArrived) {
+    if (query.hasReachedUpstream) {
         return false;
     }
-    return m_options.countsArrivalsOnly || outranksOthers(now, service, question);
+    return m_options.countsArrivalsOnly || outranksOthers(now, service, query);
 }
 
 /// 1. A service is overrun. What is less important has spent all retries on its refusals.
@@ -102,12 +102,12 @@
 /// 3. As those that are put off are there, another gate takes the call; it is asked but
 ///    `RetryOptions::attempts` times in all.
 bool RetryPolicy::outranksOthers(TimePoint now, const Service &service,
-                                 const RetryQuestion &question) const
+                                 const RetryQuery &query) const
 {
-    if (question.verdict.reason != Reason::QueueFull) {
+    if (query.verdict.reason != Reason::QueueFull) {
         return false;
     }
-    const auto end = service.refusedAt.lower_bound(question.priority);
+    const auto end = service.refusedAt.lower_bound(query.priority);
     return std::any_of(service.refusedAt.begin(), end, [&](const auto &refused) {
         return now - refused.second < m_options.window;
     });
@@ -115,40 +115,40 @@
 
 /// Where refusals cost nothing, they must not use up what is meant for losses: a call that two full
 /// gates refused would otherwise end with the first lost link.
-bool RetryPolicy::hasTriedEnough(const RetryQuestion &question) const
+bool RetryPolicy::hasTriedEnough(const RetryQuery &query) const
 {
     if (!m_options.countsArrivalsOnly) {
-        return question.attempts >= m_options.attempts;
+        return query.attempts >= m_options.attempts;
     }
-    return question.attempts >= m_options.unseenAttempts
-        || (question.hasArrived && question.arrivals >= m_options.attempts);
+    return query.attempts >= m_options.unseenAttempts
+        || (query.hasReachedUpstream && query.upstreamAttempts >= m_options.attempts);
 }
 
-bool RetryPolicy::isWorthwhile(const RetryQuestion &question) const
+bool RetryPolicy::isWorthwhile(const RetryQuery &query) const
 {
-    if (!m_options.hasRetries || hasTriedEnough(question)) {
+    if (!m_options.hasRetries || hasTriedEnough(query)) {
         return false;
     }
     // If each of n hops made three attempts, the last service would see 3ⁿ of them.
-    if (question.isFromBelow && m_options.isNextHopOnly) {
+    if (query.isUpstreamError && m_options.isNextHopOnly) {
         return false;
     }
-    return mayRepeat(question);
+    return mayRepeat(query);
 }
 
-bool RetryPolicy::shouldRetry(TimePoint now, const RetryQuestion &question)
+bool RetryPolicy::shouldRetry(TimePoint now, const RetryQuery &query)
 {
-    Service &service = serviceOf(question.service);
-    if (question.verdict.reason == Reason::QueueFull) {
-        service.refusedAt[question.priority] = now;
+    Service &service = serviceOf(query.service);
+    if (query.verdict.reason == Reason::QueueFull) {
+        service.refusedAt[query.priority] = now;
     }
-    if (!isWorthwhile(question)) {
+    if (!isWorthwhile(query)) {
         return false;
     }
-    if (question.remaining <= service.latencies.quantile(MEDIAN)) {
+    if (query.remaining <= service.latencies.quantile(MEDIAN)) {
         return false;
     }
-    if (!m_options.hasRetryTokens || isFree(now, service, question)) {
+    if (!m_options.hasRetryTokens || isFree(now, service, query)) {
         return true;
     }
     if (service.retries < 1) {
--- a/src/coordination/retries/internal/retrypolicy.h
+++ b/src/coordination/retries/internal/retrypolicy.h
@@ -14,7 +14,7 @@
 public:
     explicit RetryPolicy(const RetryOptions &options);
 
-    bool shouldRetry(TimePoint now, const RetryQuestion &question) override;
+    bool shouldRetry(TimePoint now, const RetryQuery &query) override;
     void onSuccess(TimePoint now, const ServiceName &service, Duration latency) override;
     void setDaemons(std::size_t daemons) override;
     Duration hedgeDelay(TimePoint now, const RuleSpec &rule) override;
@@ -38,10 +38,10 @@
     /// Retries that a service may have saved up here.
     double mostRetries() const;
     Service &serviceOf(const ServiceName &name);
-    bool isFree(TimePoint now, const Service &service, const RetryQuestion &question) const;
-    bool outranksOthers(TimePoint now, const Service &service, const RetryQuestion &question) const;
-    bool hasTriedEnough(const RetryQuestion &question) const;
-    bool isWorthwhile(const RetryQuestion &question) const;
+    bool isFree(TimePoint now, const Service &service, const RetryQuery &query) const;
+    bool outranksOthers(TimePoint now, const Service &service, const RetryQuery &query) const;
+    bool hasTriedEnough(const RetryQuery &query) const;
+    bool isWorthwhile(const RetryQuery &query) const;
 
     RetryOptions m_options;
     std::size_t m_daemons = 0;
--- a/src/coordination/retries/iretrypolicy.h
+++ b/src/coordination/retries/iretrypolicy.h
@@ -10,7 +10,7 @@
 
 namespace ivyspar {
 
-struct RetryQuestion
+struct RetryQuery
 {
     ServiceName service;
     Priority priority;
@@ -19,12 +19,12 @@
     /// Attempts made of this call at this hop so far.
     std::uint32_t attempts = 1;
     /// Of these, those that reached an upstream, or may have.
-    std::uint32_t arrivals = 1;
+    std::uint32_t upstreamAttempts = 1;
     Duration remaining{ 0 };
     /// The attempt that failed reached an upstream, or may have: the next one is a repeat there.
-    bool hasArrived = true;
+    bool hasReachedUpstream = true;
     /// The failure came from a call below the upstream: only the hop next to it retries.
-    bool isFromBelow = false;
+    bool isUpstreamError = false;
 };
 
 /// Decides on retries and hedges of an entry. Plain object.
@@ -33,7 +33,7 @@
 public:
     virtual ~IRetryPolicy() = default;
 
-    virtual bool shouldRetry(TimePoint now, const RetryQuestion &question) = 0;
+    virtual bool shouldRetry(TimePoint now, const RetryQuery &query) = 0;
     /// How many daemons draw on the shared slack, this one included.
     virtual void setDaemons(std::size_t daemons) = 0;
     /// A first attempt succeeded: earns the service a share of a retry token.
--- a/src/coordination/retries/tests/retrypolicytest.cpp
+++ b/src/coordination/retries/tests/retrypolicytest.cpp
@@ -15,14 +15,14 @@
 
 const ServiceName SERVICE("scheda");
 
-RetryQuestion question(Outcome outcome, Reason reason, Repetition repetition = Repetition::Never)
+RetryQuery makeQuery(Outcome outcome, Reason reason, Repetition repetition = Repetition::Never)
 {
-    RetryQuestion question;
-    question.service = SERVICE;
-    question.verdict = { outcome, reason, Duration(0) };
-    question.repetition = repetition;
-    question.remaining = 10s;
-    return question;
+    RetryQuery query;
+    query.service = SERVICE;
+    query.verdict = { outcome, reason, Duration(0) };
+    query.repetition = repetition;
+    query.remaining = 10s;
+    return query;
 }
 
 RuleSpec lookupRule()
@@ -54,8 +54,8 @@
             policy->onSuccess(now, SERVICE, 20ms);
             spending.successes += 1;
         } else {
-            const auto asked = question(Outcome::NotRun, Reason::ConnectFailed);
-            spending.retries += policy->shouldRetry(now, asked) ? 1 : 0;
+            const auto query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+            spending.retries += policy->shouldRetry(now, query) ? 1 : 0;
         }
         spending.hedges += policy->takeHedge(now, SERVICE) ? 1 : 0;
     }
@@ -68,9 +68,9 @@
 {
     TimePoint now{ 1s };
 
-    bool isRetried(const RetryQuestion &question, RetryOptions options = {})
+    bool isRetried(const RetryQuery &query, RetryOptions options = {})
     {
-        return makeRetryPolicy(options)->shouldRetry(now, question);
+        return makeRetryPolicy(options)->shouldRetry(now, query);
     }
 };
 
@@ -82,17 +82,17 @@
 TEST(RetryPolicy, ACallThatOutranksOthersGoesOnFromAFullGate)
 {
     const auto policy = makeRetryPolicy({});
-    RetryQuestion page = question(Outcome::NotRun, Reason::QueueFull);
-    page.hasArrived = false;
-    page.priority = Priority(1);
-    while (policy->shouldRetry(now, page)) { }
-    RetryQuestion record = page;
-    record.priority = Priority(3);
+    RetryQuery lowPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
+    lowPriority.hasReachedUpstream = false;
+    lowPriority.priority = Priority(1);
+    while (policy->shouldRetry(now, lowPriority)) { }
+    RetryQuery highPriority = lowPriority;
+    highPriority.priority = Priority(3);
     for (int i = 0; i < 20; ++i) {
-        CHECK(policy->shouldRetry(now, record));
+        CHECK(policy->shouldRetry(now, highPriority));
     }
-    record.attempts = 3;
-    CHECK_FALSE(policy->shouldRetry(now, record));
+    highPriority.attempts = 3;
+    CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
 // Where nothing less important is refused, there is nobody to put off: more sends of what is too
@@ -100,29 +100,29 @@
 TEST(RetryPolicy, ACallThatOutranksNobodyPaysForItsRetry)
 {
     const auto policy = makeRetryPolicy({});
-    RetryQuestion record = question(Outcome::NotRun, Reason::QueueFull);
-    record.hasArrived = false;
-    record.priority = Priority(3);
-    while (policy->shouldRetry(now, record)) { }
-    RetryQuestion page = record;
-    page.priority = Priority(1);
-    CHECK_FALSE(policy->shouldRetry(now, page));
-    CHECK(policy->shouldRetry(now, record));
+    RetryQuery highPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
+    highPriority.hasReachedUpstream = false;
+    highPriority.priority = Priority(3);
+    while (policy->shouldRetry(now, highPriority)) { }
+    RetryQuery lowPriority = highPriority;
+    lowPriority.priority = Priority(1);
+    CHECK_FALSE(policy->shouldRetry(now, lowPriority));
+    CHECK(policy->shouldRetry(now, highPriority));
     now += 6s;
-    CHECK_FALSE(policy->shouldRetry(now, record));
+    CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
 // What may have run is a repeat, and repeats are bounded for all alike.
 TEST(RetryPolicy, ARankEarnsNoRepeatOfWhatMayHaveRun)
 {
     const auto policy = makeRetryPolicy({});
-    RetryQuestion page = question(Outcome::NotRun, Reason::QueueFull);
-    page.hasArrived = false;
-    page.priority = Priority(1);
-    while (policy->shouldRetry(now, page)) { }
-    RetryQuestion record = question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
-    record.priority = Priority(3);
-    CHECK_FALSE(policy->shouldRetry(now, record));
+    RetryQuery lowPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
+    lowPriority.hasReachedUpstream = false;
+    lowPriority.priority = Priority(1);
+    while (policy->shouldRetry(now, lowPriority)) { }
+    RetryQuery highPriority = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
+    highPriority.priority = Priority(3);
+    CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
 TEST(RetryPolicy, RepeatsWhatWasNotRunElsewhere)
@@ -132,12 +132,12 @@
         for (const Reason reason :
              { Reason::ConnectFailed, Reason::Draining, Reason::QueueFull, Reason::NoServer,
                Reason::UpstreamRefused, Reason::ShuttingDown }) {
-            CHECK(isRetried(question(Outcome::NotRun, reason, repetition)));
+            CHECK(isRetried(makeQuery(Outcome::NotRun, reason, repetition)));
         }
         for (const Reason reason :
              { Reason::BelowFloor, Reason::Doomed, Reason::DeadlineExceeded, Reason::BudgetSpent,
                Reason::Cancelled, Reason::LogUnavailable, Reason::KeyBusy }) {
-            CHECK_FALSE(isRetried(question(Outcome::NotRun, reason, repetition)));
+            CHECK_FALSE(isRetried(makeQuery(Outcome::NotRun, reason, repetition)));
         }
     }
 }
@@ -145,27 +145,27 @@
 // The answer got lost after the upstream took a payment. Sending it again would charge twice.
 TEST(RetryPolicy, RepeatsWhatMayHaveRunOnlyIfIdempotent)
 {
-    CHECK(isRetried(question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
-    CHECK_FALSE(isRetried(question(Outcome::Unknown, Reason::LinkLost, Repetition::Never)));
-    CHECK_FALSE(isRetried(question(Outcome::Unknown, Reason::LinkLost, Repetition::Once)));
-    CHECK_FALSE(isRetried(question(Outcome::Answered, Reason::None, Repetition::Idempotent)));
+    CHECK(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
+    CHECK_FALSE(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Never)));
+    CHECK_FALSE(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Once)));
+    CHECK_FALSE(isRetried(makeQuery(Outcome::Answered, Reason::None, Repetition::Idempotent)));
 }
 
 TEST(RetryPolicy, OnlyTheHopNextToTheFailureRetries)
 {
-    RetryQuestion fromBelow = question(Outcome::NotRun, Reason::ConnectFailed);
-    fromBelow.isFromBelow = true;
-    CHECK_FALSE(isRetried(fromBelow));
+    RetryQuery upstreamError = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+    upstreamError.isUpstreamError = true;
+    CHECK_FALSE(isRetried(upstreamError));
     RetryOptions everyHop;
     everyHop.isNextHopOnly = false;
-    CHECK(isRetried(fromBelow, everyHop));
+    CHECK(isRetried(upstreamError, everyHop));
 }
 
 TEST(RetryPolicy, BoundsTheAttemptsOfOneCall)
 {
-    RetryQuestion asked = question(Outcome::NotRun, Reason::ConnectFailed);
-    asked.attempts = RetryOptions().attempts;
-    CHECK_FALSE(isRetried(asked));
+    RetryQuery query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+    query.attempts = RetryOptions().attempts;
+    CHECK_FALSE(isRetried(query));
 }
 
 TEST(RetryPolicy, DoesNotStartWhatCannotEndInTime)
@@ -174,11 +174,11 @@
     for (int i = 0; i < 10; ++i) {
         policy->onSuccess(now, SERVICE, 100ms);
     }
-    RetryQuestion asked = question(Outcome::NotRun, Reason::ConnectFailed);
-    asked.remaining = 50ms;
-    CHECK_FALSE(policy->shouldRetry(now, asked));
-    asked.remaining = 300ms;
-    CHECK(policy->shouldRetry(now, asked));
+    RetryQuery query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+    query.remaining = 50ms;
+    CHECK_FALSE(policy->shouldRetry(now, query));
+    query.remaining = 300ms;
+    CHECK(policy->shouldRetry(now, query));
 }
 
 TEST(RetryPolicy, RetriesAndHedgesStayWithinTheirShareOfSuccesses)
@@ -253,7 +253,7 @@
     CHECK(policy->takeHedge(now, SERVICE));
     CHECK_FALSE(policy->takeHedge(now, SERVICE));
     CHECK_FALSE(policy->shouldRetry(
-        now, question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
+        now, makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
 }
 
 TEST(RetryPolicy, HedgeForSilenceWaitsForAMultipleOfTheUsualTime)
@@ -316,7 +316,7 @@
         }
         double repeats = 0;
         while (policy->shouldRetry(
-            now, question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent))) {
+            now, makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent))) {
             ++repeats;
         }
         CHECK(repeats * static_cast<double>(daemons) <= options.sharedSlack);
@@ -335,9 +335,9 @@
         policy->onSuccess(now, SERVICE, 1ms);
     }
     policy->setDaemons(64);
-    const auto asked = question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
-    CHECK(policy->shouldRetry(now, asked));
-    CHECK_FALSE(policy->shouldRetry(now, asked));
+    const auto query = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
+    CHECK(policy->shouldRetry(now, query));
+    CHECK_FALSE(policy->shouldRetry(now, query));
 }
 
 // Two full gates refused a lookup, so no server saw it; the third was sent it and its link was
@@ -346,13 +346,13 @@
 {
     RetryOptions options;
     options.countsArrivalsOnly = true;
-    RetryQuestion lost = question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
+    RetryQuery lost = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
     lost.attempts = 3;
-    lost.arrivals = 1;
+    lost.upstreamAttempts = 1;
     CHECK(isRetried(lost, options));
-    lost.arrivals = 3;
+    lost.upstreamAttempts = 3;
     CHECK_FALSE(isRetried(lost, options));
-    lost.arrivals = 1;
+    lost.upstreamAttempts = 1;
     lost.attempts = options.unseenAttempts;
     CHECK_FALSE(isRetried(lost, options));
 }
