--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -57,12 +57,12 @@
     const Ablations &ablations = settings.ablations;
     RetryOptions options;
     if (settings.retryBudget) {
-        options.countsArrivalsOnly = true;
-        options.retryShare = settings.retryBudget->ratio * OWN_SHARE_OF_BUDGET;
+        options.countsUpstreamAttemptsOnly = true;
+        options.retryRatio = settings.retryBudget->ratio * OWN_SHARE_OF_BUDGET;
         // A daemon that has just started does not know how many others start with it.
-        options.initialRetries = 0;
-        options.sharedSlack = settings.retryBudget->slack;
-        options.areHedgesRetries = true;
+        options.initialRetryTokens = 0;
+        options.sharedRetryTokens = settings.retryBudget->slack;
+        options.hedgesUseRetryTokens = true;
         options.hedgeFactor = SILENCE_FACTOR;
     }
     if (ablations.retryTokens) {
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -220,7 +220,7 @@
 {
     m_router->setMembers(m_loop.now(), members);
     m_peerCalls->setMembers(members);
-    m_retries->setDaemons(members.size());
+    m_retries->setDaemonCount(members.size());
     m_entry->setMembers(members);
     m_once->setMembers(members);
     m_quarantine->setMembers(m_self, members);
--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -211,7 +211,7 @@
     if (m_postponed || standing().suspicion != Suspicion::None) {
         return {};
     }
-    if (!mayReachAnother() || !m_policies.retries.takeHedge(now, m_terms.rule.service)) {
+    if (!mayReachAnother() || !m_policies.retries.tryTakeHedgeToken(now, m_terms.rule.service)) {
         return {};
     }
     Verdict failure;
--- a/src/coordination/calls/tests/mocks/fakeretrypolicy.h
+++ b/src/coordination/calls/tests/mocks/fakeretrypolicy.h
@@ -24,12 +24,15 @@
     {
         ++successes;
     }
-    void setDaemons(std::size_t /*daemons*/) override { }
+    void setDaemonCount(std::size_t /*daemons*/) override { }
     Duration hedgeDelay(TimePoint /*now*/, const RuleSpec & /*rule*/) override
     {
         return hedgeAfter;
     }
-    bool takeHedge(TimePoint /*now*/, const ServiceName & /*service*/) override { return true; }
+    bool tryTakeHedgeToken(TimePoint /*now*/, const ServiceName & /*service*/) override
+    {
+        return true;
+    }
     Duration retryAfter(TimePoint /*now*/, const ServiceName & /*service*/,
                         IRandom & /*random*/) override
     {
--- a/src/coordination/retries/internal/retrypolicy.cpp
+++ b/src/coordination/retries/internal/retrypolicy.cpp
@@ -9,11 +9,11 @@
 
 /// Weight of one call in the share of refused calls.
 constexpr double REFUSED_WEIGHT = 0.02;
-constexpr double LARGEST_REFUSED_SHARE = 0.99;
+constexpr double MAX_REFUSED_SHARE = 0.99;
 constexpr double MEDIAN = 0.5;
 
 /// Whether another server, or the same a moment later, may take a call that was not run.
-bool canPassElsewhere(Reason reason)
+bool mayRunElsewhere(Reason reason)
 {
     switch (reason) {
     case Reason::QueueFull:
@@ -33,11 +33,11 @@
     }
 }
 
-bool mayRepeat(const RetryQuery &query)
+bool isSafeToRepeat(const RetryQuery &query)
 {
     switch (query.verdict.outcome) {
     case Outcome::NotRun:
-        return canPassElsewhere(query.verdict.reason);
+        return mayRunElsewhere(query.verdict.reason);
     case Outcome::Unknown:
         return query.repetition == Repetition::Idempotent
             && query.verdict.reason != Reason::Cancelled
@@ -57,7 +57,7 @@
 }
 
 RetryPolicy::Service::Service(const RetryOptions &options)
-    : retries(options.initialRetries)
+    : retryTokens(options.initialRetryTokens)
     , latencies(options.window)
 {
 }
@@ -67,20 +67,21 @@
 {
 }
 
-void RetryPolicy::setDaemons(std::size_t daemons)
+void RetryPolicy::setDaemonCount(std::size_t daemons)
 {
     m_daemons = daemons;
     for (auto &[name, service] : m_services) {
-        service.retries = std::min(service.retries, mostRetries());
+        service.retryTokens = std::min(service.retryTokens, maxRetryTokens());
     }
 }
 
-double RetryPolicy::mostRetries() const
+double RetryPolicy::maxRetryTokens() const
 {
-    if (m_options.sharedSlack <= 0) {
-        return m_options.mostRetries;
+    if (m_options.sharedRetryTokens <= 0) {
+        return m_options.maxRetryTokens;
     }
-    return m_options.sharedSlack / static_cast<double>(std::max(m_daemons, m_options.leastDaemons));
+    return m_options.sharedRetryTokens
+        / static_cast<double>(std::max(m_daemons, m_options.minDaemons));
 }
 
 RetryPolicy::Service &RetryPolicy::serviceOf(const ServiceName &name)
@@ -88,19 +89,19 @@
     return m_services.try_emplace(name, m_options).first->second;
 }
 
-bool RetryPolicy::isFree(TimePoint now, const Service &service, const RetryQuery &query) const
+bool RetryPolicy::needsNoToken(TimePoint now, const Service &service, const RetryQuery &query) const
 {
     if (query.hasReachedUpstream) {
         return false;
     }
-    return m_options.countsArrivalsOnly || outranksOthers(now, service, query);
+    return m_options.countsUpstreamAttemptsOnly || outranksOthers(now, service, query);
 }
 
 /// 1. A service is overrun. What is less important has spent all retries on its refusals.
 /// 2. A few important calls meet in one gate, whose queue they fill, and the rest of them is
 ///    refused, though each other gate would put off something less important for them.
 /// 3. As those that are put off are there, another gate takes the call; it is asked but
-///    `RetryOptions::attempts` times in all.
+///    `RetryOptions::maxAttempts` times in all.
 bool RetryPolicy::outranksOthers(TimePoint now, const Service &service,
                                  const RetryQuery &query) const
 {
@@ -115,25 +116,25 @@
 
 /// Where refusals cost nothing, they must not use up what is meant for losses: a call that two full
 /// gates refused would otherwise end with the first lost link.
-bool RetryPolicy::hasTriedEnough(const RetryQuery &query) const
+bool RetryPolicy::hasUsedUpAttempts(const RetryQuery &query) const
 {
-    if (!m_options.countsArrivalsOnly) {
-        return query.attempts >= m_options.attempts;
+    if (!m_options.countsUpstreamAttemptsOnly) {
+        return query.attempts >= m_options.maxAttempts;
     }
-    return query.attempts >= m_options.unseenAttempts
-        || (query.hasReachedUpstream && query.upstreamAttempts >= m_options.attempts);
+    return query.attempts >= m_options.maxTotalAttempts
+        || (query.hasReachedUpstream && query.upstreamAttempts >= m_options.maxAttempts);
 }
 
-bool RetryPolicy::isWorthwhile(const RetryQuery &query) const
+bool RetryPolicy::isRetryable(const RetryQuery &query) const
 {
-    if (!m_options.hasRetries || hasTriedEnough(query)) {
+    if (!m_options.hasRetries || hasUsedUpAttempts(query)) {
         return false;
     }
     // If each of n hops made three attempts, the last service would see 3ⁿ of them.
     if (query.isUpstreamError && m_options.isNextHopOnly) {
         return false;
     }
-    return mayRepeat(query);
+    return isSafeToRepeat(query);
 }
 
 bool RetryPolicy::shouldRetry(TimePoint now, const RetryQuery &query)
@@ -142,27 +143,28 @@
     if (query.verdict.reason == Reason::QueueFull) {
         service.refusedAt[query.priority] = now;
     }
-    if (!isWorthwhile(query)) {
+    if (!isRetryable(query)) {
         return false;
     }
     if (query.remaining <= service.latencies.quantile(MEDIAN)) {
         return false;
     }
-    if (!m_options.hasRetryTokens || isFree(now, service, query)) {
+    if (!m_options.hasRetryTokens || needsNoToken(now, service, query)) {
         return true;
     }
-    if (service.retries < 1) {
+    if (service.retryTokens < 1) {
         return false;
     }
-    service.retries -= 1;
+    service.retryTokens -= 1;
     return true;
 }
 
 void RetryPolicy::onSuccess(TimePoint now, const ServiceName &service, Duration latency)
 {
     Service &known = serviceOf(service);
-    known.retries = std::min(known.retries + m_options.retryShare, mostRetries());
-    known.hedges = std::min(known.hedges + m_options.hedgeShare, m_options.mostHedges);
+    known.retryTokens = std::min(known.retryTokens + m_options.retryRatio, maxRetryTokens());
+    known.hedgeTokens =
+        std::min(known.hedgeTokens + m_options.hedgeRatio, m_options.maxHedgeTokens);
     known.refusedShare *= 1 - REFUSED_WEIGHT;
     known.latencies.add(now, latency);
 }
@@ -173,23 +175,23 @@
         return Duration(0);
     }
     const Service &service = serviceOf(rule.service);
-    if (service.latencies.count() < m_options.hedgeSamples) {
+    if (service.latencies.count() < m_options.minHedgeSamples) {
         return Duration(0);
     }
     const Duration usual = service.latencies.quantile(m_options.hedgeQuantile);
     const auto delay = m_options.hedgeFactor * static_cast<double>(usual.count());
-    return std::max(m_options.shortestHedgeDelay, Duration(std::llround(delay)));
+    return std::max(m_options.minHedgeDelay, Duration(std::llround(delay)));
 }
 
-bool RetryPolicy::takeHedge(TimePoint /*now*/, const ServiceName &service)
+bool RetryPolicy::tryTakeHedgeToken(TimePoint /*now*/, const ServiceName &service)
 {
     Service &known = serviceOf(service);
     // Under overload all calls are late: hedges would add load and help none.
-    double &saved = m_options.areHedgesRetries ? known.retries : known.hedges;
-    if (known.refusedShare > m_options.hedgeRefusals || saved < 1) {
+    double &tokens = m_options.hedgesUseRetryTokens ? known.retryTokens : known.hedgeTokens;
+    if (known.refusedShare > m_options.maxHedgeRefusedShare || tokens < 1) {
         return false;
     }
-    saved -= 1;
+    tokens -= 1;
     return true;
 }
 
@@ -199,11 +201,11 @@
     known.refusedShare += REFUSED_WEIGHT * (1 - known.refusedShare);
     // With a share r refused, 1 / (1 - r) times the capacity arrives: when callers come back over
     // that many times the shortest spread, they come at about the rate that can be served.
-    const double excess = 1 / (1 - std::min(known.refusedShare, LARGEST_REFUSED_SHARE));
-    const auto shortest = static_cast<double>(m_options.retryAfter.count());
-    const auto longest = static_cast<double>(m_options.longestRetryAfter.count());
-    const double mean = std::min(shortest * excess, longest);
-    return Duration(static_cast<Duration::rep>(mean * (0.5 + random.unit())));
+    const double excess = 1 / (1 - std::min(known.refusedShare, MAX_REFUSED_SHARE));
+    const auto baseUs = static_cast<double>(m_options.retryAfter.count());
+    const auto maxUs = static_cast<double>(m_options.maxRetryAfter.count());
+    const double meanUs = std::min(baseUs * excess, maxUs);
+    return Duration(static_cast<Duration::rep>(meanUs * (0.5 + random.unit())));
 }
 
 } // namespace ivyspar
--- a/src/coordination/retries/internal/retrypolicy.h
+++ b/src/coordination/retries/internal/retrypolicy.h
@@ -16,9 +16,9 @@
 
     bool shouldRetry(TimePoint now, const RetryQuery &query) override;
     void onSuccess(TimePoint now, const ServiceName &service, Duration latency) override;
-    void setDaemons(std::size_t daemons) override;
+    void setDaemonCount(std::size_t daemons) override;
     Duration hedgeDelay(TimePoint now, const RuleSpec &rule) override;
-    bool takeHedge(TimePoint now, const ServiceName &service) override;
+    bool tryTakeHedgeToken(TimePoint now, const ServiceName &service) override;
     Duration retryAfter(TimePoint now, const ServiceName &service, IRandom &random) override;
 
 private:
@@ -26,8 +26,8 @@
     {
         explicit Service(const RetryOptions &options);
 
-        double retries = 0;
-        double hedges = 0;
+        double retryTokens = 0;
+        double hedgeTokens = 0;
         /// Recent share of calls that were refused.
         double refusedShare = 0;
         LatencyWindow latencies;
@@ -36,12 +36,12 @@
     };
 
     /// Retries that a service may have saved up here.
-    double mostRetries() const;
+    double maxRetryTokens() const;
     Service &serviceOf(const ServiceName &name);
-    bool isFree(TimePoint now, const Service &service, const RetryQuery &query) const;
+    bool needsNoToken(TimePoint now, const Service &service, const RetryQuery &query) const;
     bool outranksOthers(TimePoint now, const Service &service, const RetryQuery &query) const;
-    bool hasTriedEnough(const RetryQuery &query) const;
-    bool isWorthwhile(const RetryQuery &query) const;
+    bool hasUsedUpAttempts(const RetryQuery &query) const;
+    bool isRetryable(const RetryQuery &query) const;
 
     RetryOptions m_options;
     std::size_t m_daemons = 0;
--- a/src/coordination/retries/iretrypolicy.h
+++ b/src/coordination/retries/iretrypolicy.h
@@ -35,13 +35,13 @@
 
     virtual bool shouldRetry(TimePoint now, const RetryQuery &query) = 0;
     /// How many daemons draw on the shared slack, this one included.
-    virtual void setDaemons(std::size_t daemons) = 0;
+    virtual void setDaemonCount(std::size_t daemons) = 0;
     /// A first attempt succeeded: earns the service a share of a retry token.
     virtual void onSuccess(TimePoint now, const ServiceName &service, Duration latency) = 0;
     /// After which time a second attempt may be sent in parallel; zero when none may.
     virtual Duration hedgeDelay(TimePoint now, const RuleSpec &rule) = 0;
     /// Takes a token of the hedging share. False when the share is used up.
-    virtual bool takeHedge(TimePoint now, const ServiceName &service) = 0;
+    virtual bool tryTakeHedgeToken(TimePoint now, const ServiceName &service) = 0;
     /// When a refused caller is to come back, jittered so that callers spread.
     virtual Duration retryAfter(TimePoint now, const ServiceName &service, IRandom &random) = 0;
 };
--- a/src/coordination/retries/tests/retrypolicytest.cpp
+++ b/src/coordination/retries/tests/retrypolicytest.cpp
@@ -57,7 +57,7 @@
             const auto query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
             spending.retries += policy->shouldRetry(now, query) ? 1 : 0;
         }
-        spending.hedges += policy->takeHedge(now, SERVICE) ? 1 : 0;
+        spending.hedges += policy->tryTakeHedgeToken(now, SERVICE) ? 1 : 0;
     }
     return spending;
 }
@@ -164,7 +164,7 @@
 TEST(RetryPolicy, BoundsTheAttemptsOfOneCall)
 {
     RetryQuery query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
-    query.attempts = RetryOptions().attempts;
+    query.attempts = RetryOptions().maxAttempts;
     CHECK_FALSE(isRetried(query));
 }
 
@@ -187,15 +187,15 @@
     const bool holds = rc::check([&](std::uint64_t seed) {
         const Spending spending = spendAtRandom(options, seed);
         RC_ASSERT(spending.retries
-                  <= options.initialRetries + options.retryShare * spending.successes + 1e-6);
-        RC_ASSERT(spending.hedges <= options.hedgeShare * spending.successes + 1e-6);
+                  <= options.initialRetryTokens + options.retryRatio * spending.successes + 1e-6);
+        RC_ASSERT(spending.hedges <= options.hedgeRatio * spending.successes + 1e-6);
     });
     CHECK(holds);
 
     RetryOptions unbounded;
     unbounded.hasRetryTokens = false;
     const Spending spending = spendAtRandom(unbounded, 1);
-    CHECK(spending.retries > options.initialRetries + options.retryShare * spending.successes);
+    CHECK(spending.retries > options.initialRetryTokens + options.retryRatio * spending.successes);
 }
 
 TEST(RetryPolicy, HedgesAfterAHighQuantileOfRecentLatencies)
@@ -243,15 +243,15 @@
 TEST(RetryPolicy, HedgesOfASharedBudgetTakeFromTheRetries)
 {
     RetryOptions options;
-    options.areHedgesRetries = true;
-    options.initialRetries = 0;
+    options.hedgesUseRetryTokens = true;
+    options.initialRetryTokens = 0;
     const auto policy = makeRetryPolicy(options);
     // Ten tenths add up to a little less than one.
     for (int i = 0; i < 11; ++i) {
         policy->onSuccess(now, SERVICE, 20ms);
     }
-    CHECK(policy->takeHedge(now, SERVICE));
-    CHECK_FALSE(policy->takeHedge(now, SERVICE));
+    CHECK(policy->tryTakeHedgeToken(now, SERVICE));
+    CHECK_FALSE(policy->tryTakeHedgeToken(now, SERVICE));
     CHECK_FALSE(policy->shouldRetry(
         now, makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
 }
@@ -277,11 +277,11 @@
     for (int i = 0; i < 1000; ++i) {
         policy->onSuccess(now, SERVICE, 20ms);
     }
-    CHECK(policy->takeHedge(now, SERVICE));
+    CHECK(policy->tryTakeHedgeToken(now, SERVICE));
     for (int i = 0; i < 5; ++i) {
         policy->retryAfter(now, SERVICE, random);
     }
-    CHECK_FALSE(policy->takeHedge(now, SERVICE));
+    CHECK_FALSE(policy->tryTakeHedgeToken(now, SERVICE));
 }
 
 TEST(RetryPolicy, SpreadsRefusedCallersOverMoreTimeTheMoreThereAre)
@@ -298,7 +298,7 @@
         delays.insert(policy->retryAfter(now, SERVICE, random));
     }
     CHECK(*delays.rbegin() - *delays.begin() > 4s);
-    CHECK(*delays.rbegin() <= 1.5 * RetryOptions().longestRetryAfter);
+    CHECK(*delays.rbegin() <= 1.5 * RetryOptions().maxRetryAfter);
 }
 
 // All daemons of a large deployment lose answers of the same service. Each repeats what it saved
@@ -306,11 +306,11 @@
 TEST(RetryPolicy, AllDaemonsTogetherSaveUpNoMoreThanTheSharedSlack)
 {
     RetryOptions options;
-    options.initialRetries = 0;
-    options.sharedSlack = 111;
+    options.initialRetryTokens = 0;
+    options.sharedRetryTokens = 111;
     for (const std::size_t daemons : { 4, 16, 81, 790 }) {
         const auto policy = makeRetryPolicy(options);
-        policy->setDaemons(daemons);
+        policy->setDaemonCount(daemons);
         for (int i = 0; i < 10000; ++i) {
             policy->onSuccess(now, SERVICE, 1ms);
         }
@@ -319,7 +319,7 @@
             now, makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent))) {
             ++repeats;
         }
-        CHECK(repeats * static_cast<double>(daemons) <= options.sharedSlack);
+        CHECK(repeats * static_cast<double>(daemons) <= options.sharedRetryTokens);
     }
 }
 
@@ -328,13 +328,13 @@
 TEST(RetryPolicy, SavingsBeyondTheOwnPartEndWhenOthersAreFound)
 {
     RetryOptions options;
-    options.initialRetries = 0;
-    options.sharedSlack = 64;
+    options.initialRetryTokens = 0;
+    options.sharedRetryTokens = 64;
     const auto policy = makeRetryPolicy(options);
     for (int i = 0; i < 1000; ++i) {
         policy->onSuccess(now, SERVICE, 1ms);
     }
-    policy->setDaemons(64);
+    policy->setDaemonCount(64);
     const auto query = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
     CHECK(policy->shouldRetry(now, query));
     CHECK_FALSE(policy->shouldRetry(now, query));
@@ -345,7 +345,7 @@
 TEST(RetryPolicy, RefusalsBeforeALossDoNotUseUpItsRetries)
 {
     RetryOptions options;
-    options.countsArrivalsOnly = true;
+    options.countsUpstreamAttemptsOnly = true;
     RetryQuery lost = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
     lost.attempts = 3;
     lost.upstreamAttempts = 1;
@@ -353,6 +353,6 @@
     lost.upstreamAttempts = 3;
     CHECK_FALSE(isRetried(lost, options));
     lost.upstreamAttempts = 1;
-    lost.attempts = options.unseenAttempts;
+    lost.attempts = options.maxTotalAttempts;
     CHECK_FALSE(isRetried(lost, options));
 }
