--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -44,8 +44,8 @@
     options.domain = settings.domain;
     options.hasFloor = hasFloor(settings);
     if (ablations.routing) {
-        options.hasTwoChoices = false;
-        options.isOwnDomainFirst = false;
+        options.usesTwoChoices = false;
+        options.prefersOwnDomain = false;
         options.hasSlowStart = false;
         options.hasErrorPenalty = false;
     }
--- a/src/coordination/routing/internal/router.cpp
+++ b/src/coordination/routing/internal/router.cpp
@@ -55,17 +55,17 @@
         return;
     }
     // The servers found together with their service were there before this entry learned of them.
-    const Duration coldTime = isServiceNew ? Duration::zero() : m_options.slowStart;
+    const Duration coldTime = isServiceNew ? Duration::zero() : m_options.slowStartTime;
     servers.insert_or_assign(member.id, Server(now, member, upstream, coldTime));
 }
 
 void Router::indexServers(Service &service) const
 {
-    service.own.clear();
-    service.foreign.clear();
+    service.ownDomain.clear();
+    service.otherDomains.clear();
     for (auto &[daemon, server] : service.servers) {
-        const bool isOwn = !m_options.isOwnDomainFirst || server.domain() == m_options.domain;
-        (isOwn ? service.own : service.foreign).push_back(&server);
+        const bool isOwn = !m_options.prefersOwnDomain || server.domain() == m_options.domain;
+        (isOwn ? service.ownDomain : service.otherDomains).push_back(&server);
     }
 }
 
@@ -88,21 +88,21 @@
         return choice;
     }
     const Query query{ now, request, found->second, random };
-    pick(query, &Router::isUsable, choice);
+    pickServer(query, &Router::isUsable, choice);
     if (choice.daemon.value().empty()) {
         // Servers taken out for their errors are better than no server: otherwise a fault seen on
         // all of them would end the service until the last ejection is over.
-        pick(query, &Router::isReachableResort, choice);
+        pickServer(query, &Router::isReachable, choice);
     }
     if (choice.daemon.value().empty() && request.excluded.empty()) {
         // None can be reached: the next call finds out. One that was refused elsewhere hears that
         // at once instead.
-        pick(query, &Router::isLastResort, choice);
+        pickServer(query, &Router::isEligible, choice);
     }
     return choice.daemon.value().empty() ? refusal(query) : choice;
 }
 
-void Router::pickForSuspect(const Query &query, Filter filter, RouteChoice &choice) const
+void Router::pickSuspectServer(const Query &query, Filter filter, RouteChoice &choice) const
 {
     const std::string &fingerprint = query.request.fingerprint.value();
     std::uint64_t highest = 0;
@@ -117,54 +117,56 @@
     }
 }
 
-void Router::pick(const Query &query, Filter filter, RouteChoice &choice) const
+void Router::pickServer(const Query &query, Filter filter, RouteChoice &choice) const
 {
     if (!query.request.fingerprint.value().empty()) {
-        pickForSuspect(query, filter, choice);
+        pickSuspectServer(query, filter, choice);
         return;
     }
-    const double typical = query.service.latency;
-    const Server *own = better(query, query.service.own, filter, choice);
-    if (own != nullptr && !own->isSaturated(query.now, typical, m_options)) {
-        choice.daemon = own->daemon();
+    const double serviceLatencyUs = query.service.latency;
+    const Server *ownServer = pickBetter(query, query.service.ownDomain, filter, choice);
+    if (ownServer != nullptr && !ownServer->isSaturated(query.now, serviceLatencyUs, m_options)) {
+        choice.daemon = ownServer->daemon();
         choice.why = choice.candidates.size() > 1 ? "less-loaded" : "only-one";
         return;
     }
-    const Server *foreign = better(query, query.service.foreign, filter, choice);
-    if (own == nullptr && foreign == nullptr) {
+    const Server *otherServer = pickBetter(query, query.service.otherDomains, filter, choice);
+    if (ownServer == nullptr && otherServer == nullptr) {
         return;
     }
-    const bool isSpilled = own == nullptr
-        || (foreign != nullptr
-            && foreign->score(query.now, typical, m_options)
-                < m_options.spillGain * own->score(query.now, typical, m_options));
-    choice.daemon = isSpilled ? foreign->daemon() : own->daemon();
-    choice.why = isSpilled ? "spill" : "least-bad";
+    const bool isSpillover = ownServer == nullptr
+        || (otherServer != nullptr
+            && otherServer->score(query.now, serviceLatencyUs, m_options)
+                < m_options.spillScoreRatio
+                    * ownServer->score(query.now, serviceLatencyUs, m_options));
+    choice.daemon = isSpillover ? otherServer->daemon() : ownServer->daemon();
+    choice.why = isSpillover ? "spill" : "least-bad";
 }
 
 /// The better of two servers, or nullptr when none passes the filter.
-const Server *Router::better(const Query &query, const std::vector<Server *> &servers,
-                             Filter filter, RouteChoice &choice) const
+const Server *Router::pickBetter(const Query &query, const std::vector<Server *> &servers,
+                                 Filter filter, RouteChoice &choice) const
 {
-    const double typical = query.service.latency;
-    const Server *first = next(query, servers, filter, nullptr);
+    const double serviceLatencyUs = query.service.latency;
+    const Server *first = nextServer(query, servers, filter, nullptr);
     if (first == nullptr) {
         return nullptr;
     }
-    const double firstScore = first->score(query.now, typical, m_options);
+    const double firstScore = first->score(query.now, serviceLatencyUs, m_options);
     choice.candidates.push_back({ first->daemon(), firstScore });
-    const Server *second = m_options.hasTwoChoices ? next(query, servers, filter, first) : nullptr;
+    const Server *second =
+        m_options.usesTwoChoices ? nextServer(query, servers, filter, first) : nullptr;
     if (second == nullptr) {
         return first;
     }
-    const double secondScore = second->score(query.now, typical, m_options);
+    const double secondScore = second->score(query.now, serviceLatencyUs, m_options);
     choice.candidates.push_back({ second->daemon(), secondScore });
     return secondScore < firstScore ? second : first;
 }
 
 /// From a random place on, the first server that passes the filter and is not `other`.
-const Server *Router::next(const Query &query, const std::vector<Server *> &servers, Filter filter,
-                           const Server *other) const
+const Server *Router::nextServer(const Query &query, const std::vector<Server *> &servers,
+                                 Filter filter, const Server *other) const
 {
     if (servers.empty()) {
         return nullptr;
@@ -187,16 +189,16 @@
 
 bool Router::isUsable(const Query &query, const Server &server) const
 {
-    return isReachableResort(query, server) && !server.isEjected(query.now)
+    return isReachable(query, server) && !server.isEjected(query.now)
         && server.hasRoomOnProbation();
 }
 
-bool Router::isReachableResort(const Query &query, const Server &server) const
+bool Router::isReachable(const Query &query, const Server &server) const
 {
-    return isLastResort(query, server) && !server.isUnreachable(query.now) && server.hasRoomToTry();
+    return isEligible(query, server) && !server.isUnreachable(query.now) && server.hasRoomToTry();
 }
 
-bool Router::isLastResort(const Query &query, const Server &server) const
+bool Router::isEligible(const Query &query, const Server &server) const
 {
     return !server.isDraining() && !isExcluded(query, server)
         && server.floor(query.now, m_options) <= query.request.rank;
@@ -249,20 +251,20 @@
 /// Whether the server fails much more than the others, and enough others stay in.
 bool Router::mayEject(TimePoint now, const Service &service, const Server &candidate) const
 {
-    std::size_t out = 1;
-    double errors = 0;
+    std::size_t ejected = 1;
+    double errorShares = 0;
     for (const auto &[daemon, server] : service.servers) {
-        out += server.isEjected(now) ? 1 : 0;
-        errors += &server == &candidate ? 0 : server.errorShare(now, m_options);
+        ejected += server.isEjected(now) ? 1 : 0;
+        errorShares += &server == &candidate ? 0 : server.errorShare(now, m_options);
     }
     const auto servers = static_cast<double>(service.servers.size());
-    if (static_cast<double>(out) > m_options.ejectedShare * servers) {
+    if (static_cast<double>(ejected) > m_options.maxEjectedShare * servers) {
         return false;
     }
     // When a service further down refuses, all servers here answer with errors: taking half of them
     // out would turn the overload of one service into that of two.
-    const double others = errors / (servers - 1);
-    return candidate.errorShare(now, m_options) > m_options.ejectedErrors * others;
+    const double others = errorShares / (servers - 1);
+    return candidate.errorShare(now, m_options) > m_options.ejectErrorRatio * others;
 }
 
 void Router::onLoad(TimePoint now, const ServiceName &service, const DaemonId &daemon,
--- a/src/coordination/routing/internal/router.h
+++ b/src/coordination/routing/internal/router.h
@@ -29,8 +29,8 @@
     {
         std::unordered_map<DaemonId, Server> servers;
         /// Point into `servers`.
-        std::vector<Server *> own;
-        std::vector<Server *> foreign;
+        std::vector<Server *> ownDomain;
+        std::vector<Server *> otherDomains;
         /// Mean latency of all answers, in µs.
         double latency = 0;
     };
@@ -52,15 +52,15 @@
 
     bool isExcluded(const Query &query, const Server &server) const;
     bool isUsable(const Query &query, const Server &server) const;
-    bool isReachableResort(const Query &query, const Server &server) const;
-    bool isLastResort(const Query &query, const Server &server) const;
-    const Server *next(const Query &query, const std::vector<Server *> &servers, Filter filter,
-                       const Server *other) const;
-    const Server *better(const Query &query, const std::vector<Server *> &servers, Filter filter,
-                         RouteChoice &choice) const;
+    bool isReachable(const Query &query, const Server &server) const;
+    bool isEligible(const Query &query, const Server &server) const;
+    const Server *nextServer(const Query &query, const std::vector<Server *> &servers,
+                             Filter filter, const Server *other) const;
+    const Server *pickBetter(const Query &query, const std::vector<Server *> &servers,
+                             Filter filter, RouteChoice &choice) const;
     /// The server of the request's fingerprint.
-    void pickForSuspect(const Query &query, Filter filter, RouteChoice &choice) const;
-    void pick(const Query &query, Filter filter, RouteChoice &choice) const;
+    void pickSuspectServer(const Query &query, Filter filter, RouteChoice &choice) const;
+    void pickServer(const Query &query, Filter filter, RouteChoice &choice) const;
     RouteChoice refusal(const Query &query) const;
 
     RouterOptions m_options;
--- a/src/coordination/routing/internal/server.cpp
+++ b/src/coordination/routing/internal/server.cpp
@@ -90,7 +90,7 @@
 
 bool Server::isBroken(const RouterOptions &options) const
 {
-    return m_strikes >= (isOnProbation() ? 1 : options.ejectAfter);
+    return m_strikes >= (isOnProbation() ? 1 : options.ejectErrorPoints);
 }
 
 void Server::onEnd(TimePoint now, RouteFeedback feedback, Duration latency,
@@ -136,8 +136,8 @@
         m_unreachableUntil = TimePoint();
         return;
     }
-    const Duration wanted = options.unreachable * (1U << std::min(m_failedReaches, 10U));
-    m_unreachableUntil = now + std::min(wanted, options.longestUnreachable);
+    const Duration wanted = options.unreachableTime * (1U << std::min(m_failedReaches, 10U));
+    m_unreachableUntil = now + std::min(wanted, options.maxUnreachableTime);
     ++m_failedReaches;
 }
 
@@ -152,20 +152,20 @@
 
 void Server::eject(TimePoint now, const RouterOptions &options)
 {
-    const Duration wanted = options.ejection * (1U << std::min(m_ejections, 10U));
-    m_ejectedUntil = now + std::min(wanted, options.longestEjection);
+    const Duration wanted = options.ejectionTime * (1U << std::min(m_ejections, 10U));
+    m_ejectedUntil = now + std::min(wanted, options.maxEjectionTime);
     ++m_ejections;
     m_strikes = 0;
 }
 
 double Server::reportWeight(TimePoint now, const RouterOptions &options) const
 {
-    return m_hasReport ? remainder(now - m_reportedAt, options.reportLife) : 0;
+    return m_hasReport ? remainder(now - m_reportedAt, options.reportLifetime) : 0;
 }
 
 double Server::freshness(TimePoint now, const RouterOptions &options) const
 {
-    return remainder(now - m_endedAt, options.memory);
+    return remainder(now - m_endedAt, options.observationLifetime);
 }
 
 double Server::capacity(TimePoint now, const RouterOptions &options) const
@@ -178,14 +178,14 @@
         return limit;
     }
     const double cold = remainder(now - m_coldSince, m_coldTime);
-    const double share = m_saysCold ? options.toldColdShare : options.coldShare;
+    const double share = m_saysCold ? options.reportedColdCapacityShare : options.coldCapacityShare;
     return std::max(1.0, limit * (1 - cold * (1 - share)));
 }
 
 double Server::utilization(TimePoint now, const RouterOptions &options) const
 {
     const double reported = m_report.inFlight + m_report.queued;
-    if (!options.trustsOwnView) {
+    if (!options.usesLocalObservations) {
         return reported / capacity(now, options);
     }
     // What others sent there is known from reports only; the own calls are known exactly.
@@ -194,12 +194,13 @@
     return std::min(calls / capacity(now, options), LARGEST_UTILIZATION);
 }
 
-double Server::latencyRatio(TimePoint now, double typical, const RouterOptions &options) const
+double Server::latencyRatio(TimePoint now, double serviceLatencyUs,
+                            const RouterOptions &options) const
 {
-    if (!options.trustsOwnView || m_latency <= 0 || typical <= 0) {
+    if (!options.usesLocalObservations || m_latency <= 0 || serviceLatencyUs <= 0) {
         return 1;
     }
-    const double ratio = 1 + (m_latency / typical - 1) * freshness(now, options);
+    const double ratio = 1 + (m_latency / serviceLatencyUs - 1) * freshness(now, options);
     return std::clamp(ratio, SMALLEST_LATENCY_RATIO, LARGEST_LATENCY_RATIO);
 }
 
@@ -208,18 +209,18 @@
     return options.hasErrorPenalty ? m_errorShare * freshness(now, options) : 0;
 }
 
-double Server::score(TimePoint now, double typical, const RouterOptions &options) const
+double Server::score(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const
 {
     const double load = utilization(now, options) + 1 / capacity(now, options);
-    return waitFactor(load) * latencyRatio(now, typical, options)
+    return waitFactor(load) * latencyRatio(now, serviceLatencyUs, options)
         * (1 + ERROR_PENALTY * errorShare(now, options));
 }
 
-bool Server::isSaturated(TimePoint now, double typical, const RouterOptions &options) const
+bool Server::isSaturated(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const
 {
-    return utilization(now, options) >= options.spillLevel
-        || latencyRatio(now, typical, options) > options.spillLatency
-        || errorShare(now, options) > options.spillErrors;
+    return utilization(now, options) >= options.spillUtilization
+        || latencyRatio(now, serviceLatencyUs, options) > options.spillLatency
+        || errorShare(now, options) > options.spillErrorShare;
 }
 
 Rank Server::floor(TimePoint now, const RouterOptions &options) const
--- a/src/coordination/routing/internal/server.h
+++ b/src/coordination/routing/internal/server.h
@@ -40,12 +40,12 @@
     /// Calls there, over what it can take; 1 is full.
     double utilization(TimePoint now, const RouterOptions &options) const;
     /// Latency over that of the whole service, `typical` in µs; 1 if unknown.
-    double latencyRatio(TimePoint now, double typical, const RouterOptions &options) const;
+    double latencyRatio(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const;
     /// Recent share of errors.
     double errorShare(TimePoint now, const RouterOptions &options) const;
     /// What a further call there costs, lower is better.
-    double score(TimePoint now, double typical, const RouterOptions &options) const;
-    bool isSaturated(TimePoint now, double typical, const RouterOptions &options) const;
+    double score(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const;
+    bool isSaturated(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const;
     /// The last reported floor, lowered with its age.
     Rank floor(TimePoint now, const RouterOptions &options) const;
 
--- a/src/coordination/routing/tests/routertest.cpp
+++ b/src/coordination/routing/tests/routertest.cpp
@@ -189,7 +189,7 @@
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
-        options.trustsOwnView = isOn;
+        options.usesLocalObservations = isOn;
         Entry entry(options);
         addFour(entry);
         entry.server("a").latency = 200ms;
@@ -246,7 +246,7 @@
     entry.server("a").end = RouteFeedback::UpstreamError;
     entry.run(10s, 1ms);
     entry.server("a").end = RouteFeedback::Answered;
-    entry.run(RouterOptions().longestEjection + 5s, 1ms);
+    entry.run(RouterOptions().maxEjectionTime + 5s, 1ms);
     entry.run(5s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
 }
@@ -300,7 +300,7 @@
         entry.announce();
         entry.run(1s, 1ms);
         CHECK_EQUAL(isOn, entry.shareOf("e") < 0.12);
-        entry.run(RouterOptions().slowStart, 1ms);
+        entry.run(RouterOptions().slowStartTime, 1ms);
         entry.run(5s, 1ms);
         CHECK(entry.shareOf("e") > 0.15);
     }
@@ -343,7 +343,7 @@
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
-        options.isOwnDomainFirst = isOn;
+        options.prefersOwnDomain = isOn;
         Entry entry(options);
         entry.server("near") = FakeServer();
         entry.server("far") = FakeServer();
@@ -400,7 +400,7 @@
     entry.router().onEnd(entry.now(), SERVICE, DaemonId("far"), RouteFeedback::Unreachable, 250ms);
     const Rank rank = lowestRankOf(Priority(50));
     CHECK(entry.choose(rank, { DaemonId("near") }).daemon.value().empty());
-    entry.pass(RouterOptions().unreachable);
+    entry.pass(RouterOptions().unreachableTime);
     CHECK(entry.choose(rank, { DaemonId("near") }).daemon == DaemonId("far"));
 }
 
@@ -485,7 +485,7 @@
     std::uint32_t busiest[2] = {};
     for (const bool isOn : { false, true }) {
         RouterOptions options = ownOptions();
-        options.hasTwoChoices = isOn;
+        options.usesTwoChoices = isOn;
         Entry entry(options);
         addFour(entry);
         for (int i = 0; i < 2000; ++i) {
