--- a/src/coordination/routing/internal/router.cpp
+++ b/src/coordination/routing/internal/router.cpp
@@ -55,8 +55,8 @@
         return;
     }
     // The servers found together with their service were there before this entry learned of them.
-    const Duration coldTime = isServiceNew ? Duration::zero() : m_options.slowStartTime;
-    servers.insert_or_assign(member.id, Server(now, member, upstream, coldTime));
+    const Duration warmupTime = isServiceNew ? Duration::zero() : m_options.slowStartTime;
+    servers.insert_or_assign(member.id, Server(now, member, upstream, warmupTime));
 }
 
 void Router::indexServers(Service &service) const
@@ -71,12 +71,12 @@
 
 Server *Router::find(const ServiceName &service, const DaemonId &daemon)
 {
-    const auto table = m_services.find(service);
-    if (table == m_services.end()) {
+    const auto found = m_services.find(service);
+    if (found == m_services.end()) {
         return nullptr;
     }
-    const auto server = table->second.servers.find(daemon);
-    return server == table->second.servers.end() ? nullptr : &server->second;
+    const auto server = found->second.servers.find(daemon);
+    return server == found->second.servers.end() ? nullptr : &server->second;
 }
 
 RouteChoice Router::choose(TimePoint now, const RouteRequest &request, IRandom &random)
@@ -123,7 +123,7 @@
         pickSuspectServer(query, filter, choice);
         return;
     }
-    const double serviceLatencyUs = query.service.latency;
+    const double serviceLatencyUs = query.service.latencyUs;
     const Server *ownServer = pickBetter(query, query.service.ownDomain, filter, choice);
     if (ownServer != nullptr && !ownServer->isSaturated(query.now, serviceLatencyUs, m_options)) {
         choice.daemon = ownServer->daemon();
@@ -147,7 +147,7 @@
 const Server *Router::pickBetter(const Query &query, const std::vector<Server *> &servers,
                                  Filter filter, RouteChoice &choice) const
 {
-    const double serviceLatencyUs = query.service.latency;
+    const double serviceLatencyUs = query.service.latencyUs;
     const Server *first = nextServer(query, servers, filter, nullptr);
     if (first == nullptr) {
         return nullptr;
@@ -190,12 +190,13 @@
 bool Router::isUsable(const Query &query, const Server &server) const
 {
     return isReachable(query, server) && !server.isEjected(query.now)
-        && server.hasRoomOnProbation();
+        && server.hasProbationCapacity();
 }
 
 bool Router::isReachable(const Query &query, const Server &server) const
 {
-    return isEligible(query, server) && !server.isUnreachable(query.now) && server.hasRoomToTry();
+    return isEligible(query, server) && !server.isUnreachable(query.now)
+        && server.hasProbeCapacity();
 }
 
 bool Router::isEligible(const Query &query, const Server &server) const
@@ -237,13 +238,14 @@
         return;
     }
     server->onEnd(now, feedback, latency, m_options);
-    Service &table = m_services.at(service);
+    Service &serviceState = m_services.at(service);
     if (feedback == RouteFeedback::Answered) {
-        const auto time = static_cast<double>(latency.count());
-        const double mean = table.latency;
-        table.latency = mean <= 0 ? time : mean + LATENCY_WEIGHT * (time - mean);
+        const auto timeUs = static_cast<double>(latency.count());
+        const double meanUs = serviceState.latencyUs;
+        serviceState.latencyUs = meanUs <= 0 ? timeUs : meanUs + LATENCY_WEIGHT * (timeUs - meanUs);
     }
-    if (m_options.hasErrorPenalty && server->isBroken(m_options) && mayEject(now, table, *server)) {
+    if (m_options.hasErrorPenalty && server->hasTooManyErrors(m_options)
+        && mayEject(now, serviceState, *server)) {
         server->eject(now, m_options);
     }
 }
--- a/src/coordination/routing/internal/router.h
+++ b/src/coordination/routing/internal/router.h
@@ -32,7 +32,7 @@
         std::vector<Server *> ownDomain;
         std::vector<Server *> otherDomains;
         /// Mean latency of all answers, in µs.
-        double latency = 0;
+        double latencyUs = 0;
     };
     /// What a choice is made for.
     struct Query
--- a/src/coordination/routing/internal/server.cpp
+++ b/src/coordination/routing/internal/server.cpp
@@ -22,24 +22,24 @@
 
 /// How much worse a server looks if all its calls fail.
 constexpr double ERROR_PENALTY = 20;
-constexpr double SMALLEST_LATENCY_RATIO = 0.5;
-constexpr double LARGEST_LATENCY_RATIO = 20;
+constexpr double MIN_LATENCY_RATIO = 0.5;
+constexpr double MAX_LATENCY_RATIO = 20;
 /// A report of more load than this multiple of the limit is not believed.
-constexpr double LARGEST_UTILIZATION = 4;
-constexpr std::uint32_t UNREACHABLE_STRIKES = 2;
+constexpr double MAX_UTILIZATION = 4;
+constexpr std::uint32_t UNREACHABLE_ERROR_POINTS = 2;
 
 /// Falls from 1 to 0 while `age` goes from 0 to `life`.
-double remainder(Duration age, Duration life)
+double linearDecay(Duration age, Duration lifetime)
 {
-    return std::clamp(1 - static_cast<double>(age.count()) / static_cast<double>(life.count()), 0.0,
-                      1.0);
+    return std::clamp(1 - static_cast<double>(age.count()) / static_cast<double>(lifetime.count()),
+                      0.0, 1.0);
 }
 
-std::uint32_t strikesOf(RouteFeedback feedback)
+std::uint32_t errorPointsOf(RouteFeedback feedback)
 {
     switch (feedback) {
     case RouteFeedback::Unreachable:
-        return UNREACHABLE_STRIKES;
+        return UNREACHABLE_ERROR_POINTS;
     case RouteFeedback::UpstreamError:
     case RouteFeedback::TimedOut:
         return 1;
@@ -50,18 +50,19 @@
 
 /// How bad an end is for the share of errors. A refusal is not the server's fault, but one that
 /// refuses while its reports show room must not stay attractive.
-double errorOf(RouteFeedback feedback)
+double errorValueOf(RouteFeedback feedback)
 {
-    return feedback == RouteFeedback::Refused ? 0.5 : (strikesOf(feedback) > 0 ? 1.0 : 0.0);
+    return feedback == RouteFeedback::Refused ? 0.5 : (errorPointsOf(feedback) > 0 ? 1.0 : 0.0);
 }
 
 } // namespace
 
-Server::Server(TimePoint now, const Member &member, const UpstreamInfo &upstream, Duration coldTime)
+Server::Server(TimePoint now, const Member &member, const UpstreamInfo &upstream,
+               Duration warmupTime)
     : m_daemon(member.id)
     , m_incarnation(member.incarnation)
-    , m_coldSince(now)
-    , m_coldTime(coldTime)
+    , m_warmupStart(now)
+    , m_warmupTime(warmupTime)
 {
     update(now, member, upstream);
 }
@@ -81,16 +82,16 @@
         m_counter = member.counter;
     }
     if (isNewer && upstream.coldLeft) {
-        m_coldSince = now;
-        m_coldTime = *upstream.coldLeft;
-        m_saysCold = true;
+        m_warmupStart = now;
+        m_warmupTime = *upstream.coldLeft;
+        m_reportsCold = true;
     }
     return isRestarted;
 }
 
-bool Server::isBroken(const RouterOptions &options) const
+bool Server::hasTooManyErrors(const RouterOptions &options) const
 {
-    return m_strikes >= (isOnProbation() ? 1 : options.ejectErrorPoints);
+    return m_errorPoints >= (isOnProbation() ? 1 : options.ejectErrorPoints);
 }
 
 void Server::onEnd(TimePoint now, RouteFeedback feedback, Duration latency,
@@ -102,7 +103,7 @@
     if (feedback == RouteFeedback::Cancelled) {
         return;
     }
-    noteReach(now, feedback, options);
+    updateReachability(now, feedback, options);
     if (feedback == RouteFeedback::Draining) {
         m_isDraining = true;
         return;
@@ -111,17 +112,18 @@
     // that works again would bring back all that was seen of it while it was sick.
     const double latencyWeight = std::max(LATENCY_WEIGHT, 1 - freshness(now, options));
     m_errorShare = errorShare(now, options);
-    m_errorShare += ERROR_WEIGHT * (errorOf(feedback) - m_errorShare);
-    m_strikes += strikesOf(feedback);
-    m_endedAt = now;
+    m_errorShare += ERROR_WEIGHT * (errorValueOf(feedback) - m_errorShare);
+    m_errorPoints += errorPointsOf(feedback);
+    m_lastEndAt = now;
     if (feedback == RouteFeedback::Answered) {
-        m_strikes = 0;
+        m_errorPoints = 0;
         m_ejections = 0;
     }
     // Errors and refusals may be fast: only work done, or given up, tells how slow the server is.
     if (feedback == RouteFeedback::Answered || feedback == RouteFeedback::TimedOut) {
-        const auto time = static_cast<double>(latency.count());
-        m_latency = m_latency <= 0 ? time : m_latency + latencyWeight * (time - m_latency);
+        const auto timeUs = static_cast<double>(latency.count());
+        m_latencyUs =
+            m_latencyUs <= 0 ? timeUs : m_latencyUs + latencyWeight * (timeUs - m_latencyUs);
     }
 }
 
@@ -129,16 +131,17 @@
 /// notices after seconds; until then each call that spills there would lose the time of a connect.
 /// What this entry cannot reach is no server for it, however many of the service that are:
 /// ejection, which keeps half of them in, does not help there.
-void Server::noteReach(TimePoint now, RouteFeedback feedback, const RouterOptions &options)
+void Server::updateReachability(TimePoint now, RouteFeedback feedback, const RouterOptions &options)
 {
     if (feedback != RouteFeedback::Unreachable) {
-        m_failedReaches = 0;
+        m_consecutiveUnreachable = 0;
         m_unreachableUntil = TimePoint();
         return;
     }
-    const Duration wanted = options.unreachableTime * (1U << std::min(m_failedReaches, 10U));
+    const Duration wanted =
+        options.unreachableTime * (1U << std::min(m_consecutiveUnreachable, 10U));
     m_unreachableUntil = now + std::min(wanted, options.maxUnreachableTime);
-    ++m_failedReaches;
+    ++m_consecutiveUnreachable;
 }
 
 void Server::onLoad(TimePoint now, const LoadReport &load)
@@ -155,17 +158,17 @@
     const Duration wanted = options.ejectionTime * (1U << std::min(m_ejections, 10U));
     m_ejectedUntil = now + std::min(wanted, options.maxEjectionTime);
     ++m_ejections;
-    m_strikes = 0;
+    m_errorPoints = 0;
 }
 
 double Server::reportWeight(TimePoint now, const RouterOptions &options) const
 {
-    return m_hasReport ? remainder(now - m_reportedAt, options.reportLifetime) : 0;
+    return m_hasReport ? linearDecay(now - m_reportedAt, options.reportLifetime) : 0;
 }
 
 double Server::freshness(TimePoint now, const RouterOptions &options) const
 {
-    return remainder(now - m_endedAt, options.observationLifetime);
+    return linearDecay(now - m_lastEndAt, options.observationLifetime);
 }
 
 double Server::capacity(TimePoint now, const RouterOptions &options) const
@@ -174,11 +177,12 @@
     if (m_hasReport && m_report.limit > 0) {
         limit = std::min<double>(m_slots, m_report.limit);
     }
-    if (!options.hasSlowStart || m_coldTime <= Duration::zero()) {
+    if (!options.hasSlowStart || m_warmupTime <= Duration::zero()) {
         return limit;
     }
-    const double cold = remainder(now - m_coldSince, m_coldTime);
-    const double share = m_saysCold ? options.reportedColdCapacityShare : options.coldCapacityShare;
+    const double cold = linearDecay(now - m_warmupStart, m_warmupTime);
+    const double share =
+        m_reportsCold ? options.reportedColdCapacityShare : options.coldCapacityShare;
     return std::max(1.0, limit * (1 - cold * (1 - share)));
 }
 
@@ -191,17 +195,17 @@
     // What others sent there is known from reports only; the own calls are known exactly.
     const double others = std::max(0.0, reported - m_outstandingAtReport);
     const double calls = m_outstanding + reportWeight(now, options) * others;
-    return std::min(calls / capacity(now, options), LARGEST_UTILIZATION);
+    return std::min(calls / capacity(now, options), MAX_UTILIZATION);
 }
 
 double Server::latencyRatio(TimePoint now, double serviceLatencyUs,
                             const RouterOptions &options) const
 {
-    if (!options.usesLocalObservations || m_latency <= 0 || serviceLatencyUs <= 0) {
+    if (!options.usesLocalObservations || m_latencyUs <= 0 || serviceLatencyUs <= 0) {
         return 1;
     }
-    const double ratio = 1 + (m_latency / serviceLatencyUs - 1) * freshness(now, options);
-    return std::clamp(ratio, SMALLEST_LATENCY_RATIO, LARGEST_LATENCY_RATIO);
+    const double ratio = 1 + (m_latencyUs / serviceLatencyUs - 1) * freshness(now, options);
+    return std::clamp(ratio, MIN_LATENCY_RATIO, MAX_LATENCY_RATIO);
 }
 
 double Server::errorShare(TimePoint now, const RouterOptions &options) const
@@ -229,7 +233,7 @@
         return Rank();
     }
     const Duration old = std::max(Duration(0), now - m_reportedAt - options.floorHold);
-    const double level = m_report.floor.value() * remainder(old, options.floorDecay);
+    const double level = m_report.floor.value() * linearDecay(old, options.floorDecay);
     return Rank(static_cast<std::uint32_t>(level));
 }
 
--- a/src/coordination/routing/internal/server.h
+++ b/src/coordination/routing/internal/server.h
@@ -11,8 +11,8 @@
 class Server
 {
 public:
-    /// `coldTime` holds if the server does not say for how long it is cold.
-    Server(TimePoint now, const Member &member, const UpstreamInfo &upstream, Duration coldTime);
+    /// `warmupTime` holds if the server does not say for how long it is cold.
+    Server(TimePoint now, const Member &member, const UpstreamInfo &upstream, Duration warmupTime);
 
     /// A newer record of the same server. True if the daemon restarted.
     bool update(TimePoint now, const Member &member, const UpstreamInfo &upstream);
@@ -24,12 +24,12 @@
     bool isEjected(TimePoint now) const { return now < m_ejectedUntil; }
     /// Was ejected and has not answered since.
     bool isOnProbation() const { return m_ejections > 0; }
-    bool hasRoomOnProbation() const { return !isOnProbation() || m_outstanding == 0; }
+    bool hasProbationCapacity() const { return !isOnProbation() || m_outstanding == 0; }
     /// A link to it could not be opened, or was lost, a moment ago.
     bool isUnreachable(TimePoint now) const { return now < m_unreachableUntil; }
     /// Where it could not be reached before, one call at a time finds out whether it can be again.
-    bool hasRoomToTry() const { return m_failedReaches == 0 || m_outstanding == 0; }
-    bool isBroken(const RouterOptions &options) const;
+    bool hasProbeCapacity() const { return m_consecutiveUnreachable == 0 || m_outstanding == 0; }
+    bool hasTooManyErrors(const RouterOptions &options) const;
 
     void onSent() { ++m_outstanding; }
     void onEnd(TimePoint now, RouteFeedback feedback, Duration latency,
@@ -50,7 +50,7 @@
     Rank floor(TimePoint now, const RouterOptions &options) const;
 
 private:
-    void noteReach(TimePoint now, RouteFeedback feedback, const RouterOptions &options);
+    void updateReachability(TimePoint now, RouteFeedback feedback, const RouterOptions &options);
     double capacity(TimePoint now, const RouterOptions &options) const;
     double reportWeight(TimePoint now, const RouterOptions &options) const;
     double freshness(TimePoint now, const RouterOptions &options) const;
@@ -65,9 +65,9 @@
     /// As its answers say.
     bool m_isDraining = false;
     /// It is cold from then on for that time; and whether it said so itself.
-    TimePoint m_coldSince;
-    Duration m_coldTime;
-    bool m_saysCold = false;
+    TimePoint m_warmupStart;
+    Duration m_warmupTime;
+    bool m_reportsCold = false;
 
     std::uint32_t m_outstanding = 0;
     bool m_hasReport = false;
@@ -77,14 +77,14 @@
     std::uint32_t m_outstandingAtReport = 0;
 
     /// Mean latency of answers, in µs; 0 while unknown.
-    double m_latency = 0;
+    double m_latencyUs = 0;
     double m_errorShare = 0;
-    TimePoint m_endedAt;
-    std::uint32_t m_strikes = 0;
+    TimePoint m_lastEndAt;
+    std::uint32_t m_errorPoints = 0;
     std::uint32_t m_ejections = 0;
     TimePoint m_ejectedUntil;
     /// Calls in a row for which it could not be reached.
-    std::uint32_t m_failedReaches = 0;
+    std::uint32_t m_consecutiveUnreachable = 0;
     TimePoint m_unreachableUntil;
 };
 
