--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -34,14 +34,14 @@
 /// One request from its arrival to the end of its last attempt, which may come after its answer.
 struct EntryService::Run : boost::intrusive_ref_counter<Run, boost::thread_unsafe_counter>
 {
-    Run(EntryService &service, Incoming terms, EntryCallTerms callTerms)
+    Run(EntryService &service, Incoming terms, EntryCallOptions callTerms)
         : incoming(std::move(terms))
         , call(service.m_policies, incoming.ledger->ledger, watch(service, std::move(callTerms)))
         , done(service.m_loop)
     {
     }
 
-    EntryCallTerms watch(const EntryService &service, EntryCallTerms terms)
+    EntryCallOptions watch(const EntryService &service, EntryCallOptions terms)
     {
         terms.standing = [this, &service] { return service.standingOf(incoming); };
         terms.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
@@ -418,7 +418,7 @@
 
 HttpResponse EntryService::runRequest(IHttpExchange &exchange, Incoming incoming)
 {
-    EntryCallTerms terms;
+    EntryCallOptions terms;
     terms.rule = incoming.rule;
     terms.rank = rankOf(incoming);
     terms.deadline = incoming.deadline;
@@ -451,15 +451,15 @@
 void EntryService::perform(const RunPtr &run, const EntryActions &actions)
 {
     for (const EntryAction &action : actions) {
-        switch (action.verb) {
-        case EntryVerb::Send:
+        switch (action.type) {
+        case EntryActionType::Send:
             sendAttempt(run, action);
             break;
-        case EntryVerb::Cancel:
+        case EntryActionType::Cancel:
             m_recorder.recordCancel(factsOf(run->incoming), action);
             m_sender.cancel(run->streams.at(action.attempt.value()));
             break;
-        case EntryVerb::Finish:
+        case EntryActionType::Finish:
             run->done.set(action.verdict);
             break;
         }
@@ -498,7 +498,7 @@
 
 void EntryService::onAnswer(const RunPtr &run, AttemptIndex attempt, AttemptAnswer answer)
 {
-    AttemptEnd end;
+    AttemptResult end;
     end.verdict = answer.message.verdict;
     end.unspent = answer.message.unspent;
     end.load = answer.message.load;
--- a/src/coordination/calls/ientrycall.h
+++ b/src/coordination/calls/ientrycall.h
@@ -14,7 +14,7 @@
 /// Numbers the attempts that one entry makes of one call, from 0.
 using AttemptIndex = StrongType<std::uint32_t, struct AttemptIndexTag>;
 
-enum class EntryVerb {
+enum class EntryActionType {
     Send, ///< Send the attempt to `target`, handing over `granted`.
     Cancel, ///< Tell the target of the attempt that its answer is not wanted any more.
     Finish, ///< Answer the caller. With `Answered`, the answer of `attempt` is the one.
@@ -22,7 +22,7 @@
 
 struct EntryAction
 {
-    EntryVerb verb = EntryVerb::Send;
+    EntryActionType type = EntryActionType::Send;
     AttemptIndex attempt;
     DaemonId target;
     AttemptCount granted;
@@ -36,7 +36,7 @@
 using EntryActions = std::vector<EntryAction>;
 
 /// What an attempt's answer says, without its body.
-struct AttemptEnd
+struct AttemptResult
 {
     Verdict verdict;
     AttemptCount unspent;
@@ -60,7 +60,8 @@
 
     /// Does nothing if the caller has gone already.
     virtual EntryActions start(TimePoint now) = 0;
-    virtual EntryActions onEnd(TimePoint now, AttemptIndex attempt, const AttemptEnd &end) = 0;
+    virtual EntryActions onEnd(TimePoint now, AttemptIndex attempt,
+                               const AttemptResult &result) = 0;
     /// Deadline or hedge time; to be called at `nextTimer` or later.
     virtual EntryActions onTimer(TimePoint now) = 0;
     virtual EntryActions onCallerGone(TimePoint now) = 0;
--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -11,9 +11,9 @@
 
 /// After a crash: by then other daemons have told which of the requests under way there have
 /// completed elsewhere, and so have not caused it.
-constexpr Duration CRASH_PAUSE = std::chrono::milliseconds(100);
+constexpr Duration CRASH_RETRY_DELAY = std::chrono::milliseconds(100);
 /// Servers that a call may have crashed before it is repeated no more.
-constexpr std::size_t MOST_CRASHES = 1;
+constexpr std::size_t MAX_CRASHES = 1;
 
 bool hasCrashedServer(const Verdict &verdict)
 {
@@ -33,23 +33,24 @@
     }
 }
 
-RouteFeedback feedbackOf(const AttemptEnd &end)
+RouteFeedback feedbackOf(const AttemptResult &result)
 {
-    switch (end.verdict.outcome) {
+    switch (result.verdict.outcome) {
     case Outcome::Answered:
-        return isServerError(end.status) ? RouteFeedback::UpstreamError : RouteFeedback::Answered;
+        return isServerError(result.status) ? RouteFeedback::UpstreamError
+                                            : RouteFeedback::Answered;
     case Outcome::NotRun:
         break;
     case Outcome::Unknown:
-        return feedbackOfLoss(end.verdict.reason);
+        return feedbackOfLoss(result.verdict.reason);
     }
-    switch (end.verdict.reason) {
+    switch (result.verdict.reason) {
     case Reason::Draining:
     case Reason::ShuttingDown:
     case Reason::NoServer:
         return RouteFeedback::Draining;
     case Reason::ConnectFailed:
-        return end.hasLoad ? RouteFeedback::UpstreamError : RouteFeedback::Unreachable;
+        return result.hasLoad ? RouteFeedback::UpstreamError : RouteFeedback::Unreachable;
     case Reason::Cancelled:
     case Reason::Suspected:
     case Reason::Quarantined:
@@ -61,10 +62,10 @@
 
 } // namespace
 
-EntryCall::EntryCall(EntryPolicies policies, IAttemptBudget &budget, EntryCallTerms terms)
+EntryCall::EntryCall(EntryPolicies policies, IAttemptBudget &budget, EntryCallOptions options)
     : m_policies(policies)
     , m_budget(budget)
-    , m_terms(std::move(terms))
+    , m_options(std::move(options))
 {
 }
 
@@ -73,11 +74,11 @@
     if (m_isFinished) {
         return {};
     }
-    const ServiceName &service = m_terms.rule.service;
-    if (now >= m_terms.deadline) {
+    const ServiceName &service = m_options.rule.service;
+    if (now >= m_options.deadline) {
         return refuse(now, Reason::DeadlineExceeded, Duration::zero());
     }
-    if (m_terms.rank < m_policies.router.floor(now, service)) {
+    if (m_options.rank < m_policies.router.floor(now, service)) {
         return refuse(now, Reason::BelowFloor,
                       m_policies.retries.retryAfter(now, service, m_policies.random));
     }
@@ -86,56 +87,57 @@
     if (!action) {
         return refuse(now, failure.reason, failure.retryAfter);
     }
-    armHedge(now);
+    scheduleHedge(now);
     return { *action };
 }
 
-EntryActions EntryCall::onEnd(TimePoint now, AttemptIndex index, const AttemptEnd &end)
+EntryActions EntryCall::onEnd(TimePoint now, AttemptIndex index, const AttemptResult &result)
 {
     Attempt &attempt = m_attempts.at(index.value());
     if (!attempt.isOpen) {
         return {};
     }
-    settle(now, attempt, end);
-    m_upstreamAttempts += end.hasReachedUpstream ? 1 : 0;
+    recordEnd(now, attempt, result);
+    m_upstreamAttempts += result.hasReachedUpstream ? 1 : 0;
     if (m_isFinished) {
         return {};
     }
-    if (end.verdict.outcome == Outcome::Answered) {
-        if (isServerError(end.status) && mayRetry(now, end, true)) {
+    if (result.verdict.outcome == Outcome::Answered) {
+        if (isServerError(result.status) && mayRetry(now, result, true)) {
             Verdict failure;
             if (auto action = sendNext(now, failure)) {
                 return { *action };
             }
         }
         // The other attempt may still bring the whole answer.
-        if (isServerError(end.status) && hasOpenAttempt()) {
+        if (isServerError(result.status) && hasOpenAttempt()) {
             m_mayHaveRun = true;
             return {};
         }
-        if (!attempt.isHedge && index.value() == 0 && !isServerError(end.status)) {
+        if (!attempt.isHedge && index.value() == 0 && !isServerError(result.status)) {
             m_policies.retries.onSuccess(
-                now, m_terms.rule.service,
+                now, m_options.rule.service,
                 std::chrono::duration_cast<Duration>(now - attempt.sentAt));
         }
-        return finish(now, index, end.verdict);
+        return finish(now, index, result.verdict);
     }
-    if (end.verdict.outcome == Outcome::Unknown) {
+    if (result.verdict.outcome == Outcome::Unknown) {
         m_mayHaveRun = true;
     }
-    return followUp(now, index, end);
+    return handleFailure(now, index, result);
 }
 
-EntryActions EntryCall::followUp(TimePoint now, AttemptIndex index, const AttemptEnd &end)
+EntryActions EntryCall::handleFailure(TimePoint now, AttemptIndex index,
+                                      const AttemptResult &result)
 {
-    if (!end.holder.value().empty() && !m_isRedirected) {
-        return redirectTo(now, end.holder);
+    if (!result.holder.value().empty() && !m_isRedirected) {
+        return redirectTo(now, result.holder);
     }
-    const bool isCrash = hasCrashedServer(end.verdict);
-    if (isCrash && postpone(now, index, end)) {
+    const bool isCrash = hasCrashedServer(result.verdict);
+    if (isCrash && postponeRetry(now, index, result)) {
         return {};
     }
-    if (!isCrash && mayRetry(now, end, false)) {
+    if (!isCrash && mayRetry(now, result, false)) {
         Verdict failure;
         if (auto action = sendNext(now, failure)) {
             return { *action };
@@ -144,46 +146,46 @@
     if (hasOpenAttempt()) {
         return {};
     }
-    return finish(now, index, end.verdict);
+    return finish(now, index, result.verdict);
 }
 
 /// Sent on to the next server at once, a request that crashes servers would take one after the
 /// other within a second. All others that were under way there lose a moment.
-bool EntryCall::postpone(TimePoint now, AttemptIndex index, const AttemptEnd &end)
+bool EntryCall::postponeRetry(TimePoint now, AttemptIndex index, const AttemptResult &result)
 {
     const bool mayRepeat =
-        !m_terms.isSingleAttempt && m_terms.rule.repetition == Repetition::Idempotent;
-    if (!mayRepeat || hasOpenAttempt() || now + CRASH_PAUSE >= m_terms.deadline) {
+        !m_options.isSingleAttempt && m_options.rule.repetition == Repetition::Idempotent;
+    if (!mayRepeat || hasOpenAttempt() || now + CRASH_RETRY_DELAY >= m_options.deadline) {
         return false;
     }
-    m_postponed = Postponed{ now + CRASH_PAUSE, index, end };
+    m_postponed = Postponed{ now + CRASH_RETRY_DELAY, index, result };
     return true;
 }
 
-EntryActions EntryCall::resume(TimePoint now)
+EntryActions EntryCall::resumeRetry(TimePoint now)
 {
     const Postponed postponed = *m_postponed;
     m_postponed.reset();
     const Standing current = standing();
     const bool isCleared = current.suspicion == Suspicion::None;
-    if ((isCleared || current.crashes <= MOST_CRASHES) && mayRetry(now, postponed.end, false)) {
+    if ((isCleared || current.crashes <= MAX_CRASHES) && mayRetry(now, postponed.result, false)) {
         Verdict failure;
         if (auto action = sendNext(now, failure)) {
             return { *action };
         }
     }
-    return finish(now, postponed.attempt, postponed.end.verdict);
+    return finish(now, postponed.attempt, postponed.result.verdict);
 }
 
 Standing EntryCall::standing() const
 {
-    return m_terms.standing ? m_terms.standing() : Standing();
+    return m_options.standing ? m_options.standing() : Standing();
 }
 
 EntryActions EntryCall::redirectTo(TimePoint now, const DaemonId &holder)
 {
     m_isRedirected = true;
-    if (auto action = launch(now, holder, "key-holder")) {
+    if (auto action = sendTo(now, holder, "key-holder")) {
         return { *action };
     }
     return finish(now, AttemptIndex(0),
@@ -195,14 +197,14 @@
     if (m_isFinished) {
         return {};
     }
-    if (now >= m_terms.deadline) {
+    if (now >= m_options.deadline) {
         // What is open may have started; without the gate's word nothing else can be said.
         const Outcome outcome =
             hasOpenAttempt() || m_mayHaveRun ? Outcome::Unknown : Outcome::NotRun;
         return finish(now, AttemptIndex(0), Verdict{ outcome, Reason::Timeout, Duration::zero() });
     }
     if (m_postponed && now >= m_postponed->until) {
-        return resume(now);
+        return resumeRetry(now);
     }
     if (!m_hedgeAt || now < *m_hedgeAt) {
         return {};
@@ -211,7 +213,7 @@
     if (m_postponed || standing().suspicion != Suspicion::None) {
         return {};
     }
-    if (!mayReachAnother() || !m_policies.retries.tryTakeHedgeToken(now, m_terms.rule.service)) {
+    if (!mayReachAnother() || !m_policies.retries.tryTakeHedgeToken(now, m_options.rule.service)) {
         return {};
     }
     Verdict failure;
@@ -238,7 +240,7 @@
     if (m_isFinished) {
         return TimePoint::max();
     }
-    TimePoint next = m_terms.deadline;
+    TimePoint next = m_options.deadline;
     if (m_hedgeAt) {
         next = std::min(next, *m_hedgeAt);
     }
@@ -264,7 +266,7 @@
     for (std::uint32_t i = 0; i < m_attempts.size(); ++i) {
         if (m_attempts[i].isOpen) {
             actions.push_back(EntryAction{
-                EntryVerb::Cancel, AttemptIndex(i), m_attempts[i].target, {}, {}, "" });
+                EntryActionType::Cancel, AttemptIndex(i), m_attempts[i].target, {}, {}, "" });
         }
     }
     // A refusal of the last attempt does not undo that an earlier one may have run: without this
@@ -276,29 +278,29 @@
         && verdict.reason != Reason::BudgetSpent && verdict.reason != Reason::Quarantined;
     if (canComeBack && verdict.retryAfter == Duration::zero()) {
         verdict.retryAfter =
-            m_policies.retries.retryAfter(now, m_terms.rule.service, m_policies.random);
+            m_policies.retries.retryAfter(now, m_options.rule.service, m_policies.random);
     }
-    EntryAction end;
-    end.verb = EntryVerb::Finish;
-    end.attempt = index;
-    end.verdict = verdict;
-    actions.push_back(end);
+    EntryAction action;
+    action.type = EntryActionType::Finish;
+    action.attempt = index;
+    action.verdict = verdict;
+    actions.push_back(action);
     return actions;
 }
 
 std::optional<EntryAction> EntryCall::sendNext(TimePoint now, Verdict &failure)
 {
     // Checked before a server is chosen: a choice counts there as an attempt to come.
-    if (m_budget.left().value() < 1 + neededBelow().value()) {
+    if (m_budget.left().value() < 1 + neededForInnerCalls().value()) {
         failure.reason = Reason::BudgetSpent;
         return std::nullopt;
     }
-    if (!m_terms.pinned.value().empty()) {
+    if (!m_options.pinned.value().empty()) {
         if (!m_tried.empty()) {
             failure.reason = Reason::NoServer;
             return std::nullopt;
         }
-        return launch(now, m_terms.pinned, "ticket");
+        return sendTo(now, m_options.pinned, "ticket");
     }
     const Standing current = standing();
     if (current.suspicion == Suspicion::Quarantined || current.suspicion == Suspicion::Held) {
@@ -307,9 +309,9 @@
         failure.retryAfter = current.retryAfter;
         return std::nullopt;
     }
-    RouteRequest request{ m_terms.rule.service, m_terms.rank, m_tried };
-    if (current.suspicion == Suspicion::Suspect && m_terms.fingerprint) {
-        request.fingerprint = m_terms.fingerprint();
+    RouteRequest request{ m_options.rule.service, m_options.rank, m_tried };
+    if (current.suspicion == Suspicion::Suspect && m_options.fingerprint) {
+        request.fingerprint = m_options.fingerprint();
     }
     const RouteChoice choice = m_policies.router.choose(now, request, m_policies.random);
     if (choice.daemon.value().empty()) {
@@ -317,32 +319,32 @@
         failure.retryAfter = choice.retryAfter;
         return std::nullopt;
     }
-    auto action = launch(now, choice.daemon, choice.why);
+    auto action = sendTo(now, choice.daemon, choice.why);
     if (action) {
         action->candidates = choice.candidates;
     }
     return action;
 }
 
-AttemptCount EntryCall::neededBelow() const
+AttemptCount EntryCall::neededForInnerCalls() const
 {
-    const std::uint32_t calls = m_terms.rule.calls;
-    return AttemptCount(m_terms.isSingleAttempt || calls == 0 ? 0 : calls - 1);
+    const std::uint32_t calls = m_options.rule.calls;
+    return AttemptCount(m_options.isSingleAttempt || calls == 0 ? 0 : calls - 1);
 }
 
-std::optional<EntryAction> EntryCall::launch(TimePoint now, const DaemonId &target, const char *why)
+std::optional<EntryAction> EntryCall::sendTo(TimePoint now, const DaemonId &target, const char *why)
 {
-    const std::uint32_t below = m_terms.rule.attempts.value();
-    const AttemptCount wanted(m_terms.isSingleAttempt || below == 0 ? 0 : below - 1);
+    const std::uint32_t below = m_options.rule.attempts.value();
+    const AttemptCount wanted(m_options.isSingleAttempt || below == 0 ? 0 : below - 1);
     AttemptCount granted;
-    if (!m_budget.spend(neededBelow(), wanted, granted)) {
+    if (!m_budget.spend(neededForInnerCalls(), wanted, granted)) {
         return std::nullopt;
     }
     m_tried.push_back(target);
     m_attempts.push_back(Attempt{ target, granted, now, true, false });
-    m_policies.router.onSent(now, m_terms.rule.service, target);
+    m_policies.router.onSent(now, m_options.rule.service, target);
     EntryAction action;
-    action.verb = EntryVerb::Send;
+    action.type = EntryActionType::Send;
     action.attempt = AttemptIndex(static_cast<std::uint32_t>(m_attempts.size() - 1));
     action.target = target;
     action.granted = granted;
@@ -350,47 +352,47 @@
     return action;
 }
 
-bool EntryCall::mayRetry(TimePoint now, const AttemptEnd &end, bool isUpstreamError)
+bool EntryCall::mayRetry(TimePoint now, const AttemptResult &result, bool isUpstreamError)
 {
-    if (m_terms.isSingleAttempt || now >= m_terms.deadline) {
+    if (m_options.isSingleAttempt || now >= m_options.deadline) {
         return false;
     }
     if (!mayReachAnother()) {
         return false;
     }
     RetryQuery query;
-    query.service = m_terms.rule.service;
-    query.priority = m_terms.rule.priority;
-    query.verdict = end.verdict;
-    query.hasReachedUpstream = end.hasReachedUpstream;
-    query.repetition = m_terms.rule.repetition;
+    query.service = m_options.rule.service;
+    query.priority = m_options.rule.priority;
+    query.verdict = result.verdict;
+    query.hasReachedUpstream = result.hasReachedUpstream;
+    query.repetition = m_options.rule.repetition;
     query.attempts = attempts();
     query.upstreamAttempts = m_upstreamAttempts;
     query.isUpstreamError = isUpstreamError;
-    query.remaining = std::chrono::duration_cast<Duration>(m_terms.deadline - now);
+    query.remaining = std::chrono::duration_cast<Duration>(m_options.deadline - now);
     return m_policies.retries.shouldRetry(now, query);
 }
 
-void EntryCall::settle(TimePoint now, Attempt &attempt, const AttemptEnd &end)
+void EntryCall::recordEnd(TimePoint now, Attempt &attempt, const AttemptResult &result)
 {
     attempt.isOpen = false;
-    m_budget.returnUnspent(attempt.granted, end.unspent);
-    const ServiceName &service = m_terms.rule.service;
+    m_budget.returnUnspent(attempt.granted, result.unspent);
+    const ServiceName &service = m_options.rule.service;
     const auto latency = std::chrono::duration_cast<Duration>(now - attempt.sentAt);
-    const bool isOwnCancel = m_isFinished && end.verdict.outcome != Outcome::Answered;
+    const bool isOwnCancel = m_isFinished && result.verdict.outcome != Outcome::Answered;
     m_policies.router.onEnd(now, service, attempt.target,
-                            isOwnCancel ? RouteFeedback::Cancelled : feedbackOf(end), latency);
-    if (end.hasLoad) {
-        m_policies.router.onLoad(now, service, attempt.target, end.load);
+                            isOwnCancel ? RouteFeedback::Cancelled : feedbackOf(result), latency);
+    if (result.hasLoad) {
+        m_policies.router.onLoad(now, service, attempt.target, result.load);
     }
 }
 
-void EntryCall::armHedge(TimePoint now)
+void EntryCall::scheduleHedge(TimePoint now)
 {
-    if (m_terms.isSingleAttempt || m_terms.rule.repetition != Repetition::Idempotent) {
+    if (m_options.isSingleAttempt || m_options.rule.repetition != Repetition::Idempotent) {
         return;
     }
-    const Duration delay = m_policies.retries.hedgeDelay(now, m_terms.rule);
+    const Duration delay = m_policies.retries.hedgeDelay(now, m_options.rule);
     if (delay > Duration::zero()) {
         m_hedgeAt = now + delay;
     }
@@ -401,8 +403,8 @@
 {
     const auto open = std::count_if(m_attempts.begin(), m_attempts.end(),
                                     [](const Attempt &attempt) { return attempt.isOpen; });
-    return m_terms.rule.servers == 0
-        || m_upstreamAttempts + static_cast<std::uint32_t>(open) < m_terms.rule.servers;
+    return m_options.rule.servers == 0
+        || m_upstreamAttempts + static_cast<std::uint32_t>(open) < m_options.rule.servers;
 }
 
 bool EntryCall::hasOpenAttempt() const
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -21,7 +21,7 @@
     IRandom &random;
 };
 
-struct EntryCallTerms
+struct EntryCallOptions
 {
     RuleSpec rule;
     Rank rank;
@@ -40,10 +40,10 @@
 class EntryCall : public IEntryCall
 {
 public:
-    EntryCall(EntryPolicies policies, IAttemptBudget &budget, EntryCallTerms terms);
+    EntryCall(EntryPolicies policies, IAttemptBudget &budget, EntryCallOptions options);
 
     EntryActions start(TimePoint now) override;
-    EntryActions onEnd(TimePoint now, AttemptIndex attempt, const AttemptEnd &end) override;
+    EntryActions onEnd(TimePoint now, AttemptIndex attempt, const AttemptResult &result) override;
     EntryActions onTimer(TimePoint now) override;
     EntryActions onCallerGone(TimePoint now) override;
     TimePoint nextTimer() const override;
@@ -64,26 +64,26 @@
     EntryActions finish(TimePoint now, AttemptIndex attempt, Verdict verdict);
     /// Sends one more attempt, or says in `failure` why it cannot.
     std::optional<EntryAction> sendNext(TimePoint now, Verdict &failure);
-    EntryActions followUp(TimePoint now, AttemptIndex attempt, const AttemptEnd &end);
+    EntryActions handleFailure(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
     EntryActions redirectTo(TimePoint now, const DaemonId &holder);
     /// The server crashed: whether the call is to be repeated is seen a moment later.
-    bool postpone(TimePoint now, AttemptIndex attempt, const AttemptEnd &end);
-    EntryActions resume(TimePoint now);
+    bool postponeRetry(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
+    EntryActions resumeRetry(TimePoint now);
     Standing standing() const;
-    std::optional<EntryAction> launch(TimePoint now, const DaemonId &target, const char *why);
+    std::optional<EntryAction> sendTo(TimePoint now, const DaemonId &target, const char *why);
     /// `isFromBelow`: the upstream answered with an error of its own or of a call that it made.
-    bool mayRetry(TimePoint now, const AttemptEnd &end, bool isUpstreamError);
+    bool mayRetry(TimePoint now, const AttemptResult &result, bool isUpstreamError);
     /// Attempts that the calls below this one need at the least.
-    AttemptCount neededBelow() const;
-    void settle(TimePoint now, Attempt &attempt, const AttemptEnd &end);
-    void armHedge(TimePoint now);
+    AttemptCount neededForInnerCalls() const;
+    void recordEnd(TimePoint now, Attempt &attempt, const AttemptResult &result);
+    void scheduleHedge(TimePoint now);
     /// Whether the rule lets one more server be reached.
     bool mayReachAnother() const;
     bool hasOpenAttempt() const;
 
     EntryPolicies m_policies;
     IAttemptBudget &m_budget;
-    EntryCallTerms m_terms;
+    EntryCallOptions m_options;
     std::vector<Attempt> m_attempts;
     std::vector<DaemonId> m_tried;
     std::optional<TimePoint> m_hedgeAt;
@@ -92,7 +92,7 @@
     {
         TimePoint until;
         AttemptIndex attempt;
-        AttemptEnd end;
+        AttemptResult result;
     };
     std::optional<Postponed> m_postponed;
     /// An attempt may have run without our knowing how it ended.
--- a/src/coordination/calls/tests/entrycalltest.cpp
+++ b/src/coordination/calls/tests/entrycalltest.cpp
@@ -17,19 +17,19 @@
 const DaemonId FIRST("first");
 const DaemonId SECOND("second");
 
-AttemptEnd endWith(Outcome outcome, Reason reason, std::uint32_t unspent)
+AttemptResult makeResult(Outcome outcome, Reason reason, std::uint32_t unspent)
 {
-    AttemptEnd end;
-    end.verdict = Verdict{ outcome, reason, Duration::zero() };
-    end.unspent = AttemptCount(unspent);
-    end.status = outcome == Outcome::Answered ? 200 : 0;
-    return end;
+    AttemptResult result;
+    result.verdict = Verdict{ outcome, reason, Duration::zero() };
+    result.unspent = AttemptCount(unspent);
+    result.status = outcome == Outcome::Answered ? 200 : 0;
+    return result;
 }
 
-const EntryAction *findAction(const EntryActions &actions, EntryVerb verb)
+const EntryAction *findAction(const EntryActions &actions, EntryActionType type)
 {
     for (const EntryAction &action : actions) {
-        if (action.verb == verb) {
+        if (action.type == type) {
             return &action;
         }
     }
@@ -44,22 +44,22 @@
     FakeRetryPolicy retries;
     SeededRandom random{ 1 };
     AttemptBudget budget{ AttemptCount(9) };
-    EntryCallTerms terms;
+    EntryCallOptions options;
     TimePoint now{ milliseconds(1000) };
 
     void setup() override
     {
         router.daemons = { FIRST, SECOND };
-        terms.rule.service = ServiceName("cassa");
-        terms.rule.attempts = AttemptCount(9);
-        terms.rule.repetition = Repetition::Never;
-        terms.rank = Rank(100);
-        terms.deadline = now + milliseconds(500);
+        options.rule.service = ServiceName("cassa");
+        options.rule.attempts = AttemptCount(9);
+        options.rule.repetition = Repetition::Never;
+        options.rank = Rank(100);
+        options.deadline = now + milliseconds(500);
     }
 
     EntryCall makeCall()
     {
-        return EntryCall(EntryPolicies{ router, retries, random }, budget, terms);
+        return EntryCall(EntryPolicies{ router, retries, random }, budget, options);
     }
 };
 
@@ -67,10 +67,10 @@
 {
     EntryCall call = makeCall();
     const EntryActions sent = call.start(now);
-    CHECK(findAction(sent, EntryVerb::Send)->target == FIRST);
+    CHECK(findAction(sent, EntryActionType::Send)->target == FIRST);
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::Answered, Reason::None, 3));
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Answered);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::Answered, Reason::None, 3));
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Answered);
     CHECK(call.isFinished());
     CHECK_EQUAL(1, retries.successes);
 }
@@ -81,8 +81,8 @@
     EntryCall call = makeCall();
     call.start(now);
     const EntryActions next =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::NotRun, Reason::QueueFull, 7));
-    CHECK(findAction(next, EntryVerb::Send)->target == SECOND);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::NotRun, Reason::QueueFull, 7));
+    CHECK(findAction(next, EntryActionType::Send)->target == SECOND);
 }
 
 // The link is lost after a call that must not be repeated was sent. The caller hears "unknown": a
@@ -92,22 +92,22 @@
     EntryCall call = makeCall();
     call.start(now);
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::Unknown, Reason::LinkLost, 0));
-    CHECK(findAction(ended, EntryVerb::Send) == nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::Unknown, Reason::LinkLost, 0));
+    CHECK(findAction(ended, EntryActionType::Send) == nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
 // A lookup's first attempt is lost, its second is refused. The refusal says nothing of the first,
 // which may have run: the caller must not hear "not run".
 TEST(EntryCall, RefusalAfterALostAttemptIsUnknown)
 {
-    terms.rule.repetition = Repetition::Idempotent;
+    options.rule.repetition = Repetition::Idempotent;
     EntryCall call = makeCall();
     call.start(now);
-    call.onEnd(now, AttemptIndex(0), endWith(Outcome::Unknown, Reason::LinkLost, 0));
+    call.onEnd(now, AttemptIndex(0), makeResult(Outcome::Unknown, Reason::LinkLost, 0));
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(1), endWith(Outcome::NotRun, Reason::QueueFull, 0));
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
+        call.onEnd(now, AttemptIndex(1), makeResult(Outcome::NotRun, Reason::QueueFull, 0));
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
 // No answer comes by the deadline. The caller is answered then, and the attempt is cancelled.
@@ -115,11 +115,11 @@
 {
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(call.nextTimer() == terms.deadline);
-    const EntryActions ended = call.onTimer(terms.deadline);
-    CHECK(findAction(ended, EntryVerb::Cancel) != nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.reason == Reason::Timeout);
+    CHECK(call.nextTimer() == options.deadline);
+    const EntryActions ended = call.onTimer(options.deadline);
+    CHECK(findAction(ended, EntryActionType::Cancel) != nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.reason == Reason::Timeout);
 }
 
 TEST(EntryCall, RankBelowTheFloorIsRefusedBeforeAnythingIsSpent)
@@ -127,10 +127,10 @@
     router.lowest = Rank(101);
     EntryCall call = makeCall();
     const EntryActions ended = call.start(now);
-    const EntryAction *finish = findAction(ended, EntryVerb::Finish);
+    const EntryAction *finish = findAction(ended, EntryActionType::Finish);
     CHECK(finish->verdict.outcome == Outcome::NotRun);
     CHECK(finish->verdict.reason == Reason::BelowFloor);
-    CHECK(finish->verdict.retryAfter == retries.comeBack);
+    CHECK(finish->verdict.retryAfter == retries.retryDelay);
     CHECK_EQUAL(0, router.sent);
     CHECK(budget.left() == AttemptCount(9));
 }
@@ -141,7 +141,7 @@
     while (budget.spend(AttemptCount(0), AttemptCount(100), granted)) { }
     EntryCall call = makeCall();
     const EntryActions ended = call.start(now);
-    const EntryAction *finish = findAction(ended, EntryVerb::Finish);
+    const EntryAction *finish = findAction(ended, EntryActionType::Finish);
     CHECK(finish->verdict.reason == Reason::BudgetSpent);
     CHECK(finish->verdict.retryAfter == Duration::zero());
 }
@@ -150,18 +150,18 @@
 // late end changes nothing for the caller but frees its place in the router's counts.
 TEST(EntryCall, HedgeWinsAndTheLoserIsCancelled)
 {
-    terms.rule.repetition = Repetition::Idempotent;
+    options.rule.repetition = Repetition::Idempotent;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
     const EntryActions hedged = call.onTimer(now + milliseconds(20));
-    CHECK(findAction(hedged, EntryVerb::Send)->target == SECOND);
+    CHECK(findAction(hedged, EntryActionType::Send)->target == SECOND);
     const EntryActions ended = call.onEnd(now + milliseconds(25), AttemptIndex(1),
-                                          endWith(Outcome::Answered, Reason::None, 0));
-    CHECK(findAction(ended, EntryVerb::Cancel)->attempt == AttemptIndex(0));
-    CHECK(findAction(ended, EntryVerb::Finish)->attempt == AttemptIndex(1));
+                                          makeResult(Outcome::Answered, Reason::None, 0));
+    CHECK(findAction(ended, EntryActionType::Cancel)->attempt == AttemptIndex(0));
+    CHECK(findAction(ended, EntryActionType::Finish)->attempt == AttemptIndex(1));
     CHECK(call.onEnd(now + milliseconds(30), AttemptIndex(0),
-                     endWith(Outcome::Unknown, Reason::Cancelled, 0))
+                     makeResult(Outcome::Unknown, Reason::Cancelled, 0))
               .empty());
     CHECK(router.ends.back().second == RouteFeedback::Cancelled);
 }
@@ -170,13 +170,13 @@
 // would be the second server.
 TEST(EntryCall, HedgeStaysWithinTheServersThatTheRuleAllows)
 {
-    terms.rule.repetition = Repetition::Idempotent;
-    terms.rule.servers = 1;
+    options.rule.repetition = Repetition::Idempotent;
+    options.rule.servers = 1;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(findAction(call.onTimer(now + milliseconds(20)), EntryVerb::Send) == nullptr);
-    CHECK(call.nextTimer() == terms.deadline);
+    CHECK(findAction(call.onTimer(now + milliseconds(20)), EntryActionType::Send) == nullptr);
+    CHECK(call.nextTimer() == options.deadline);
 }
 
 // Both attempts of a hedged call are at work, and the rule allows two servers. When one is lost, a
@@ -184,13 +184,13 @@
 TEST(EntryCall, LostAttemptBesideAnOpenOneIsNotRepeatedBeyondTheAllowedServers)
 {
     router.daemons = { FIRST, SECOND, DaemonId("third") };
-    terms.rule.repetition = Repetition::Idempotent;
-    terms.rule.servers = 2;
+    options.rule.repetition = Repetition::Idempotent;
+    options.rule.servers = 2;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
     call.onTimer(now + milliseconds(20));
-    AttemptEnd lost = endWith(Outcome::Unknown, Reason::LinkLost, 0);
+    AttemptResult lost = makeResult(Outcome::Unknown, Reason::LinkLost, 0);
     lost.hasReachedUpstream = true;
     CHECK(call.onEnd(now + milliseconds(25), AttemptIndex(0), lost).empty());
 }
@@ -199,29 +199,29 @@
 // answer of the first one, not the error.
 TEST(EntryCall, ErrorDoesNotWinOverAnOpenAttempt)
 {
-    terms.rule.repetition = Repetition::Idempotent;
+    options.rule.repetition = Repetition::Idempotent;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
     call.onTimer(now + milliseconds(20));
-    AttemptEnd error = endWith(Outcome::Answered, Reason::None, 0);
+    AttemptResult error = makeResult(Outcome::Answered, Reason::None, 0);
     error.status = 502;
     CHECK(call.onEnd(now + milliseconds(25), AttemptIndex(1), error).empty());
     const EntryActions ended = call.onEnd(now + milliseconds(40), AttemptIndex(0),
-                                          endWith(Outcome::Answered, Reason::None, 0));
-    CHECK(findAction(ended, EntryVerb::Finish)->attempt == AttemptIndex(0));
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Answered);
+                                          makeResult(Outcome::Answered, Reason::None, 0));
+    CHECK(findAction(ended, EntryActionType::Finish)->attempt == AttemptIndex(0));
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Answered);
 }
 
 // Two attempts are left for a call whose upstream makes three more. It is not started: it would
 // spend both and fail half-way.
 TEST(EntryCall, CallThatCannotFinishWithinItsBudgetIsNotStarted)
 {
-    terms.rule.calls = 4;
+    options.rule.calls = 4;
     AttemptBudget small(AttemptCount(2));
-    EntryCall call(EntryPolicies{ router, retries, random }, small, terms);
+    EntryCall call(EntryPolicies{ router, retries, random }, small, options);
     const EntryActions ended = call.start(now);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.reason == Reason::BudgetSpent);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.reason == Reason::BudgetSpent);
     CHECK_EQUAL(0, router.sent);
     CHECK(small.left() == AttemptCount(2));
 }
@@ -231,7 +231,7 @@
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(call.nextTimer() == terms.deadline);
+    CHECK(call.nextTimer() == options.deadline);
 }
 
 // Another daemon keeps the key's result: the call follows to it once, and only once.
@@ -239,31 +239,31 @@
 {
     EntryCall call = makeCall();
     call.start(now);
-    AttemptEnd busy = endWith(Outcome::NotRun, Reason::KeyBusy, 7);
+    AttemptResult busy = makeResult(Outcome::NotRun, Reason::KeyBusy, 7);
     busy.holder = DaemonId("holder");
     retries.mayRetry = false;
     const EntryActions next = call.onEnd(now, AttemptIndex(0), busy);
-    CHECK(findAction(next, EntryVerb::Send)->target == DaemonId("holder"));
+    CHECK(findAction(next, EntryActionType::Send)->target == DaemonId("holder"));
     const EntryActions ended = call.onEnd(now, AttemptIndex(1), busy);
-    CHECK(findAction(ended, EntryVerb::Finish) != nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish) != nullptr);
 }
 
 TEST(EntryCall, CallWithoutContextIsTriedOnce)
 {
-    terms.isSingleAttempt = true;
+    options.isSingleAttempt = true;
     EntryCall call = makeCall();
-    CHECK(findAction(call.start(now), EntryVerb::Send)->granted == AttemptCount(0));
+    CHECK(findAction(call.start(now), EntryActionType::Send)->granted == AttemptCount(0));
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::NotRun, Reason::QueueFull, 0));
-    CHECK(findAction(ended, EntryVerb::Send) == nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::NotRun);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::NotRun, Reason::QueueFull, 0));
+    CHECK(findAction(ended, EntryActionType::Send) == nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::NotRun);
 }
 
 // Guards against a request that is passed on, and never cancelled, for a client that has left.
 TEST(EntryCall, ACallerThatLeftBeforeTheStartGetsNothingSent)
 {
     EntryCall call = makeCall();
-    CHECK(findAction(call.onCallerGone(now), EntryVerb::Finish) != nullptr);
+    CHECK(findAction(call.onCallerGone(now), EntryActionType::Finish) != nullptr);
     CHECK(call.start(now).empty());
     CHECK_EQUAL(0, call.attempts());
 }
@@ -272,6 +272,6 @@
 {
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(findAction(call.onCallerGone(now), EntryVerb::Cancel)->attempt == AttemptIndex(0));
+    CHECK(findAction(call.onCallerGone(now), EntryActionType::Cancel)->attempt == AttemptIndex(0));
     CHECK(call.isFinished());
 }
--- a/src/coordination/calls/tests/mocks/fakeretrypolicy.h
+++ b/src/coordination/calls/tests/mocks/fakeretrypolicy.h
@@ -10,7 +10,7 @@
 public:
     bool mayRetry = true;
     Duration hedgeAfter{ 0 };
-    Duration comeBack = std::chrono::milliseconds(40);
+    Duration retryDelay = std::chrono::milliseconds(40);
     int successes = 0;
 
     bool shouldRetry(TimePoint /*now*/, const RetryQuery &query) override
@@ -36,7 +36,7 @@
     Duration retryAfter(TimePoint /*now*/, const ServiceName & /*service*/,
                         IRandom & /*random*/) override
     {
-        return comeBack;
+        return retryDelay;
     }
 };
 
--- a/src/coordination/calls/tests/suspectcalltest.cpp
+++ b/src/coordination/calls/tests/suspectcalltest.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-const EntryAction *findAction(const EntryActions &actions, EntryVerb verb)
+const EntryAction *findAction(const EntryActions &actions, EntryActionType type)
 {
     for (const EntryAction &action : actions) {
-        if (action.verb == verb) {
+        if (action.type == type) {
             return &action;
         }
     }
     return nullptr;
 }
 
-AttemptEnd crash()
+AttemptResult makeCrashResult()
 {
-    AttemptEnd end;
-    end.verdict = Verdict{ Outcome::Unknown, Reason::ServerCrashed, Duration::zero() };
-    end.hasReachedUpstream = true;
-    return end;
+    AttemptResult result;
+    result.verdict = Verdict{ Outcome::Unknown, Reason::ServerCrashed, Duration::zero() };
+    result.hasReachedUpstream = true;
+    return result;
 }
 
 } // namespace
@@ -38,25 +38,25 @@
     FakeRetryPolicy m_retries;
     SeededRandom m_random{ 1 };
     AttemptBudget m_budget{ AttemptCount(9) };
-    EntryCallTerms m_terms;
+    EntryCallOptions m_options;
     Standing m_standing;
     TimePoint m_now{ 1000ms };
 
     void setup() override
     {
         m_router.daemons = { DaemonId("first"), DaemonId("second"), DaemonId("third") };
-        m_terms.rule.service = ServiceName("cassa");
-        m_terms.rule.attempts = AttemptCount(9);
-        m_terms.rule.repetition = Repetition::Idempotent;
-        m_terms.deadline = m_now + 2s;
-        m_terms.standing = [this] { return m_standing; };
-        m_terms.fingerprint = [] { return Fingerprint("f00d"); };
+        m_options.rule.service = ServiceName("cassa");
+        m_options.rule.attempts = AttemptCount(9);
+        m_options.rule.repetition = Repetition::Idempotent;
+        m_options.deadline = m_now + 2s;
+        m_options.standing = [this] { return m_standing; };
+        m_options.fingerprint = [] { return Fingerprint("f00d"); };
     }
     EntryCall makeCall()
     {
-        return EntryCall(EntryPolicies{ m_router, m_retries, m_random }, m_budget, m_terms);
+        return EntryCall(EntryPolicies{ m_router, m_retries, m_random }, m_budget, m_options);
     }
-    void suspect(std::size_t crashes)
+    void markSuspect(std::size_t crashes)
     {
         m_standing.suspicion = Suspicion::Suspect;
         m_standing.crashes = crashes;
@@ -68,11 +68,11 @@
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    suspect(1);
-    CHECK(call.onEnd(m_now, AttemptIndex(0), crash()).empty());
+    markSuspect(1);
+    CHECK(call.onEnd(m_now, AttemptIndex(0), makeCrashResult()).empty());
     CHECK(call.nextTimer() == m_now + 100ms);
     m_now += 100ms;
-    CHECK(findAction(call.onTimer(m_now), EntryVerb::Send) != nullptr);
+    CHECK(findAction(call.onTimer(m_now), EntryActionType::Send) != nullptr);
     CHECK(m_router.fingerprints.back() == Fingerprint("f00d"));
 }
 
@@ -80,13 +80,13 @@
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    suspect(2);
-    call.onEnd(m_now, AttemptIndex(0), crash());
+    markSuspect(2);
+    call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
     m_now += 100ms;
     const EntryActions ended = call.onTimer(m_now);
-    CHECK(findAction(ended, EntryVerb::Send) == nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.reason == Reason::ServerCrashed);
+    CHECK(findAction(ended, EntryActionType::Send) == nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.reason == Reason::ServerCrashed);
 }
 
 // Guards against requests in demand that are lost with each server though others have completed.
@@ -95,26 +95,26 @@
     EntryCall call = makeCall();
     call.start(m_now);
     m_standing.crashes = 4;
-    call.onEnd(m_now, AttemptIndex(0), crash());
+    call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
     m_now += 100ms;
-    CHECK(findAction(call.onTimer(m_now), EntryVerb::Send) != nullptr);
+    CHECK(findAction(call.onTimer(m_now), EntryActionType::Send) != nullptr);
     CHECK(m_router.fingerprints.back() == Fingerprint());
 }
 
 TEST(SuspectCall, OneThatMayNotBeRepeatedEndsAtOnce)
 {
-    m_terms.rule.repetition = Repetition::Never;
+    m_options.rule.repetition = Repetition::Never;
     EntryCall call = makeCall();
     call.start(m_now);
-    const EntryActions ended = call.onEnd(m_now, AttemptIndex(0), crash());
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
+    const EntryActions ended = call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
 // Guards against a suspect that runs on two servers at a time.
 TEST(SuspectCall, IsNotHedged)
 {
     m_retries.hedgeAfter = 50ms;
-    suspect(1);
+    markSuspect(1);
     EntryCall call = makeCall();
     call.start(m_now);
     m_now += 50ms;
@@ -127,7 +127,7 @@
     m_standing.suspicion = Suspicion::Quarantined;
     EntryCall call = makeCall();
     const EntryActions ended = call.start(m_now);
-    const EntryAction *finish = findAction(ended, EntryVerb::Finish);
+    const EntryAction *finish = findAction(ended, EntryActionType::Finish);
     CHECK(finish->verdict.outcome == Outcome::NotRun);
     CHECK(finish->verdict.reason == Reason::Quarantined);
     CHECK(finish->verdict.retryAfter == Duration::zero());
@@ -138,20 +138,22 @@
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    AttemptEnd refused;
+    AttemptResult refused;
     refused.verdict = Verdict{ Outcome::NotRun, Reason::Quarantined, Duration::zero() };
-    CHECK(findAction(call.onEnd(m_now, AttemptIndex(0), refused), EntryVerb::Send) != nullptr);
+    CHECK(findAction(call.onEnd(m_now, AttemptIndex(0), refused), EntryActionType::Send)
+          != nullptr);
     m_standing.suspicion = Suspicion::Quarantined;
-    CHECK(findAction(call.onEnd(m_now, AttemptIndex(1), refused), EntryVerb::Send) == nullptr);
+    CHECK(findAction(call.onEnd(m_now, AttemptIndex(1), refused), EntryActionType::Send)
+          == nullptr);
 }
 
 TEST(SuspectCall, OneThatWaitsForItsRepetitionEndsWithItsCaller)
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    suspect(1);
-    call.onEnd(m_now, AttemptIndex(0), crash());
-    CHECK(findAction(call.onCallerGone(m_now), EntryVerb::Finish) != nullptr);
+    markSuspect(1);
+    call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
+    CHECK(findAction(call.onCallerGone(m_now), EntryActionType::Finish) != nullptr);
     CHECK(call.onTimer(m_now + 100ms).empty());
 }
 
@@ -162,8 +164,8 @@
     EntryCall call = makeCall();
     call.start(m_now);
     m_now += 50ms;
-    CHECK(findAction(call.onTimer(m_now), EntryVerb::Send) != nullptr);
-    suspect(1);
-    CHECK(call.onEnd(m_now, AttemptIndex(0), crash()).empty());
+    CHECK(findAction(call.onTimer(m_now), EntryActionType::Send) != nullptr);
+    markSuspect(1);
+    CHECK(call.onEnd(m_now, AttemptIndex(0), makeCrashResult()).empty());
     LONGS_EQUAL(2, call.attempts());
 }
