--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -126,7 +126,7 @@
     } else if (m_options.infersParents && !key) {
         // Callers show a key where one is needed; calls of servers never have one.
         const bool isServers = m_accounts.needsKey(incoming.rule);
-        inferContext(exchange.tally(), isServers ? RequestMaker::Server : RequestMaker::Unknown,
+        inferContext(exchange.tally(), isServers ? RequestSender::Server : RequestSender::Unknown,
                      incoming);
     } else if (m_options.hasSharedBudget && incoming.callerAttempt > incoming.rule.callerAttempts) {
         // Past the bound the answer is final: without it a client that retries for ever would make
@@ -216,7 +216,7 @@
     }
 }
 
-void EntryService::inferContext(ConnectionTally &tally, RequestMaker maker, Incoming &incoming)
+void EntryService::inferContext(ConnectionTally &tally, RequestSender maker, Incoming &incoming)
 {
     const InferredContext inferred =
         m_gates.inferContext(tally, incoming.rule.name, incoming.callerDeadline, maker);
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -108,7 +108,7 @@
     Incoming makeIncoming(CallerRequest request);
     void applyContext(const std::string &token, Incoming &incoming);
     HttpResponse serve(IHttpExchange &exchange, bool isFromUpstream);
-    void inferContext(ConnectionTally &tally, RequestMaker maker, Incoming &incoming);
+    void inferContext(ConnectionTally &tally, RequestSender maker, Incoming &incoming);
     /// Who the caller is, and with which priority. A verdict if it may not come in.
     std::optional<Verdict> identify(const std::optional<AccountKey> &key, Incoming &incoming);
     /// Takes a unit of the account's limit. A verdict if the request is not to go on.
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -317,15 +317,15 @@
 }
 
 InferredContext GateService::inferContext(ConnectionTally &tally, const RuleName &rule,
-                                          TimePoint deadline, RequestMaker maker)
+                                          TimePoint deadline, RequestSender maker)
 {
-    if (maker == RequestMaker::Server && !m_parents->isServerBusy(m_loop.now())) {
+    if (maker == RequestSender::Server && !m_parents->isServerBusy(m_loop.now())) {
         return {};
     }
-    const Parentage parentage = m_parents->find(m_loop.now(), tally, rule, deadline, maker);
+    const ParentMatch match = m_parents->find(m_loop.now(), tally, rule, deadline, maker);
     InferredContext inferred;
-    inferred.isInner = parentage.isInner;
-    const auto found = parentage.parent ? m_calls.find(*parentage.parent) : m_calls.end();
+    inferred.isInner = match.isInner;
+    const auto found = match.parent ? m_calls.find(*match.parent) : m_calls.end();
     if (found != m_calls.end()) {
         inferred.parent = makeContext(found->second);
         // A guess must not put one account's name on another one's call.
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -81,7 +81,7 @@
     void cancel(CallId call) override;
     std::optional<CallContext> findContext(const std::string &token) const override;
     InferredContext inferContext(ConnectionTally &tally, const RuleName &rule, TimePoint deadline,
-                                 RequestMaker maker) override;
+                                 RequestSender maker) override;
     void noteInnerAnswer(const RuleName &rule) override;
     void book(CallTree &tree, const TreeUsage &usage) override;
     LoadReport load(const ServiceName &service) const override;
--- a/src/app/tests/mocks/fakegateservice.h
+++ b/src/app/tests/mocks/fakegateservice.h
@@ -28,7 +28,7 @@
         return std::nullopt;
     }
     InferredContext inferContext(ConnectionTally & /*tally*/, const RuleName & /*rule*/,
-                                 TimePoint /*deadline*/, RequestMaker /*maker*/) override
+                                 TimePoint /*deadline*/, RequestSender /*maker*/) override
     {
         return {};
     }
--- a/src/coordination/calls/internal/parentfinder.cpp
+++ b/src/coordination/calls/internal/parentfinder.cpp
@@ -8,7 +8,7 @@
 
 /// Past this many requests the older ones count half, so that a connection that changes hands is
 /// found out.
-constexpr std::uint32_t LONG_TALLY = 128;
+constexpr std::uint32_t MAX_TALLY = 128;
 
 } // namespace
 
@@ -24,13 +24,13 @@
 
 void ParentFinder::onStart(CallId call, const RuleName &rule, TimePoint deadline)
 {
-    m_places[call] = m_running.emplace(deadline, Run{ call, rule });
+    m_byCall[call] = m_running.emplace(deadline, RunningCall{ call, rule });
 }
 
 void ParentFinder::onEnd(TimePoint now, CallId call)
 {
-    const auto found = m_places.find(call);
-    if (found == m_places.end()) {
+    const auto found = m_byCall.find(call);
+    if (found == m_byCall.end()) {
         return;
     }
     dropOldAnswers(now);
@@ -39,10 +39,10 @@
         answered = m_answers.front().second;
         m_answers.pop_front();
     }
-    learn(found->second->second.rule, answered);
+    learnParent(found->second->second.rule, answered);
     m_lastEndAt = now;
     m_running.erase(found->second);
-    m_places.erase(found);
+    m_byCall.erase(found);
 }
 
 void ParentFinder::onInnerAnswer(TimePoint now, const RuleName &rule)
@@ -61,35 +61,36 @@
 
 void ParentFinder::dropOldAnswers(TimePoint now)
 {
-    while (!m_answers.empty() && m_answers.front().first < now - m_options.echo) {
+    while (!m_answers.empty() && m_answers.front().first < now - m_options.continuationTime) {
         m_answers.pop_front();
     }
 }
 
-void ParentFinder::learn(const RuleName &parent, const RuleName &answered)
+void ParentFinder::learnParent(const RuleName &parent, const RuleName &answered)
 {
     if (!answered.value().empty()) {
-        m_inner[answered].signs[parent].count += 1;
-    }
-    for (auto &[rule, inner] : m_inner) {
-        const auto signs = inner.signs.find(parent);
-        if (signs != inner.signs.end()) {
-            const double sign = rule == answered ? 1 : 0;
-            signs->second.share += m_options.signWeight * (sign - signs->second.share);
+        m_rules[answered].evidence[parent].count += 1;
+    }
+    for (auto &[rule, stats] : m_rules) {
+        const auto evidence = stats.evidence.find(parent);
+        if (evidence != stats.evidence.end()) {
+            const double observed = rule == answered ? 1 : 0;
+            evidence->second.share +=
+                m_options.evidenceWeight * (observed - evidence->second.share);
         }
     }
 }
 
-Parentage ParentFinder::find(TimePoint now, ConnectionTally &tally, const RuleName &rule,
-                             TimePoint deadline, RequestMaker maker)
+ParentMatch ParentFinder::find(TimePoint now, ConnectionTally &tally, const RuleName &rule,
+                               TimePoint deadline, RequestSender sender)
 {
-    Run *run = nearest(deadline);
+    RunningCall *run = findByDeadline(deadline);
     count(tally, run != nullptr, hasPossibleParent(deadline));
-    Inner &inner = m_inner[rule];
-    Parentage parentage;
-    parentage.isInner = judge(tally, inner) || maker == RequestMaker::Server;
-    if (!parentage.isInner) {
-        return parentage;
+    RuleStats &stats = m_rules[rule];
+    ParentMatch match;
+    match.isInner = isFromServer(tally, stats) || sender == RequestSender::Server;
+    if (!match.isInner) {
+        return match;
     }
     // The server went on to its next call.
     dropOldAnswers(now);
@@ -97,56 +98,57 @@
         m_answers.pop_front();
     }
     // Where servers give their calls deadlines of their own, a fit is nothing but chance.
-    if (!run || !isFitting(tally)) {
-        run = likely(inner, deadline);
+    if (!run || !hasInheritedDeadlines(tally)) {
+        run = findByEvidence(stats, deadline);
     }
     if (run) {
-        parentage.parent = run->call;
+        match.parent = run->call;
     }
-    return parentage;
+    return match;
 }
 
 bool ParentFinder::isServerBusy(TimePoint now) const
 {
-    return !m_running.empty() || (m_lastEndAt && now - *m_lastEndAt < m_options.afterglow);
+    return !m_running.empty() || (m_lastEndAt && now - *m_lastEndAt < m_options.abandonedCallTime);
 }
 
-void ParentFinder::count(ConnectionTally &tally, bool isFit, bool isPossible)
+void ParentFinder::count(ConnectionTally &tally, bool hasMatch, bool isPossible)
 {
-    if (tally.strangers + tally.fits + tally.misfits >= LONG_TALLY) {
+    if (tally.strangers + tally.fits + tally.misfits >= MAX_TALLY) {
         tally.strangers /= 2;
         tally.fits /= 2;
         tally.misfits /= 2;
     }
-    std::uint32_t &counter = isFit ? tally.fits : isPossible ? tally.misfits : tally.strangers;
+    std::uint32_t &counter = hasMatch ? tally.fits : isPossible ? tally.misfits : tally.strangers;
     ++counter;
 }
 
-bool ParentFinder::judge(const ConnectionTally &tally, Inner &inner) const
+bool ParentFinder::isFromServer(const ConnectionTally &tally, RuleStats &stats) const
 {
     const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
-    const bool isServersConnection = isServers(tally);
-    if (tally.strangers > 0 || requests >= m_options.fewRequests) {
-        const double vote = isServersConnection ? 1 : 0;
-        inner.share = inner.isKnown ? inner.share + m_options.weight * (vote - inner.share) : vote;
-        inner.isKnown = true;
+    const bool isServer = isServerConnection(tally);
+    if (tally.strangers > 0 || requests >= m_options.minRequestsToLearn) {
+        const double vote = isServer ? 1 : 0;
+        stats.share =
+            stats.isKnown ? stats.share + m_options.learnWeight * (vote - stats.share) : vote;
+        stats.isKnown = true;
     }
-    if (requests >= m_options.manyRequests || !isServersConnection) {
-        return isServersConnection;
+    if (requests >= m_options.minRequestsToDecide || !isServer) {
+        return isServer;
     }
-    return inner.isKnown && inner.share > m_options.innerShare;
+    return stats.isKnown && stats.share > m_options.minInnerShare;
 }
 
-bool ParentFinder::isFitting(const ConnectionTally &tally) const
+bool ParentFinder::hasInheritedDeadlines(const ConnectionTally &tally) const
 {
     const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
-    return tally.fits > m_options.fittingShare * requests;
+    return tally.fits > m_options.minMatchShare * requests;
 }
 
-bool ParentFinder::isServers(const ConnectionTally &tally) const
+bool ParentFinder::isServerConnection(const ConnectionTally &tally) const
 {
     const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
-    return tally.strangers <= m_options.strangerShare * requests;
+    return tally.strangers <= m_options.maxImpossibleShare * requests;
 }
 
 bool ParentFinder::hasPossibleParent(TimePoint deadline) const
@@ -154,12 +156,13 @@
     return m_running.lower_bound(deadline) != m_running.end();
 }
 
-ParentFinder::Run *ParentFinder::nearest(TimePoint deadline)
+ParentFinder::RunningCall *ParentFinder::findByDeadline(TimePoint deadline)
 {
-    Run *found = nullptr;
+    RunningCall *found = nullptr;
     Duration best = Duration::max();
-    auto running = m_running.lower_bound(deadline - m_options.after);
-    for (; running != m_running.end() && running->first <= deadline + m_options.before; ++running) {
+    auto running = m_running.lower_bound(deadline - m_options.deadlineLate);
+    for (; running != m_running.end() && running->first <= deadline + m_options.deadlineEarly;
+         ++running) {
         const Duration distance = std::chrono::abs(deadline - running->first);
         if (distance < best) {
             found = &running->second;
@@ -169,32 +172,33 @@
     return found;
 }
 
-ParentFinder::Run *ParentFinder::likely(const Inner &inner, TimePoint deadline)
+ParentFinder::RunningCall *ParentFinder::findByEvidence(const RuleStats &stats, TimePoint deadline)
 {
-    Run *found = nullptr;
+    RunningCall *found = nullptr;
     for (auto running = m_running.lower_bound(deadline); running != m_running.end(); ++running) {
-        Run &run = running->second;
-        if (isParent(inner, run.rule) && (!found || run.guessed < found->guessed)) {
+        RunningCall &run = running->second;
+        if (isPossibleParent(stats, run.rule)
+            && (!found || run.guessedInnerCalls < found->guessedInnerCalls)) {
             found = &run;
         }
     }
     if (found) {
-        ++found->guessed;
+        ++found->guessedInnerCalls;
     }
     return found;
 }
 
-bool ParentFinder::isParent(const Inner &inner, const RuleName &rule) const
+bool ParentFinder::isPossibleParent(const RuleStats &stats, const RuleName &rule) const
 {
-    const auto signs = inner.signs.find(rule);
-    if (signs == inner.signs.end() || signs->second.count < m_options.leastSigns) {
+    const auto evidence = stats.evidence.find(rule);
+    if (evidence == stats.evidence.end() || evidence->second.count < m_options.minEvidence) {
         return false;
     }
     double most = 0;
-    for (const auto &[other, each] : inner.signs) {
+    for (const auto &[other, each] : stats.evidence) {
         most = std::max(most, each.share);
     }
-    return signs->second.share >= m_options.parentShare * most;
+    return evidence->second.share >= m_options.minRelativeShare * most;
 }
 
 } // namespace ivyspar
--- a/src/coordination/calls/iparentfinder.h
+++ b/src/coordination/calls/iparentfinder.h
@@ -10,7 +10,7 @@
 namespace ivyspar {
 
 /// What is believed of a request that reached this host without a context.
-struct Parentage
+struct ParentMatch
 {
     /// A server of this host made it while it ran a call.
     bool isInner = false;
@@ -19,43 +19,43 @@
 };
 
 /// What is known of who made a request, whatever its connection tells.
-enum class RequestMaker { Unknown, Server };
+enum class RequestSender { Unknown, Server };
 
 struct ParentFinderOptions
 {
     /// An inner call may end with its parent. Its deadline, as it arrives here, may be this much
     /// before or after the one that the parent was given: both are cut to whole milliseconds, and
     /// reading takes time.
-    Duration before = std::chrono::milliseconds(1);
-    Duration after = std::chrono::milliseconds(3);
+    Duration deadlineEarly = std::chrono::milliseconds(1);
+    Duration deadlineLate = std::chrono::milliseconds(3);
 
     /// Requests after which a connection tells something of the rules of its requests …
-    std::uint32_t fewRequests = 6;
+    std::uint32_t minRequestsToLearn = 6;
     /// … and after which it is known, whatever others tell of these rules.
-    std::uint32_t manyRequests = 16;
+    std::uint32_t minRequestsToDecide = 16;
     /// With a larger share of requests that end with a running call, servers hand their deadline
     /// down: a caller's request ends with one now and then by chance.
-    double fittingShare = 0.4;
+    double minMatchShare = 0.4;
     /// A connection with a larger share of requests that no running call can have made is a
     /// caller's. A server's call is one of them when its parent was just given up.
-    double strangerShare = 0.05;
+    double maxImpossibleShare = 0.05;
     /// Weight of one request in a rule's share of inner calls.
-    double weight = 0.05;
+    double learnWeight = 0.05;
     /// On a connection of which little is known, requests of rules with a larger share are taken
     /// for inner calls.
-    double innerShare = 0.5;
+    double minInnerShare = 0.5;
 
     /// A server goes on within this time after one of its calls was answered: it makes the next
     /// one, or answers its own call.
-    Duration echo = std::chrono::microseconds(600);
+    Duration continuationTime = std::chrono::microseconds(600);
     /// A rule is taken for a parent of another if its calls end so, after an answer of the other,
     /// at least this often in a hundred of the share of the rule that does so most.
-    double parentShare = 0.5;
-    double leastSigns = 3;
+    double minRelativeShare = 0.5;
+    double minEvidence = 3;
     /// Weight of one end in a rule's share.
-    double signWeight = 0.02;
+    double evidenceWeight = 0.02;
     /// A server may go on for so long with a call that was given up.
-    Duration afterglow = std::chrono::seconds(1);
+    Duration abandonedCallTime = std::chrono::seconds(1);
 };
 
 /// Finds out which running call of this host's server made a call, where servers do not say.
@@ -77,8 +77,8 @@
     virtual void onStart(CallId call, const RuleName &rule, TimePoint deadline) = 0;
     virtual void onEnd(TimePoint now, CallId call) = 0;
     /// A request of that rule arrived with this deadline, over the connection of that tally.
-    virtual Parentage find(TimePoint now, ConnectionTally &tally, const RuleName &rule,
-                           TimePoint deadline, RequestMaker maker) = 0;
+    virtual ParentMatch find(TimePoint now, ConnectionTally &tally, const RuleName &rule,
+                             TimePoint deadline, RequestSender sender) = 0;
     /// Whether a server of this host runs a call, or did so a moment ago.
     virtual bool isServerBusy(TimePoint now) const = 0;
     /// The running call of that rule that has the longest to go.
--- a/src/coordination/calls/tests/parentfindertest.cpp
+++ b/src/coordination/calls/tests/parentfindertest.cpp
@@ -29,7 +29,7 @@
         m_finder->onStart(CallId(1), PARENT, in(800));
         for (std::uint64_t i = 0; i < 6; ++i) {
             m_finder->onStart(CallId(100 + i), PARENT, in(790));
-            m_finder->find(m_now, m_server, INNER, in(800), RequestMaker::Unknown);
+            m_finder->find(m_now, m_server, INNER, in(800), RequestSender::Unknown);
             m_finder->onInnerAnswer(m_now, INNER);
             m_finder->onEnd(m_now, CallId(100 + i));
         }
@@ -40,16 +40,16 @@
 {
     learnInner();
     m_finder->onStart(CallId(2), PARENT, in(500));
-    const Parentage parentage =
-        m_finder->find(m_now, m_server, INNER, in(501), RequestMaker::Unknown);
-    CHECK(parentage.isInner);
-    CHECK(parentage.parent == CallId(2));
+    const ParentMatch match =
+        m_finder->find(m_now, m_server, INNER, in(501), RequestSender::Unknown);
+    CHECK(match.isInner);
+    CHECK(match.parent == CallId(2));
 }
 
 TEST(ParentFinder, ARequestThatOutlivesAllRunningCallsIsACallers)
 {
     m_finder->onStart(CallId(1), PARENT, in(800));
-    CHECK(!m_finder->find(m_now, m_caller, CALLERS, in(5000), RequestMaker::Unknown).isInner);
+    CHECK(!m_finder->find(m_now, m_caller, CALLERS, in(5000), RequestSender::Unknown).isInner);
 }
 
 // 1. Some server gives its calls a shorter deadline of their own: it fits no running call.
@@ -58,10 +58,10 @@
 TEST(ParentFinder, ACallWithADeadlineOfItsOwnIsKnownByItsConnection)
 {
     learnInner();
-    const Parentage parentage =
-        m_finder->find(m_now, m_server, INNER, in(700), RequestMaker::Unknown);
-    CHECK(parentage.isInner);
-    CHECK(parentage.parent == CallId(1));
+    const ParentMatch match =
+        m_finder->find(m_now, m_server, INNER, in(700), RequestSender::Unknown);
+    CHECK(match.isInner);
+    CHECK(match.parent == CallId(1));
 }
 
 // A caller's request ends with a running call now and then by chance. Taken for an inner call it
@@ -69,15 +69,15 @@
 TEST(ParentFinder, AChanceFitDoesNotMakeACallersRequestInner)
 {
     m_finder->onStart(CallId(1), PARENT, in(800));
-    m_finder->find(m_now, m_caller, CALLERS, in(5000), RequestMaker::Unknown);
-    CHECK(!m_finder->find(m_now, m_caller, CALLERS, in(800), RequestMaker::Unknown).isInner);
+    m_finder->find(m_now, m_caller, CALLERS, in(5000), RequestSender::Unknown);
+    CHECK(!m_finder->find(m_now, m_caller, CALLERS, in(800), RequestSender::Unknown).isInner);
 }
 
 TEST(ParentFinder, ACallThatEndedIsNoParent)
 {
     learnInner();
     m_finder->onEnd(m_now, CallId(1));
-    CHECK(!m_finder->find(m_now, m_server, INNER, in(800), RequestMaker::Unknown).isInner);
+    CHECK(!m_finder->find(m_now, m_server, INNER, in(800), RequestSender::Unknown).isInner);
 }
 
 // 1. Servers of this deployment give each call a deadline of its own: none ends with its parent.
@@ -97,10 +97,10 @@
     }
     m_finder->onStart(CallId(8), CALLERS, in(6000));
     m_finder->onStart(CallId(9), PARENT, in(6000));
-    Parentage parentage;
+    ParentMatch match;
     for (int i = 0; i < 20; ++i) {
-        parentage = m_finder->find(m_now, m_server, INNER, in(700), RequestMaker::Unknown);
+        match = m_finder->find(m_now, m_server, INNER, in(700), RequestSender::Unknown);
     }
-    CHECK(parentage.isInner);
-    CHECK(parentage.parent == CallId(9));
+    CHECK(match.isInner);
+    CHECK(match.parent == CallId(9));
 }
