--- a/src/coordination/routing/tests/routertest.cpp
+++ b/src/coordination/routing/tests/routertest.cpp
@@ -31,7 +31,7 @@
 {
     DomainName domain = OWN;
     Duration latency = 20ms;
-    RouteFeedback end = RouteFeedback::Answered;
+    RouteFeedback feedback = RouteFeedback::Answered;
     /// Its reports always show no load.
     bool isReportEmpty = false;
     Rank floor;
@@ -56,7 +56,7 @@
     IRouter &router() { return *m_router; }
     TimePoint now() const { return m_now; }
 
-    void announce()
+    void updateMembers()
     {
         std::vector<Member> members;
         for (const auto &[name, server] : m_servers) {
@@ -117,7 +117,7 @@
         m_router->onLoad(m_now, SERVICE, DaemonId(name), load);
     }
 
-    void pass(Duration time) { m_now += time; }
+    void advance(Duration time) { m_now += time; }
 
 private:
     struct Call
@@ -146,7 +146,7 @@
             m_calls.erase(m_calls.begin());
             FakeServer &server = m_servers[call.server];
             --server.inFlight;
-            m_router->onEnd(m_now, SERVICE, DaemonId(call.server), server.end,
+            m_router->onEnd(m_now, SERVICE, DaemonId(call.server), server.feedback,
                             std::chrono::duration_cast<Duration>(m_now - call.sent));
             report(call.server);
         }
@@ -160,12 +160,12 @@
 };
 
 /// Four servers of the own failure domain.
-void addFour(Entry &entry)
+void addFourServers(Entry &entry)
 {
     for (const char *name : { "a", "b", "c", "d" }) {
         entry.server(name) = FakeServer();
     }
-    entry.announce();
+    entry.updateMembers();
 }
 
 } // namespace
@@ -175,7 +175,7 @@
 TEST(Router, SpreadsEvenlyOverEqualServers)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.run(10s, 1ms);
     for (const char *name : { "a", "b", "c", "d" }) {
         CHECK(entry.shareOf(name) > 0.2);
@@ -191,7 +191,7 @@
         RouterOptions options = ownOptions();
         options.usesLocalObservations = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         entry.server("a").latency = 200ms;
         entry.server("a").isReportEmpty = true;
         entry.run(10s, 1ms);
@@ -208,7 +208,7 @@
     entry.server("fast") = FakeServer();
     entry.server("slow") = FakeServer();
     entry.server("slow").latency = 40ms;
-    entry.announce();
+    entry.updateMembers();
     entry.run(4s, 370us); // 2,700 of 3,000 a second
     std::uint32_t fast = 0;
     std::uint32_t slow = 0;
@@ -230,9 +230,9 @@
         RouterOptions options = ownOptions();
         options.hasErrorPenalty = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         entry.server("a").latency = 1ms;
-        entry.server("a").end = RouteFeedback::UpstreamError;
+        entry.server("a").feedback = RouteFeedback::UpstreamError;
         entry.run(10s, 1ms);
         CHECK_EQUAL(isOn, entry.shareOf("a") < 0.02);
         CHECK_EQUAL(!isOn, entry.shareOf("a") > 0.25);
@@ -242,10 +242,10 @@
 TEST(Router, ServerThatWorksAgainGetsItsShareBack)
 {
     Entry entry(ownOptions());
-    addFour(entry);
-    entry.server("a").end = RouteFeedback::UpstreamError;
+    addFourServers(entry);
+    entry.server("a").feedback = RouteFeedback::UpstreamError;
     entry.run(10s, 1ms);
-    entry.server("a").end = RouteFeedback::Answered;
+    entry.server("a").feedback = RouteFeedback::Answered;
     entry.run(RouterOptions().maxEjectionTime + 5s, 1ms);
     entry.run(5s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
@@ -256,9 +256,9 @@
 TEST(Router, NoServerIsTakenOutWhileAllFailAlike)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c", "d" }) {
-        entry.server(name).end = RouteFeedback::UpstreamError;
+        entry.server(name).feedback = RouteFeedback::UpstreamError;
     }
     for (int i = 0; i < 50; ++i) {
         entry.run(100ms, 500us);
@@ -273,15 +273,15 @@
 TEST(Router, ServerThatHangsIsAskedByOneCallAtATime)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.server("a").latency = 500ms;
-    entry.server("a").end = RouteFeedback::TimedOut;
+    entry.server("a").feedback = RouteFeedback::TimedOut;
     entry.run(2s, 1ms);
     for (int i = 0; i < 20000; ++i) {
         entry.run(1ms, 1ms);
         CHECK(entry.server("a").inFlight <= 1);
     }
-    entry.server("a").end = RouteFeedback::Answered;
+    entry.server("a").feedback = RouteFeedback::Answered;
     entry.server("a").latency = 20ms;
     entry.run(20s, 1ms);
     entry.run(1s, 1ms);
@@ -294,10 +294,10 @@
         RouterOptions options = ownOptions();
         options.hasSlowStart = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         entry.run(2s, 1ms);
         entry.server("e") = FakeServer();
-        entry.announce();
+        entry.updateMembers();
         entry.run(1s, 1ms);
         CHECK_EQUAL(isOn, entry.shareOf("e") < 0.12);
         entry.run(RouterOptions().slowStartTime, 1ms);
@@ -311,14 +311,14 @@
 TEST(Router, ServerThatSaysItIsNotColdGetsItsWholeShareAfterItsDaemonRestarted)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c", "d" }) {
         entry.server(name).coldLeft = Duration(0);
     }
-    entry.announce();
+    entry.updateMembers();
     entry.run(2s, 1ms);
     entry.server("a").incarnation = 2;
-    entry.announce();
+    entry.updateMembers();
     entry.run(1s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
 }
@@ -327,11 +327,11 @@
 TEST(Router, ServerThatSaysItIsColdGetsLessUntilItIsWarm)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.run(2s, 1ms);
     entry.server("a").coldLeft = 3s;
     entry.server("a").counter = 2;
-    entry.announce();
+    entry.updateMembers();
     entry.run(500ms, 200us);
     CHECK(entry.shareOf("a") < 0.2);
     entry.run(4s, 200us);
@@ -348,7 +348,7 @@
         entry.server("near") = FakeServer();
         entry.server("far") = FakeServer();
         entry.server("far").domain = OTHER;
-        entry.announce();
+        entry.updateMembers();
         entry.run(2s, 1ms); // 20 of 40 slots
         CHECK_EQUAL(isOn, entry.shareOf("near") == 1);
         entry.run(2s, 400us); // 50 of 40 slots
@@ -372,15 +372,15 @@
     entry.server("near") = FakeServer();
     for (const char *name : { "far1", "far2", "far3" }) {
         entry.server(name).domain = OTHER;
-        entry.server(name).end = RouteFeedback::Unreachable;
+        entry.server(name).feedback = RouteFeedback::Unreachable;
     }
-    entry.announce();
+    entry.updateMembers();
     entry.run(4s, 400us); // 50 of 40 slots
     entry.run(2s, 400us);
     CHECK(entry.shareOf("near") > 0.98);
 
     for (const char *name : { "far1", "far2", "far3" }) {
-        entry.server(name).end = RouteFeedback::Answered;
+        entry.server(name).feedback = RouteFeedback::Answered;
     }
     entry.run(4s, 400us);
     entry.run(1s, 400us);
@@ -395,31 +395,31 @@
     entry.server("near") = FakeServer();
     entry.server("far") = FakeServer();
     entry.server("far").domain = OTHER;
-    entry.announce();
+    entry.updateMembers();
     entry.router().onSent(entry.now(), SERVICE, DaemonId("far"));
     entry.router().onEnd(entry.now(), SERVICE, DaemonId("far"), RouteFeedback::Unreachable, 250ms);
     const Rank rank = lowestRankOf(Priority(50));
     CHECK(entry.choose(rank, { DaemonId("near") }).daemon.value().empty());
-    entry.pass(RouterOptions().unreachableTime);
+    entry.advance(RouterOptions().unreachableTime);
     CHECK(entry.choose(rank, { DaemonId("near") }).daemon == DaemonId("far"));
 }
 
 TEST(Router, DrainingServerIsLeftAtOnceAndAskedAgainAfterANewerRecord)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.server("a").isDraining = true;
     entry.report("a");
     entry.run(1s, 1ms);
     CHECK_EQUAL(0U, entry.server("a").chosen);
 
-    entry.announce();
+    entry.updateMembers();
     entry.run(1s, 1ms);
     CHECK_EQUAL(0U, entry.server("a").chosen);
 
     entry.server("a").isDraining = false;
     entry.server("a").counter = 2;
-    entry.announce();
+    entry.updateMembers();
     entry.run(5s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
 }
@@ -427,7 +427,7 @@
 TEST(Router, ServersTriedBeforeAreNotChosenAgain)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     const std::vector<DaemonId> excluded{ DaemonId("a"), DaemonId("b"), DaemonId("d") };
     for (int i = 0; i < 100; ++i) {
         CHECK(entry.choose(Rank(), excluded).daemon == DaemonId("c"));
@@ -443,7 +443,7 @@
     const Rank high = lowestRankOf(Priority(90));
     const Rank middle = lowestRankOf(Priority(50));
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c" }) {
         entry.server(name).floor = high;
         entry.report(name);
@@ -460,7 +460,7 @@
     CHECK(refused.retryAfter > Duration(0));
 
     // No report comes any more: nobody may be refused for good.
-    entry.pass(RouterOptions().floorHold + RouterOptions().floorDecay);
+    entry.advance(RouterOptions().floorHold + RouterOptions().floorDecay);
     CHECK(entry.router().floor(entry.now(), SERVICE) == Rank());
     CHECK(!entry.choose(Rank()).daemon.value().empty());
 }
@@ -470,7 +470,7 @@
     RouterOptions options = ownOptions();
     options.hasFloor = false;
     Entry entry(options);
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c", "d" }) {
         entry.server(name).floor = lowestRankOf(Priority(90));
         entry.report(name);
@@ -487,7 +487,7 @@
         RouterOptions options = ownOptions();
         options.usesTwoChoices = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         for (int i = 0; i < 2000; ++i) {
             entry.run(1ms, 200us); // 100 calls in flight
             for (const char *name : { "a", "b", "c", "d" }) {
@@ -503,7 +503,7 @@
 {
     Entry entry(ownOptions());
     CHECK(entry.choose().reason == Reason::NoServer);
-    addFour(entry);
+    addFourServers(entry);
     entry.router().setMembers(entry.now(), {});
     CHECK(entry.choose().reason == Reason::NoServer);
 }
@@ -519,8 +519,8 @@
         a.server(name).domain = name < std::string("s3") ? OWN : OTHER;
         b.server(name).domain = a.server(name).domain;
     }
-    a.announce();
-    b.announce();
+    a.updateMembers();
+    b.updateMembers();
     std::map<std::string, int> chosen;
     for (int i = 0; i < 200; ++i) {
         const std::string fingerprint = "f" + std::to_string(i);
