--- a/src/app/tests/turnedawaytest.cpp
+++ b/src/app/tests/turnedawaytest.cpp
@@ -66,7 +66,7 @@
 {
     GateServiceOptions options;
     options.heartbeatTimeout = Duration::zero();
-    options.repeats.isOn = isOn;
+    options.repeats.isEnabled = isOn;
     options.repeats.ratio = 0.2;
     return options;
 }
