--- a/src/coordination/calls/ientrycall.h
+++ b/src/coordination/calls/ientrycall.h
@@ -16,8 +16,8 @@
 
 enum class EntryActionType {
     Send, ///< Send the attempt to `target`, handing over `granted`.
-    Cancel, ///< Tell the target of the attempt that its answer is not wanted any more.
-    Finish, ///< Answer the caller. With `Answered`, the answer of `attempt` is the one.
+    Cancel, ///< Tell the target of the attempt that its answer is no longer needed.
+    Finish, ///< Answer the caller, if `Answered` with the answer of `attempt`.
 };
 
 struct EntryAction
@@ -27,47 +27,49 @@
     DaemonId target;
     AttemptCount granted;
     Verdict verdict;
-    /// Why this target, for the decision log.
+    /// Why this target was chosen, for the decision log.
     const char *why = "";
-    /// What the target was compared with.
+    /// The candidates compared, for the decision log.
     std::vector<RouteCandidate> candidates;
     bool isHedge = false;
 };
 using EntryActions = std::vector<EntryAction>;
 
-/// What an attempt's answer says, without its body.
+/// Outcome of an attempt, without the body of the answer.
 struct AttemptResult
 {
     Verdict verdict;
     AttemptCount unspent;
     LoadReport load;
-    /// False when the daemon itself gave no report, as when its link was lost.
+    /// False if the daemon itself sent no report, for example because its link was lost.
     bool hasLoad = false;
     /// HTTP status of an `Answered` attempt.
     std::uint16_t status = 0;
-    /// An upstream was sent the call, or may have been.
+    /// The call was sent to an upstream, or may have been.
     bool hasReachedUpstream = false;
-    /// The upstream was not asked, as the key's result is kept by this other daemon.
+    /// The daemon that keeps the key's result, if the upstream was not called for that reason.
     DaemonId holder;
 };
 
-/// The course of one call at its entry: which attempts are sent where, and what the caller is told.
-/// Plain object. After `Finish` it takes no more events but answers that come late.
+/// State machine of one call at its entry: which attempts are sent where, and what the caller is
+/// told. Plain object. After `Finish` the only events that it handles are late answers.
 class IEntryCall
 {
 public:
     virtual ~IEntryCall() = default;
 
-    /// Does nothing if the caller has gone already.
+    /// Sends the first attempt. Does nothing if the caller has already disconnected.
     virtual EntryActions start(TimePoint now) = 0;
+    /// An attempt ended.
     virtual EntryActions onEnd(TimePoint now, AttemptIndex attempt,
                                const AttemptResult &result) = 0;
-    /// Deadline or hedge time; to be called at `nextTimer` or later.
+    /// Handles the deadline, a hedge or a postponed retry; to be called at `nextTimer` or later.
     virtual EntryActions onTimer(TimePoint now) = 0;
+    /// The caller disconnected.
     virtual EntryActions onCallerGone(TimePoint now) = 0;
     virtual TimePoint nextTimer() const = 0;
     virtual bool isFinished() const = 0;
-    /// Attempts sent from here.
+    /// Number of attempts sent.
     virtual std::uint32_t attempts() const = 0;
 };
 
--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// After a crash: by then other daemons have told which of the requests under way there have
-/// completed elsewhere, and so have not caused it.
+/// Delay of a retry after a crash. By then other daemons have reported which of the requests in
+/// flight at the server have completed elsewhere, and so did not cause the crash.
 constexpr Duration CRASH_RETRY_DELAY = std::chrono::milliseconds(100);
-/// Servers that a call may have crashed before it is repeated no more.
+/// A call that may have crashed more servers than this is not retried.
 constexpr std::size_t MAX_CRASHES = 1;
 
 bool hasCrashedServer(const Verdict &verdict)
@@ -109,7 +109,7 @@
                 return { *action };
             }
         }
-        // The other attempt may still bring the whole answer.
+        // The other attempt may still succeed.
         if (isServerError(result.status) && hasOpenAttempt()) {
             m_mayHaveRun = true;
             return {};
@@ -149,8 +149,8 @@
     return finish(now, index, result.verdict);
 }
 
-/// Sent on to the next server at once, a request that crashes servers would take one after the
-/// other within a second. All others that were under way there lose a moment.
+/// Retried at once, a request that crashes servers would crash one after the other within a second.
+/// The other requests that were in flight at the server lose only this delay.
 bool EntryCall::postponeRetry(TimePoint now, AttemptIndex index, const AttemptResult &result)
 {
     const bool mayRepeat =
@@ -198,7 +198,7 @@
         return {};
     }
     if (now >= m_options.deadline) {
-        // What is open may have started; without the gate's word nothing else can be said.
+        // An open attempt may have started; without the gate's answer its outcome is unknown.
         const Outcome outcome =
             hasOpenAttempt() || m_mayHaveRun ? Outcome::Unknown : Outcome::NotRun;
         return finish(now, AttemptIndex(0), Verdict{ outcome, Reason::Timeout, Duration::zero() });
@@ -269,8 +269,8 @@
                 EntryActionType::Cancel, AttemptIndex(i), m_attempts[i].target, {}, {}, "" });
         }
     }
-    // A refusal of the last attempt does not undo that an earlier one may have run: without this
-    // the caller would be told "not run" of a request that ran.
+    // The last attempt was refused, but an earlier one may have run: without this the caller would
+    // be told "not run" about a request that ran.
     if (verdict.outcome == Outcome::NotRun && (m_mayHaveRun || hasOpenAttempt())) {
         verdict.outcome = Outcome::Unknown;
     }
@@ -290,7 +290,7 @@
 
 std::optional<EntryAction> EntryCall::sendNext(TimePoint now, Verdict &failure)
 {
-    // Checked before a server is chosen: a choice counts there as an attempt to come.
+    // Checked first, so that no server is chosen for an attempt that cannot be sent.
     if (m_budget.left().value() < 1 + neededForInnerCalls().value()) {
         failure.reason = Reason::BudgetSpent;
         return std::nullopt;
@@ -398,7 +398,7 @@
     }
 }
 
-/// Attempts that are under way count as well: each may be running on a server.
+/// Open attempts count as well: each may be running on a server.
 bool EntryCall::mayReachAnother() const
 {
     const auto open = std::count_if(m_attempts.begin(), m_attempts.end(),
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -13,7 +13,7 @@
 
 namespace ivyspar {
 
-/// The decisions that an entry call asks, shared by all calls of the entry.
+/// Policies that an entry call consults, shared by all calls of the entry.
 struct EntryPolicies
 {
     IRouter &router;
@@ -26,14 +26,14 @@
     RuleSpec rule;
     Rank rank;
     TimePoint deadline;
-    /// A call without context: its single attempt hands nothing over and is never repeated.
+    /// For a call without context: its single attempt hands over no attempts and is never retried.
     bool isSingleAttempt = false;
-    /// The only daemon that may take the call; empty for any. Given by a ticket.
+    /// The only daemon that may run the call, given by a ticket; empty for any.
     DaemonId pinned;
-    /// Whether the request may have crashed servers, asked before each attempt. Empty: it is no
-    /// suspect.
+    /// Returns whether the request may have crashed servers; called before each attempt. Empty for
+    /// a request that is no suspect.
     std::function<Standing()> standing = {};
-    /// Of the request, while it is a suspect.
+    /// Returns the fingerprint of the request while it is a suspect.
     std::function<Fingerprint()> fingerprint = {};
 };
 
@@ -62,22 +62,23 @@
 
     EntryActions refuse(TimePoint now, Reason reason, Duration retryAfter);
     EntryActions finish(TimePoint now, AttemptIndex attempt, Verdict verdict);
-    /// Sends one more attempt, or says in `failure` why it cannot.
+    /// Sends one more attempt, or sets `failure` to the reason why it cannot.
     std::optional<EntryAction> sendNext(TimePoint now, Verdict &failure);
     EntryActions handleFailure(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
     EntryActions redirectTo(TimePoint now, const DaemonId &holder);
-    /// The server crashed: whether the call is to be repeated is seen a moment later.
+    /// After a crash of the server, delays the decision on a retry. False if there can be none.
     bool postponeRetry(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
     EntryActions resumeRetry(TimePoint now);
     Standing standing() const;
     std::optional<EntryAction> sendTo(TimePoint now, const DaemonId &target, const char *why);
-    /// `isFromBelow`: the upstream answered with an error of its own or of a call that it made.
+    /// `isUpstreamError`: the upstream answered with an error of its own or of a call below it.
     bool mayRetry(TimePoint now, const AttemptResult &result, bool isUpstreamError);
-    /// Attempts that the calls below this one need at the least.
+    /// Least number of attempts that the calls below this one need.
     AttemptCount neededForInnerCalls() const;
+    /// Closes the attempt and reports its end to the budget and the router.
     void recordEnd(TimePoint now, Attempt &attempt, const AttemptResult &result);
     void scheduleHedge(TimePoint now);
-    /// Whether the rule lets one more server be reached.
+    /// Whether the rule allows one more server to be reached.
     bool mayReachAnother() const;
     bool hasOpenAttempt() const;
 
@@ -87,7 +88,7 @@
     std::vector<Attempt> m_attempts;
     std::vector<DaemonId> m_tried;
     std::optional<TimePoint> m_hedgeAt;
-    /// The attempt whose server crashed, while its repetition is put off until then.
+    /// The attempt whose server crashed, while its retry is postponed.
     struct Postponed
     {
         TimePoint until;
@@ -95,7 +96,7 @@
         AttemptResult result;
     };
     std::optional<Postponed> m_postponed;
-    /// An attempt may have run without our knowing how it ended.
+    /// An attempt may have run and its outcome is unknown.
     bool m_mayHaveRun = false;
     /// Attempts that reached an upstream, or may have.
     std::uint32_t m_upstreamAttempts = 0;
--- a/src/coordination/calls/internal/parentfinder.cpp
+++ b/src/coordination/calls/internal/parentfinder.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Past this many requests the older ones count half, so that a connection that changes hands is
-/// found out.
+/// Above this number of requests the older ones count half, so that a connection that changes hands
+/// is noticed.
 constexpr std::uint32_t MAX_TALLY = 128;
 
 } // namespace
@@ -92,12 +92,12 @@
     if (!match.isInner) {
         return match;
     }
-    // The server went on to its next call.
+    // The server has continued with its next call.
     dropOldAnswers(now);
     if (!m_answers.empty()) {
         m_answers.pop_front();
     }
-    // Where servers give their calls deadlines of their own, a fit is nothing but chance.
+    // If servers set deadlines of their own, a matching deadline is mere chance.
     if (!run || !hasInheritedDeadlines(tally)) {
         run = findByEvidence(stats, deadline);
     }
--- a/src/coordination/calls/internal/parentfinder.h
+++ b/src/coordination/calls/internal/parentfinder.h
@@ -27,15 +27,15 @@
     {
         CallId call;
         RuleName rule;
-        /// Inner calls that were given to it by a guess.
+        /// Inner calls attributed to it by evidence rather than by deadline.
         std::uint32_t guessedInnerCalls = 0;
     };
     using RunningCalls = std::multimap<TimePoint, RunningCall>;
-    /// That calls of one rule make such requests.
+    /// Evidence that calls of one rule make such requests.
     struct ParentEvidence
     {
         double count = 0;
-        /// Of the rule's calls, those that end right after such a request was answered.
+        /// Share of the rule's calls that end right after such a request was answered.
         double share = 0;
     };
     struct RuleStats
@@ -43,22 +43,23 @@
         /// Share of the rule's requests that came over connections of the server.
         double share = 0;
         bool isKnown = false;
-        /// By rules that may be parents.
+        /// By parent rule.
         std::map<RuleName, ParentEvidence> evidence;
     };
 
     bool hasPossibleParent(TimePoint deadline) const;
     static void count(ConnectionTally &tally, bool hasMatch, bool isPossible);
-    /// Whether the server of this host made the request.
+    /// Whether the server of this host made the request; updates the share of its rule.
     bool isFromServer(const ConnectionTally &tally, RuleStats &stats) const;
     bool hasInheritedDeadlines(const ConnectionTally &tally) const;
     bool isServerConnection(const ConnectionTally &tally) const;
     bool isPossibleParent(const RuleStats &stats, const RuleName &rule) const;
+    /// The running call whose deadline matches best.
     RunningCall *findByDeadline(TimePoint deadline);
-    /// A running call that ends later and may have made the request.
+    /// A running call with a later deadline whose rule probably makes such requests.
     RunningCall *findByEvidence(const RuleStats &stats, TimePoint deadline);
     void dropOldAnswers(TimePoint now);
-    /// A call of `parent` ended right after an answer to `inner`; empty if after none.
+    /// A call of `parent` ended right after `answered` was answered; empty if after no answer.
     void learnParent(const RuleName &parent, const RuleName &answered);
 
     ParentFinderOptions m_options;
@@ -66,7 +67,7 @@
     std::unordered_map<CallId, RunningCalls::iterator> m_byCall;
     std::optional<TimePoint> m_lastEndAt;
     std::unordered_map<RuleName, RuleStats> m_rules;
-    /// Answers to inner calls on which no server has gone on yet.
+    /// Answers to inner calls after which no server has continued yet.
     std::deque<std::pair<TimePoint, RuleName>> m_answers;
 };
 
--- a/src/coordination/calls/tests/entrycalltest.cpp
+++ b/src/coordination/calls/tests/entrycalltest.cpp
@@ -75,7 +75,7 @@
     CHECK_EQUAL(1, retries.successes);
 }
 
-// The first gate refuses, so nothing ran; the call goes to another server.
+// The first gate refuses, so the call did not run and is sent to another server.
 TEST(EntryCall, RefusedAttemptIsSentElsewhere)
 {
     EntryCall call = makeCall();
@@ -85,8 +85,8 @@
     CHECK(findAction(next, EntryActionType::Send)->target == SECOND);
 }
 
-// The link is lost after a call that must not be repeated was sent. The caller hears "unknown": a
-// second attempt could run it twice, and "not run" could be a lie.
+// The link is lost after a call that must not be repeated was sent. The caller is told "unknown": a
+// second attempt could run it twice, and "not run" could be wrong.
 TEST(EntryCall, AttemptThatMayHaveRunIsNotRepeated)
 {
     EntryCall call = makeCall();
@@ -97,8 +97,8 @@
     CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
-// A lookup's first attempt is lost, its second is refused. The refusal says nothing of the first,
-// which may have run: the caller must not hear "not run".
+// The first attempt of a lookup is lost, its second is refused. The refusal says nothing about the
+// first, which may have run: the caller must not be told "not run".
 TEST(EntryCall, RefusalAfterALostAttemptIsUnknown)
 {
     options.rule.repetition = Repetition::Idempotent;
@@ -135,7 +135,7 @@
     CHECK(budget.left() == AttemptCount(9));
 }
 
-TEST(EntryCall, SpentBudgetIsRefusedWithoutInvitingBack)
+TEST(EntryCall, SpentBudgetIsRefusedWithoutRetryAfter)
 {
     AttemptCount granted;
     while (budget.spend(AttemptCount(0), AttemptCount(100), granted)) { }
@@ -146,9 +146,9 @@
     CHECK(finish->verdict.retryAfter == Duration::zero());
 }
 
-// A slow lookup is hedged. The second attempt answers first; the first one is cancelled, and its
-// late end changes nothing for the caller but frees its place in the router's counts.
-TEST(EntryCall, HedgeWinsAndTheLoserIsCancelled)
+// A slow lookup is hedged. The second attempt answers first and the first one is cancelled. Its
+// late end does not affect the caller, but is reported to the router.
+TEST(EntryCall, HedgeThatAnswersFirstCancelsTheFirstAttempt)
 {
     options.rule.repetition = Repetition::Idempotent;
     retries.hedgeAfter = milliseconds(20);
@@ -166,8 +166,8 @@
     CHECK(router.ends.back().second == RouteFeedback::Cancelled);
 }
 
-// The operators allow one server for a request. Its answer is late, but it may be running: a hedge
-// would be the second server.
+// The rule allows one server per request. The answer is late, but the request may be running: a
+// hedge would reach a second server.
 TEST(EntryCall, HedgeStaysWithinTheServersThatTheRuleAllows)
 {
     options.rule.repetition = Repetition::Idempotent;
@@ -179,8 +179,8 @@
     CHECK(call.nextTimer() == options.deadline);
 }
 
-// Both attempts of a hedged call are at work, and the rule allows two servers. When one is lost, a
-// third server must not be asked while the other may still answer.
+// Both attempts of a hedged call are in flight, and the rule allows two servers. If one is lost, a
+// third server must not be tried while the other may still answer.
 TEST(EntryCall, LostAttemptBesideAnOpenOneIsNotRepeatedBeyondTheAllowedServers)
 {
     router.daemons = { FIRST, SECOND, DaemonId("third") };
@@ -195,9 +195,9 @@
     CHECK(call.onEnd(now + milliseconds(25), AttemptIndex(0), lost).empty());
 }
 
-// The hedge's upstream fails while the first attempt is still at work. The caller gets the whole
-// answer of the first one, not the error.
-TEST(EntryCall, ErrorDoesNotWinOverAnOpenAttempt)
+// The hedge's upstream fails while the first attempt is still in flight. The caller gets the answer
+// of the first one, not the error.
+TEST(EntryCall, ErrorDoesNotOverrideAnOpenAttempt)
 {
     options.rule.repetition = Repetition::Idempotent;
     retries.hedgeAfter = milliseconds(20);
@@ -213,8 +213,8 @@
     CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Answered);
 }
 
-// Two attempts are left for a call whose upstream makes three more. It is not started: it would
-// spend both and fail half-way.
+// Two attempts are left for a call whose upstream makes three more calls. It is not started: it
+// would spend both and fail half-way.
 TEST(EntryCall, CallThatCannotFinishWithinItsBudgetIsNotStarted)
 {
     options.rule.calls = 4;
@@ -234,8 +234,8 @@
     CHECK(call.nextTimer() == options.deadline);
 }
 
-// Another daemon keeps the key's result: the call follows to it once, and only once.
-TEST(EntryCall, FollowsTheKeyToItsHolderOnce)
+// Another daemon keeps the key's result: the call is redirected to it once, and only once.
+TEST(EntryCall, IsRedirectedToTheKeyHolderOnce)
 {
     EntryCall call = makeCall();
     call.start(now);
@@ -248,7 +248,7 @@
     CHECK(findAction(ended, EntryActionType::Finish) != nullptr);
 }
 
-TEST(EntryCall, CallWithoutContextIsTriedOnce)
+TEST(EntryCall, CallWithoutContextIsNotRetried)
 {
     options.isSingleAttempt = true;
     EntryCall call = makeCall();
@@ -259,8 +259,8 @@
     CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::NotRun);
 }
 
-// Guards against a request that is passed on, and never cancelled, for a client that has left.
-TEST(EntryCall, ACallerThatLeftBeforeTheStartGetsNothingSent)
+// Guards against a request that is forwarded, and never cancelled, for a disconnected caller.
+TEST(EntryCall, NothingIsSentForACallerThatDisconnectedBeforeTheStart)
 {
     EntryCall call = makeCall();
     CHECK(findAction(call.onCallerGone(now), EntryActionType::Finish) != nullptr);
@@ -268,7 +268,7 @@
     CHECK_EQUAL(0, call.attempts());
 }
 
-TEST(EntryCall, CallerThatLeavesCancelsWhatIsOpen)
+TEST(EntryCall, CallerThatDisconnectsCancelsOpenAttempts)
 {
     EntryCall call = makeCall();
     call.start(now);
--- a/src/coordination/calls/tests/mocks/fakeretrypolicy.h
+++ b/src/coordination/calls/tests/mocks/fakeretrypolicy.h
@@ -4,7 +4,7 @@
 
 namespace ivyspar {
 
-/// Retries whatever may be repeated at all; hedges after `hedgeAfter` when that is not zero.
+/// Retries everything that is safe to repeat; hedges after `hedgeAfter` if that is not zero.
 class FakeRetryPolicy : public IRetryPolicy
 {
 public:
--- a/src/coordination/calls/tests/mocks/fakerouter.h
+++ b/src/coordination/calls/tests/mocks/fakerouter.h
@@ -9,7 +9,7 @@
 
 namespace ivyspar {
 
-/// Offers its daemons in order, without those excluded, and records what it is told.
+/// Chooses the first of its daemons that is not excluded, and records the calls made to it.
 class FakeRouter : public IRouter
 {
 public:
@@ -17,7 +17,7 @@
     Rank lowest;
     std::vector<std::pair<DaemonId, RouteFeedback>> ends;
     int sent = 0;
-    /// Of the requests for which a daemon was chosen.
+    /// Fingerprints of the requests passed to `choose`.
     std::vector<Fingerprint> fingerprints;
 
     void setMembers(TimePoint /*now*/, const std::vector<Member> & /*members*/) override { }
--- a/src/coordination/calls/tests/parentfindertest.cpp
+++ b/src/coordination/calls/tests/parentfindertest.cpp
@@ -23,7 +23,7 @@
     {
         return m_now + std::chrono::milliseconds(milliseconds);
     }
-    /// Calls of PARENT end right after such calls were answered; call 1 runs on.
+    /// Calls of PARENT end right after calls of INNER were answered; call 1 keeps running.
     void learnInner()
     {
         m_finder->onStart(CallId(1), PARENT, in(800));
@@ -36,7 +36,7 @@
     }
 };
 
-TEST(ParentFinder, ACallThatEndsWithARunningOneIsItsChild)
+TEST(ParentFinder, CallWithTheDeadlineOfARunningCallIsItsChild)
 {
     learnInner();
     m_finder->onStart(CallId(2), PARENT, in(500));
@@ -46,16 +46,16 @@
     CHECK(match.parent == CallId(2));
 }
 
-TEST(ParentFinder, ARequestThatOutlivesAllRunningCallsIsACallers)
+TEST(ParentFinder, RequestThatOutlivesAllRunningCallsComesFromACaller)
 {
     m_finder->onStart(CallId(1), PARENT, in(800));
     CHECK(!m_finder->find(m_now, m_caller, CALLERS, in(5000), RequestSender::Unknown).isInner);
 }
 
-// 1. Some server gives its calls a shorter deadline of their own: it fits no running call.
-// 2. The connection has shown to be the server's, so the call is an admitted request's. Taken for a
-//    caller's request it could be refused at the entry, and its whole tree would fail.
-TEST(ParentFinder, ACallWithADeadlineOfItsOwnIsKnownByItsConnection)
+// A server gives its calls a shorter deadline of their own, which matches no running call. The
+// connection is known to be the server's, so the call belongs to an admitted request. Taken for a
+// caller's request it could be refused at the entry, and its whole call tree would fail.
+TEST(ParentFinder, CallWithADeadlineOfItsOwnIsRecognizedByItsConnection)
 {
     learnInner();
     const ParentMatch match =
@@ -64,27 +64,27 @@
     CHECK(match.parent == CallId(1));
 }
 
-// A caller's request ends with a running call now and then by chance. Taken for an inner call it
-// would get past the admission at the entry.
-TEST(ParentFinder, AChanceFitDoesNotMakeACallersRequestInner)
+// The deadline of a caller's request may match that of a running call by chance. Taken for an inner
+// call it would bypass the admission at the entry.
+TEST(ParentFinder, MatchByChanceDoesNotMakeARequestInner)
 {
     m_finder->onStart(CallId(1), PARENT, in(800));
     m_finder->find(m_now, m_caller, CALLERS, in(5000), RequestSender::Unknown);
     CHECK(!m_finder->find(m_now, m_caller, CALLERS, in(800), RequestSender::Unknown).isInner);
 }
 
-TEST(ParentFinder, ACallThatEndedIsNoParent)
+TEST(ParentFinder, EndedCallIsNoParent)
 {
     learnInner();
     m_finder->onEnd(m_now, CallId(1));
     CHECK(!m_finder->find(m_now, m_server, INNER, in(800), RequestSender::Unknown).isInner);
 }
 
-// 1. Servers of this deployment give each call a deadline of its own: none ends with its parent.
-// 2. A call is answered, and at once a call of some rule ends. So calls of that rule make such
-//    calls, and later ones are booked to it; without that no entry would learn what its requests
-//    cost the service below.
-TEST(ParentFinder, ACallThatEndsRightAfterAnAnswerMadeTheAnsweredOne)
+// Servers of this deployment give each call a deadline of its own, so none matches its parent's. A
+// call is answered, and right after that a call of some rule ends: calls of that rule make such
+// calls, and later ones are booked to it. Without that no entry would learn what its requests cost
+// the service below.
+TEST(ParentFinder, RuleWhoseCallsEndRightAfterAnAnswerIsTheParent)
 {
     for (std::uint64_t i = 1; i <= 40; ++i) {
         m_finder->onStart(CallId(i), i % 2 == 0 ? PARENT : CALLERS, in(6000));
--- a/src/coordination/calls/tests/suspectcalltest.cpp
+++ b/src/coordination/calls/tests/suspectcalltest.cpp
@@ -63,8 +63,8 @@
     }
 };
 
-// Guards against a call that crashes one server after the other within a moment.
-TEST(SuspectCall, IsRepeatedOnlyAMomentAfterACrash)
+// Guards against a call that crashes several servers in quick succession.
+TEST(SuspectCall, IsRetriedOnlyAfterADelay)
 {
     EntryCall call = makeCall();
     call.start(m_now);
@@ -76,7 +76,7 @@
     CHECK(m_router.fingerprints.back() == Fingerprint("f00d"));
 }
 
-TEST(SuspectCall, IsNotRepeatedAfterTheSecondCrash)
+TEST(SuspectCall, IsNotRetriedAfterTheSecondCrash)
 {
     EntryCall call = makeCall();
     call.start(m_now);
@@ -89,8 +89,9 @@
     CHECK(findAction(ended, EntryActionType::Finish)->verdict.reason == Reason::ServerCrashed);
 }
 
-// Guards against requests in demand that are lost with each server though others have completed.
-TEST(SuspectCall, OneThatIsClearedMeanwhileIsRepeatedAsAnyOther)
+// Guards against frequent requests that are lost with each crashed server although the same request
+// has completed elsewhere.
+TEST(SuspectCall, ClearedCallIsRetried)
 {
     EntryCall call = makeCall();
     call.start(m_now);
@@ -101,7 +102,7 @@
     CHECK(m_router.fingerprints.back() == Fingerprint());
 }
 
-TEST(SuspectCall, OneThatMayNotBeRepeatedEndsAtOnce)
+TEST(SuspectCall, CallThatMayNotBeRepeatedFailsAtOnce)
 {
     m_options.rule.repetition = Repetition::Never;
     EntryCall call = makeCall();
@@ -110,7 +111,7 @@
     CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
-// Guards against a suspect that runs on two servers at a time.
+// Guards against a suspect that runs on two servers at the same time.
 TEST(SuspectCall, IsNotHedged)
 {
     m_retries.hedgeAfter = 50ms;
@@ -122,7 +123,7 @@
     LONGS_EQUAL(1, call.attempts());
 }
 
-TEST(SuspectCall, TheAnswerOfAQuarantineNamesNoTimeToComeBack)
+TEST(SuspectCall, QuarantinedCallGetsNoRetryAfter)
 {
     m_standing.suspicion = Suspicion::Quarantined;
     EntryCall call = makeCall();
@@ -133,8 +134,9 @@
     CHECK(finish->verdict.retryAfter == Duration::zero());
 }
 
-// Guards against a request that runs on a mended version and is refused by a gate of the old one.
-TEST(SuspectCall, OneThatAGateOfAnotherVersionRefusesGoesOn)
+// Guards against refusing a request for good that a gate of an old version refuses, although a
+// fixed version could run it.
+TEST(SuspectCall, CallRefusedByAGateOfAnotherVersionIsRetried)
 {
     EntryCall call = makeCall();
     call.start(m_now);
@@ -147,7 +149,7 @@
           == nullptr);
 }
 
-TEST(SuspectCall, OneThatWaitsForItsRepetitionEndsWithItsCaller)
+TEST(SuspectCall, PostponedRetryIsDroppedWhenTheCallerDisconnects)
 {
     EntryCall call = makeCall();
     call.start(m_now);
@@ -157,8 +159,8 @@
     CHECK(call.onTimer(m_now + 100ms).empty());
 }
 
-// Guards against a call whose hedge is still open, and that takes the next server at once.
-TEST(SuspectCall, WithAnotherAttemptOpenItIsNotRepeatedAtOnce)
+// Guards against a call that is retried on the next server at once while its hedge is still open.
+TEST(SuspectCall, IsNotRetriedAtOnceWithAnotherAttemptOpen)
 {
     m_retries.hedgeAfter = 50ms;
     EntryCall call = makeCall();
--- a/src/coordination/retries/internal/attemptbudget.h
+++ b/src/coordination/retries/internal/attemptbudget.h
@@ -18,7 +18,7 @@
 private:
     std::uint32_t m_granted = 0;
     std::uint32_t m_left = 0;
-    /// Grants of callees that have not answered.
+    /// Attempts granted to callees that have not answered.
     std::uint32_t m_outstanding = 0;
     bool m_isClosed = false;
 };
--- a/src/coordination/retries/internal/latencywindow.h
+++ b/src/coordination/retries/internal/latencywindow.h
@@ -15,9 +15,9 @@
     explicit LatencyWindow(Duration window);
 
     void add(TimePoint now, Duration latency);
-    /// Latencies remembered.
+    /// Number of latencies in the window.
     std::uint32_t count() const { return m_current.count + m_previous.count; }
-    /// Upper bound of the bucket that holds the quantile; zero when nothing is remembered.
+    /// Upper bound of the bucket that holds the quantile; zero if there are no latencies.
     Duration quantile(double share) const;
 
 private:
--- a/src/coordination/retries/internal/localretrybudget.cpp
+++ b/src/coordination/retries/internal/localretrybudget.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Time over which the repeats that are asked for are averaged: a shedding server is found out
-/// within it, and one burst of losses reserves little.
+/// Time over which the requested repeats are averaged: a shedding server is noticed within it, and
+/// one burst of losses reserves little.
 constexpr Duration REQUEST_RATE_WINDOW = std::chrono::seconds(1);
 
 } // namespace
@@ -55,14 +55,14 @@
     m_current = passed > static_cast<std::int64_t>(STEPS) ? current : std::max(current, m_current);
 }
 
-/// A repeat of now is counted in every window that has begun and not ended. In each of them it must
-/// fit, though nothing else may arrive until its end.
+/// A repeat sent now counts in every window that has started and not ended. It has to fit into each
+/// of them even if nothing else arrives before the window ends.
 double LocalRetryBudget::left() const
 {
     const CumulativeCounts counts = cumulativeCounts();
     double least = std::numeric_limits<double>::max();
     for (int stepsAhead = 0; stepsAhead < STEPS_PER_WINDOW; ++stepsAhead) {
-        // The oldest step may reach into the window.
+        // The oldest step may lie partly in the window.
         const auto repeats = static_cast<double>(counts.repeats[STEPS_PER_WINDOW - stepsAhead + 1]);
         const double allowed =
             m_options.usedRatio * m_options.ratio * firstArrivalsFor(counts, stepsAhead);
@@ -82,14 +82,14 @@
     return counts;
 }
 
-/// A service of which less is asked while it fails is still owed what the time before allowed: the
-/// window itself counts, the one that ended half of it before, or the one before it.
+/// A failing service receives fewer calls, which must not reduce its repeats at once. So the
+/// largest of three windows counts: this one, the one half a window earlier, and the one before it.
 double LocalRetryBudget::firstArrivalsFor(const CumulativeCounts &counts, int stepsAhead)
 {
     std::uint32_t most = 0;
     for (int shift = 0; shift <= STEPS_PER_WINDOW; shift += STEPS_PER_WINDOW / 2) {
         const int newest = shift - stepsAhead;
-        // Only the steps that lie in that window whole, wherever in the current step it is now.
+        // Only steps that lie entirely in that window, however far the current step has advanced.
         const int from = newest > 0 ? newest + 1 : 0;
         const int to = std::max(newest + STEPS_PER_WINDOW, from);
         most = std::max(most, counts.firstArrivals[to] - counts.firstArrivals[from]);
@@ -97,8 +97,8 @@
     return most;
 }
 
-/// Dealt first come first served, a budget that could mend all trees of one rule mends half of
-/// each, and trees with several calls there are whole in neither.
+/// Served first come, first served, a budget that could repair all call trees of one rule would
+/// repair half of the calls of each rule, and trees with several such calls would fail in both.
 double LocalRetryBudget::reservedAbove(TimePoint now, Priority priority) const
 {
     double asked = 0;
--- a/src/coordination/retries/internal/localretrybudget.h
+++ b/src/coordination/retries/internal/localretrybudget.h
@@ -19,7 +19,7 @@
     bool tryTake(TimePoint now, Priority priority) override;
 
 private:
-    /// Steps in which a window is counted. Two windows are kept.
+    /// Counting steps per window. Two windows are kept.
     static constexpr int STEPS_PER_WINDOW = 20;
     static constexpr std::size_t STEPS = 2 * STEPS_PER_WINDOW;
     struct Step
@@ -27,7 +27,7 @@
         std::uint32_t firstArrivals = 0;
         std::uint32_t repeats = 0;
     };
-    /// At n, what the n newest steps counted.
+    /// Totals of the n newest steps, at index n.
     struct CumulativeCounts
     {
         std::array<std::uint32_t, STEPS + 1> firstArrivals{};
@@ -35,7 +35,7 @@
     };
 
     void advance(TimePoint now);
-    /// What is left of the budget, in repeats.
+    /// Repeats that are left in the budget.
     double left() const;
     CumulativeCounts cumulativeCounts() const;
     /// First arrivals that count for the window that ends after `stepsAhead` more steps.
@@ -44,9 +44,9 @@
 
     LocalRetryBudgetOptions m_options;
     std::array<Step, STEPS> m_steps;
-    /// Number of the step that goes on, since the clock's start.
+    /// Index of the current step, counted from the clock's epoch.
     std::int64_t m_current = 0;
-    /// Repeats a second that calls of a priority asked for lately.
+    /// Recently requested repeats per second, by priority.
     std::map<Priority, DemandRate> m_requestRates;
 };
 
--- a/src/coordination/retries/internal/retryafter.cpp
+++ b/src/coordination/retries/internal/retryafter.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-/// The other half of the objective is for the answer itself.
+/// Leaves the other half of the objective for the answer itself.
 constexpr double MAX_OBJECTIVE_SHARE = 0.5;
-/// A shorter time is no time in which room comes free: sent back after 0.06 s, callers with an
-/// objective of 0.12 s meet the same full service and have used up their tries.
+/// No capacity becomes free within a shorter time: callers with an objective of 0.12 s that return
+/// after 0.06 s find the service still full, and have used up their attempts.
 constexpr Duration MIN_BOUND = std::chrono::milliseconds(300);
-/// Callers that are refused together must not come back together.
+/// Callers that are refused together must not return together.
 constexpr double JITTER_SHARE = 0.25;
 
 } // namespace
--- a/src/coordination/retries/internal/retrypolicy.cpp
+++ b/src/coordination/retries/internal/retrypolicy.cpp
@@ -12,23 +12,23 @@
 constexpr double MAX_REFUSED_SHARE = 0.99;
 constexpr double MEDIAN = 0.5;
 
-/// Whether another server, or the same a moment later, may take a call that was not run.
+/// Whether another server, or the same one shortly later, may accept a call that was not run.
 bool mayRunElsewhere(Reason reason)
 {
     switch (reason) {
     case Reason::QueueFull:
-    case Reason::NoServer: // Said by a daemon whose upstream has gone.
+    case Reason::NoServer: // Reported by a daemon whose upstream is gone.
     case Reason::Draining:
     case Reason::ConnectFailed:
     case Reason::UpstreamRefused:
     case Reason::LinkLost:
     case Reason::ShuttingDown:
     case Reason::Suspected:
-    case Reason::Quarantined: // A server of another version may take it.
+    case Reason::Quarantined: // A server of another version may accept it.
         return true;
     default:
-        // The others stay true for the whole request (deadline, budget, key) or for the whole
-        // service (floor, no server): a retry would only add load.
+        // The other reasons hold for the whole request (deadline, budget, key) or the whole service
+        // (floor, no server): a retry would only add load.
         return false;
     }
 }
@@ -43,7 +43,7 @@
             && query.verdict.reason != Reason::Cancelled
             && query.verdict.reason != Reason::DeadlineExceeded;
     case Outcome::Answered:
-        // An upstream's error is its answer. Only the baseline without "next hop only" gets here.
+        // An upstream's error is its answer. It is retried only without `isNextHopOnly`.
         return query.isUpstreamError && query.repetition == Repetition::Idempotent;
     }
     return false;
@@ -97,11 +97,13 @@
     return m_options.countsUpstreamAttemptsOnly || outranksOthers(now, service, query);
 }
 
-/// 1. A service is overrun. What is less important has spent all retries on its refusals.
-/// 2. A few important calls meet in one gate, whose queue they fill, and the rest of them is
-///    refused, though each other gate would put off something less important for them.
-/// 3. As those that are put off are there, another gate takes the call; it is asked but
-///    `RetryOptions::maxAttempts` times in all.
+/// Whether a full gate recently refused a call of lower priority. The retry then needs no token:
+///
+/// 1. A service is overloaded, and refusals of less important calls have used up the retry tokens.
+/// 2. A few important calls fill the queue of one gate, and the rest of them are refused, although
+///    every other gate would displace a less important call for them.
+/// 3. As there are calls to displace, another gate accepts the call. At most
+///    `RetryOptions::maxAttempts` attempts are made in all.
 bool RetryPolicy::outranksOthers(TimePoint now, const Service &service,
                                  const RetryQuery &query) const
 {
@@ -114,8 +116,8 @@
     });
 }
 
-/// Where refusals cost nothing, they must not use up what is meant for losses: a call that two full
-/// gates refused would otherwise end with the first lost link.
+/// Refusals that cost no token must not use up the attempts meant for losses: otherwise a call that
+/// two full gates refused would fail with the first lost link.
 bool RetryPolicy::hasUsedUpAttempts(const RetryQuery &query) const
 {
     if (!m_options.countsUpstreamAttemptsOnly) {
@@ -186,7 +188,7 @@
 bool RetryPolicy::tryTakeHedgeToken(TimePoint /*now*/, const ServiceName &service)
 {
     Service &known = serviceOf(service);
-    // Under overload all calls are late: hedges would add load and help none.
+    // Under overload all calls are slow: hedges would add load and help none.
     double &tokens = m_options.hedgesUseRetryTokens ? known.retryTokens : known.hedgeTokens;
     if (known.refusedShare > m_options.maxHedgeRefusedShare || tokens < 1) {
         return false;
@@ -199,8 +201,8 @@
 {
     Service &known = serviceOf(service);
     known.refusedShare += REFUSED_WEIGHT * (1 - known.refusedShare);
-    // With a share r refused, 1 / (1 - r) times the capacity arrives: when callers come back over
-    // that many times the shortest spread, they come at about the rate that can be served.
+    // With a share r refused, 1 / (1 - r) times the capacity arrives. Callers that return over that
+    // multiple of the base delay arrive at about the rate that can be served.
     const double excess = 1 / (1 - std::min(known.refusedShare, MAX_REFUSED_SHARE));
     const auto baseUs = static_cast<double>(m_options.retryAfter.count());
     const auto maxUs = static_cast<double>(m_options.maxRetryAfter.count());
--- a/src/coordination/retries/internal/retrypolicy.h
+++ b/src/coordination/retries/internal/retrypolicy.h
@@ -35,7 +35,7 @@
         std::map<Priority, TimePoint> refusedAt;
     };
 
-    /// Retries that a service may have saved up here.
+    /// Maximum number of retry tokens of a service in this daemon.
     double maxRetryTokens() const;
     Service &serviceOf(const ServiceName &name);
     bool needsNoToken(TimePoint now, const Service &service, const RetryQuery &query) const;
--- a/src/coordination/retries/iretrypolicy.h
+++ b/src/coordination/retries/iretrypolicy.h
@@ -10,20 +10,23 @@
 
 namespace ivyspar {
 
+/// A failed attempt for which a retry is considered.
 struct RetryQuery
 {
     ServiceName service;
     Priority priority;
     Verdict verdict;
     Repetition repetition = Repetition::Never;
-    /// Attempts made of this call at this hop so far.
+    /// Attempts of this call at this hop so far.
     std::uint32_t attempts = 1;
-    /// Of these, those that reached an upstream, or may have.
+    /// Those of them that reached an upstream, or may have.
     std::uint32_t upstreamAttempts = 1;
+    /// Time until the call's deadline.
     Duration remaining{ 0 };
-    /// The attempt that failed reached an upstream, or may have: the next one is a repeat there.
+    /// The failed attempt reached an upstream, or may have: the next one is a repeat there.
     bool hasReachedUpstream = true;
-    /// The failure came from a call below the upstream: only the hop next to it retries.
+    /// The upstream answered with an error of its own or of a call below it. Only the hop next to
+    /// the failure retries.
     bool isUpstreamError = false;
 };
 
@@ -33,16 +36,19 @@
 public:
     virtual ~IRetryPolicy() = default;
 
+    /// Returns whether to retry, and takes a retry token if one is needed.
     virtual bool shouldRetry(TimePoint now, const RetryQuery &query) = 0;
-    /// How many daemons draw on the shared slack, this one included.
+    /// How many daemons share `RetryOptions::sharedRetryTokens`, including this one.
     virtual void setDaemonCount(std::size_t daemons) = 0;
-    /// A first attempt succeeded: earns the service a share of a retry token.
+    /// Records that a first attempt succeeded, which earns the service fractions of a retry token
+    /// and of a hedge token.
     virtual void onSuccess(TimePoint now, const ServiceName &service, Duration latency) = 0;
-    /// After which time a second attempt may be sent in parallel; zero when none may.
+    /// Delay after which a second attempt may be sent in parallel; zero if none may.
     virtual Duration hedgeDelay(TimePoint now, const RuleSpec &rule) = 0;
-    /// Takes a token of the hedging share. False when the share is used up.
+    /// Takes a token for a hedge. False if none is left, or too many calls are refused.
     virtual bool tryTakeHedgeToken(TimePoint now, const ServiceName &service) = 0;
-    /// When a refused caller is to come back, jittered so that callers spread.
+    /// Records a refusal and returns the delay after which the caller should retry, with jitter so
+    /// that callers spread.
     virtual Duration retryAfter(TimePoint now, const ServiceName &service, IRandom &random) = 0;
 };
 
--- a/src/coordination/retries/tests/attemptbudgettest.cpp
+++ b/src/coordination/retries/tests/attemptbudgettest.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// Faults that the check must notice.
+/// Faults that the property check must detect.
 enum class Mutation {
     None,
     LostGrantsReturn, ///< A caller takes back the grant of an answer that was lost.
     CalleeReturnsSpent, ///< A callee returns attempts that it spent.
-    SpendsAfterAnswer, ///< A callee goes on with what it returned.
+    SpendsAfterAnswer, ///< A callee spends attempts that it returned.
     ContextMakesFresh, ///< A call without context starts a new budget.
 };
 
@@ -57,7 +57,7 @@
 
     bool happens(std::uint64_t percent) { return m_random.below(100) < percent; }
 
-    /// A call, and where it is not answered retries or hedges of it.
+    /// Makes a call with random retries or hedges.
     void call(Hop &hop, std::uint64_t depth)
     {
         const std::uint64_t tries = 1 + m_random.below(3);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The hop's upstream answers while a call below is still out.
+    /// The hop's upstream answers, possibly while a call below is still outstanding.
     void closeBudget(Hop &hop)
     {
         if (hop.returned) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The attempt at its callee, with all calls below. Returns what was not spent.
+    /// Runs the attempt at its callee, with all calls below. Returns the unspent attempts.
     AttemptCount attempt(AttemptCount granted, std::uint64_t depth)
     {
         ++m_attempts;
@@ -129,7 +129,7 @@
         ++withoutContext;
     }
 
-    /// Ends runs of mutations, which may go on for very long.
+    /// Stops runs of mutations, which may become very long.
     static constexpr std::uint32_t LIMIT = 20000;
 
     SeededRandom m_random;
@@ -161,10 +161,10 @@
 
 TEST_GROUP(AttemptBudget){};
 
-// A tap on a tablet runs through 25 hops, each of which retries and hedges, and answers get lost.
-// Without a budget the last service would see an exponential number of attempts. Each hop can only
-// hand over what it was handed, so the sum stays within what the first one got. A call without
-// context adds its one attempt, and no more.
+// A request passes up to 25 hops, each of which retries and hedges, and answers get lost. Without a
+// budget the last service would receive an exponential number of attempts. Each hop can hand over
+// only what it was granted, so the total stays within the first grant. A call without context adds
+// one attempt, and no more.
 TEST(AttemptBudget, AttemptsStayWithinTheBudgetInAnyTree)
 {
     const bool holds = rc::check([](std::uint64_t seed) {
@@ -174,7 +174,7 @@
     CHECK(holds);
 }
 
-TEST(AttemptBudget, CheckNoticesBudgetsThatAreNotConserved)
+TEST(AttemptBudget, CheckDetectsBudgetsThatAreNotConserved)
 {
     CHECK_FALSE(isCaught(Mutation::None));
     CHECK(isCaught(Mutation::LostGrantsReturn));
@@ -195,10 +195,10 @@
     LONGS_EQUAL(4, budget.spent().value());
 }
 
-// A call whose subtree makes three more calls has a budget for a retry of the whole tree only if
-// eight attempts are there. With fewer, the first attempt gets what it needs and no retry is kept;
-// with too few it is not started, as it could only fail half-way.
-TEST(AttemptBudget, KeepsAWholeSecondAttemptIfThereIsThatMuch)
+// A call whose subtree makes three more calls needs eight attempts for itself and a retry of the
+// whole tree. With fewer, the first attempt gets what it needs and no retry is kept; with too few
+// it is not started, as it could only fail half-way.
+TEST(AttemptBudget, KeepsAWholeSecondAttemptIfPossible)
 {
     AttemptCount granted;
     AttemptBudget ample{ AttemptCount(8) };
@@ -216,7 +216,7 @@
     LONGS_EQUAL(3, tooSmall.left().value());
 }
 
-TEST(AttemptBudget, GrantComesBackOnceAndNeverLarger)
+TEST(AttemptBudget, GrantIsReturnedOnceAndNeverExceeded)
 {
     AttemptBudget budget{ AttemptCount(10) };
     AttemptCount granted;
--- a/src/coordination/retries/tests/localretrybudgettest.cpp
+++ b/src/coordination/retries/tests/localretrybudgettest.cpp
@@ -59,7 +59,7 @@
     DOUBLES_EQUAL(0.2 * 0.9 * 1000 - 100, takeAll(IMPORTANT), 1);
 }
 
-TEST(LocalRetryBudget, AllowsNoneWithoutArrivalsOrWhenOff)
+TEST(LocalRetryBudget, AllowsNoneWithoutArrivalsOrWhenDisabled)
 {
     CHECK_FALSE(m_budget->tryTake(m_now, IMPORTANT));
     LocalRetryBudgetOptions off = makeOptions();
@@ -69,10 +69,10 @@
     CHECK_FALSE(m_budget->tryTake(m_now, IMPORTANT));
 }
 
-// 1. Callers press for a minute, and the server turns away half of what comes.
-// 2. Whatever calls ask for, no window of ten seconds sees more repeats than a fifth of the calls
-//    of that window, of the one half a window before, or of the one before it.
-TEST(LocalRetryBudget, HoldsInEveryWindow)
+// Every call requests a repeat, for a minute of changing load. No window of ten seconds may contain
+// more repeats than a fifth of the first arrivals of that window, of the one half a window earlier,
+// or of the one before it.
+TEST(LocalRetryBudget, LimitHoldsInEveryWindow)
 {
     std::deque<TimePoint> firstArrivals;
     std::deque<TimePoint> repeats;
@@ -98,11 +98,10 @@
     CHECK(repeats.size() > 1000);
 }
 
-// 1. A server sheds 45 % of what arrives, so that each important call needs 0.8 repeats and there
-//    are far more minor ones.
-// 2. First come first served, the minor calls would take four fifths of the repeats, and half of
-//    the important requests would fail after their work was done.
-TEST(LocalRetryBudget, KeepsForImportantCallsWhatTheyNeed)
+// A server sheds 45 % of its calls, so each important call needs 0.8 repeats, and there are far
+// more minor calls. Served first come, first served, the minor calls would take four fifths of the
+// repeats, and half of the important requests would fail after their work was done.
+TEST(LocalRetryBudget, ReservesRepeatsForCallsOfHigherPriority)
 {
     recordArrivals(20000, 500us);
     int importantAsked = 0;
@@ -120,10 +119,10 @@
     CHECK(minorTaken > 0);
 }
 
-// 1. A service fails, and entries begin hardly any trees that lead there.
-// 2. The few that go on need their repeats all the more. What was asked in the ten seconds before
-//    still counts; by the arrivals of now alone a third of them would get none.
-TEST(LocalRetryBudget, RemembersWhatWasAskedBeforeTheTrouble)
+// A service fails, and entries start hardly any call trees that lead to it. The few calls left need
+// their repeats, so the arrivals of the ten seconds before still count. By current arrivals alone a
+// third of the calls would get no repeat.
+TEST(LocalRetryBudget, CountsArrivalsBeforeAFailure)
 {
     recordArrivals(10000, 1ms);
     int taken = 0;
--- a/src/coordination/retries/tests/retryaftertest.cpp
+++ b/src/coordination/retries/tests/retryaftertest.cpp
@@ -14,25 +14,24 @@
     SeededRandom m_random{ 3 };
 };
 
-TEST(RetryAfter, AnEarlyReturnStaysAsItIs)
+TEST(RetryAfter, ShortDelayIsUnchanged)
 {
     CHECK(boundRetryAfter(300ms, 1200ms, m_random) == Duration(300ms));
     CHECK(boundRetryAfter(3s, 0ms, m_random) == Duration(3s));
 }
 
-// Callers with an objective of 0.12 s cannot be in time when they come back. Sent back at once they
-// would find the service as full as it was, and their tries used up.
-TEST(RetryAfter, AShortObjectiveBoundsNothing)
+// Callers with an objective of 0.12 s cannot meet it with a retry. With a very short delay they
+// would find the service still full, and use up their attempts.
+TEST(RetryAfter, ShortObjectiveDoesNotBoundTheDelay)
 {
     CHECK(boundRetryAfter(800ms, 120ms, m_random) == Duration(800ms));
     CHECK(boundRetryAfter(800ms, 500ms, m_random) == Duration(800ms));
 }
 
-// 1. A narrow service can take a fifth of what is asked. Refused callers are spread over 1.5 s, as
-//    that many times the capacity arrives.
-// 2. One that comes back after 1 s and is let in is answered past its objective of 1.2 s: all that
-//    was done for it earns it a third.
-TEST(RetryAfter, ALateReturnIsBroughtWithinTheObjective)
+// A service can handle a fifth of its load, so refused callers are spread over 1.5 s. A caller that
+// returns after 1 s and is admitted is answered after its objective of 1.2 s, and such a late
+// answer is worth only a third to it.
+TEST(RetryAfter, LongDelayIsBoundedByTheObjective)
 {
     Duration earliest = 10s;
     Duration latest{ 0 };
--- a/src/coordination/retries/tests/retrypolicytest.cpp
+++ b/src/coordination/retries/tests/retrypolicytest.cpp
@@ -74,12 +74,11 @@
     }
 };
 
-// 1. All servers of a service are overrun by people who look through pages. Their refusals have
-//    spent the retries that were saved up.
-// 2. A few compliance records meet in one gate and fill its queue; the last of them is refused.
-// 3. Another gate puts a page off for it. Without a retry the record would be refused while pages
-//    are served.
-TEST(RetryPolicy, ACallThatOutranksOthersGoesOnFromAFullGate)
+// All servers of a service are overloaded by calls of low priority, whose refusals have used up the
+// retry tokens. A few calls of high priority fill the queue of one gate, and the last of them is
+// refused. Another gate would displace a call of low priority for it; without a retry it would fail
+// while calls of low priority are served.
+TEST(RetryPolicy, HighPriorityCallIsRetriedWithoutTokensAfterAFullGate)
 {
     const auto policy = makeRetryPolicy({});
     RetryQuery lowPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
@@ -95,9 +94,9 @@
     CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
-// Where nothing less important is refused, there is nobody to put off: more sends of what is too
-// much already would only add load.
-TEST(RetryPolicy, ACallThatOutranksNobodyPaysForItsRetry)
+// If no call of lower priority was refused, there is none to displace, and further attempts would
+// only add load to an overloaded service.
+TEST(RetryPolicy, RetryNeedsATokenIfNoLowerPriorityIsRefused)
 {
     const auto policy = makeRetryPolicy({});
     RetryQuery highPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
@@ -112,8 +111,8 @@
     CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
-// What may have run is a repeat, and repeats are bounded for all alike.
-TEST(RetryPolicy, ARankEarnsNoRepeatOfWhatMayHaveRun)
+// Retries of calls that may have run are repeats, which are limited regardless of priority.
+TEST(RetryPolicy, HighPriorityCallThatMayHaveRunNeedsAToken)
 {
     const auto policy = makeRetryPolicy({});
     RetryQuery lowPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
@@ -125,7 +124,7 @@
     CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
-TEST(RetryPolicy, RepeatsWhatWasNotRunElsewhere)
+TEST(RetryPolicy, RetriesCallsThatWereNotRun)
 {
     for (const Repetition repetition :
          { Repetition::Never, Repetition::Once, Repetition::Idempotent }) {
@@ -142,8 +141,8 @@
     }
 }
 
-// The answer got lost after the upstream took a payment. Sending it again would charge twice.
-TEST(RetryPolicy, RepeatsWhatMayHaveRunOnlyIfIdempotent)
+// The answer is lost after the upstream processed a payment. A retry would charge it twice.
+TEST(RetryPolicy, RetriesCallsThatMayHaveRunOnlyIfIdempotent)
 {
     CHECK(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
     CHECK_FALSE(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Never)));
@@ -161,14 +160,14 @@
     CHECK(isRetried(upstreamError, everyHop));
 }
 
-TEST(RetryPolicy, BoundsTheAttemptsOfOneCall)
+TEST(RetryPolicy, LimitsTheAttemptsOfOneCall)
 {
     RetryQuery query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
     query.attempts = RetryOptions().maxAttempts;
     CHECK_FALSE(isRetried(query));
 }
 
-TEST(RetryPolicy, DoesNotStartWhatCannotEndInTime)
+TEST(RetryPolicy, DoesNotRetryIfTheDeadlineIsTooClose)
 {
     const auto policy = makeRetryPolicy({});
     for (int i = 0; i < 10; ++i) {
@@ -209,7 +208,7 @@
     CHECK(delay >= 20ms);
     CHECK(delay <= 25ms);
 
-    // What was measured two windows ago counts no more.
+    // Latencies of two windows ago no longer count.
     now += 2 * RetryOptions().window;
     for (int i = 0; i < 1000; ++i) {
         policy->onSuccess(now, SERVICE, 200ms);
@@ -238,9 +237,9 @@
     CHECK(policy->hedgeDelay(now, rule) == Duration(0));
 }
 
-// Answers of a service are lost without a sign. Its hedges and its retries are all repeats for the
-// servers: where the budget is shared, they must not be saved up twice.
-TEST(RetryPolicy, HedgesOfASharedBudgetTakeFromTheRetries)
+// Answers of a service are lost silently. Hedges and retries are both repeats for the servers: with
+// a shared budget, tokens must not be saved up twice.
+TEST(RetryPolicy, HedgesOfASharedBudgetTakeRetryTokens)
 {
     RetryOptions options;
     options.hedgesUseRetryTokens = true;
@@ -256,7 +255,7 @@
         now, makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
 }
 
-TEST(RetryPolicy, HedgeForSilenceWaitsForAMultipleOfTheUsualTime)
+TEST(RetryPolicy, HedgeFactorMultipliesTheHedgeDelay)
 {
     RetryOptions options;
     options.hedgeFactor = 2;
@@ -284,7 +283,7 @@
     CHECK_FALSE(policy->tryTakeHedgeToken(now, SERVICE));
 }
 
-TEST(RetryPolicy, SpreadsRefusedCallersOverMoreTimeTheMoreThereAre)
+TEST(RetryPolicy, RetryAfterGrowsWithTheShareOfRefusedCalls)
 {
     const auto policy = makeRetryPolicy({});
     SeededRandom random(1);
@@ -301,9 +300,9 @@
     CHECK(*delays.rbegin() <= 1.5 * RetryOptions().maxRetryAfter);
 }
 
-// All daemons of a large deployment lose answers of the same service. Each repeats what it saved
-// up, at the same moment; together they may not repeat more than the slack that operators allow.
-TEST(RetryPolicy, AllDaemonsTogetherSaveUpNoMoreThanTheSharedSlack)
+// All daemons of a large deployment lose answers of the same service, and each spends its saved
+// tokens at the same moment. Together they may not exceed the slack that operators allow.
+TEST(RetryPolicy, AllDaemonsTogetherStayWithinTheSharedTokens)
 {
     RetryOptions options;
     options.initialRetryTokens = 0;
@@ -323,9 +322,9 @@
     }
 }
 
-// Daemons that start together save up before they know of each other. What they saved beyond their
-// part is taken back when they do.
-TEST(RetryPolicy, SavingsBeyondTheOwnPartEndWhenOthersAreFound)
+// Daemons that start together save up tokens before they know each other. Tokens beyond the share
+// of a daemon are dropped when it learns of the others.
+TEST(RetryPolicy, TokensBeyondTheOwnShareAreDroppedWhenDaemonsAreFound)
 {
     RetryOptions options;
     options.initialRetryTokens = 0;
@@ -340,9 +339,9 @@
     CHECK_FALSE(policy->shouldRetry(now, query));
 }
 
-// Two full gates refused a lookup, so no server saw it; the third was sent it and its link was
-// lost. That is the first loss: another server may be asked.
-TEST(RetryPolicy, RefusalsBeforeALossDoNotUseUpItsRetries)
+// Two full gates refused a lookup, so it reached no server; the third gate received it and its link
+// was lost. That is the first loss, so another server may be tried.
+TEST(RetryPolicy, RefusalsBeforeALossDoNotUseUpItsAttempts)
 {
     RetryOptions options;
     options.countsUpstreamAttemptsOnly = true;
--- a/src/coordination/routing/internal/router.cpp
+++ b/src/coordination/routing/internal/router.cpp
@@ -54,7 +54,7 @@
     if (found != servers.end() && !found->second.update(now, member, upstream)) {
         return;
     }
-    // The servers found together with their service were there before this entry learned of them.
+    // Servers found together with their service existed before this entry learned of them.
     const Duration warmupTime = isServiceNew ? Duration::zero() : m_options.slowStartTime;
     servers.insert_or_assign(member.id, Server(now, member, upstream, warmupTime));
 }
@@ -90,13 +90,13 @@
     const Query query{ now, request, found->second, random };
     pickServer(query, &Router::isUsable, choice);
     if (choice.daemon.value().empty()) {
-        // Servers taken out for their errors are better than no server: otherwise a fault seen on
-        // all of them would end the service until the last ejection is over.
+        // Ejected servers are better than none: otherwise a fault seen on all of them would stop
+        // the service until an ejection ends.
         pickServer(query, &Router::isReachable, choice);
     }
     if (choice.daemon.value().empty() && request.excluded.empty()) {
-        // None can be reached: the next call finds out. One that was refused elsewhere hears that
-        // at once instead.
+        // No server was reachable a moment ago: a new call probes one. A call refused elsewhere is
+        // not used as a probe, and its caller is told at once.
         pickServer(query, &Router::isEligible, choice);
     }
     return choice.daemon.value().empty() ? refusal(query) : choice;
@@ -143,7 +143,6 @@
     choice.why = isSpillover ? "spill" : "least-bad";
 }
 
-/// The better of two servers, or nullptr when none passes the filter.
 const Server *Router::pickBetter(const Query &query, const std::vector<Server *> &servers,
                                  Filter filter, RouteChoice &choice) const
 {
@@ -164,7 +163,6 @@
     return secondScore < firstScore ? second : first;
 }
 
-/// From a random place on, the first server that passes the filter and is not `other`.
 const Server *Router::nextServer(const Query &query, const std::vector<Server *> &servers,
                                  Filter filter, const Server *other) const
 {
@@ -250,7 +248,6 @@
     }
 }
 
-/// Whether the server fails much more than the others, and enough others stay in.
 bool Router::mayEject(TimePoint now, const Service &service, const Server &candidate) const
 {
     std::size_t ejected = 1;
@@ -263,8 +260,8 @@
     if (static_cast<double>(ejected) > m_options.maxEjectedShare * servers) {
         return false;
     }
-    // When a service further down refuses, all servers here answer with errors: taking half of them
-    // out would turn the overload of one service into that of two.
+    // If a service below refuses calls, all servers here answer with errors. Ejecting half of them
+    // would spread the overload of that service to this one.
     const double others = errorShares / (servers - 1);
     return candidate.errorShare(now, m_options) > m_options.ejectErrorRatio * others;
 }
@@ -283,7 +280,7 @@
     if (found == m_services.end()) {
         return Rank();
     }
-    // A call that one of the servers would take must not be refused: the lowest floor counts.
+    // A call that one of the servers would accept must not be refused: the lowest floor counts.
     bool isAny = false;
     Rank lowest;
     for (const auto &[daemon, server] : found->second.servers) {
--- a/src/coordination/routing/internal/router.h
+++ b/src/coordination/routing/internal/router.h
@@ -28,13 +28,13 @@
     struct Service
     {
         std::unordered_map<DaemonId, Server> servers;
-        /// Point into `servers`.
+        /// Pointers into `servers`, by failure domain.
         std::vector<Server *> ownDomain;
         std::vector<Server *> otherDomains;
         /// Mean latency of all answers, in µs.
         double latencyUs = 0;
     };
-    /// What a choice is made for.
+    /// Arguments of one choice.
     struct Query
     {
         TimePoint now;
@@ -48,17 +48,21 @@
                    bool isServiceNew);
     void indexServers(Service &service) const;
     Server *find(const ServiceName &service, const DaemonId &daemon);
+    /// Whether the server fails much more than the others, and enough others remain.
     bool mayEject(TimePoint now, const Service &service, const Server &candidate) const;
 
     bool isExcluded(const Query &query, const Server &server) const;
     bool isUsable(const Query &query, const Server &server) const;
     bool isReachable(const Query &query, const Server &server) const;
     bool isEligible(const Query &query, const Server &server) const;
+    /// Returns the first server, from a random position on, that passes the filter and is not
+    /// `other`; nullptr if there is none.
     const Server *nextServer(const Query &query, const std::vector<Server *> &servers,
                              Filter filter, const Server *other) const;
+    /// Returns the better of two random servers that pass the filter; nullptr if none does.
     const Server *pickBetter(const Query &query, const std::vector<Server *> &servers,
                              Filter filter, RouteChoice &choice) const;
-    /// The server of the request's fingerprint.
+    /// Picks the server by the request's fingerprint.
     void pickSuspectServer(const Query &query, Filter filter, RouteChoice &choice) const;
     void pickServer(const Query &query, Filter filter, RouteChoice &choice) const;
     RouteChoice refusal(const Query &query) const;
--- a/src/coordination/routing/internal/server.cpp
+++ b/src/coordination/routing/internal/server.cpp
@@ -9,10 +9,10 @@
 
 constexpr double LATENCY_WEIGHT = 0.1;
 constexpr double ERROR_WEIGHT = 0.1;
-/// By what a call takes longer on a server with this load than on an idle one. Its slots work side
-/// by side, so there is next to nothing to wait for until it is nearly full, and then much. With a
-/// factor that grows evenly a server of half the speed would get half the load of the others, and
-/// stay half empty while they are overrun.
+/// Factor by which a call takes longer on a server with this load than on an idle one. The slots
+/// work in parallel, so calls hardly wait until the server is nearly full, and then wait long. With
+/// a linear factor a server of half the speed would get half the load of the others, and stay half
+/// empty while they are overloaded.
 double waitFactor(double load)
 {
     constexpr double STEEPNESS = 8;
@@ -20,15 +20,15 @@
     return 1 + load + STEEPNESS * std::pow(load, POWER);
 }
 
-/// How much worse a server looks if all its calls fail.
+/// Increase of a server's score if all its calls fail.
 constexpr double ERROR_PENALTY = 20;
 constexpr double MIN_LATENCY_RATIO = 0.5;
 constexpr double MAX_LATENCY_RATIO = 20;
-/// A report of more load than this multiple of the limit is not believed.
+/// Caps the reported load, as a multiple of the capacity.
 constexpr double MAX_UTILIZATION = 4;
 constexpr std::uint32_t UNREACHABLE_ERROR_POINTS = 2;
 
-/// Falls from 1 to 0 while `age` goes from 0 to `life`.
+/// Falls from 1 to 0 as `age` goes from 0 to `lifetime`.
 double linearDecay(Duration age, Duration lifetime)
 {
     return std::clamp(1 - static_cast<double>(age.count()) / static_cast<double>(lifetime.count()),
@@ -48,8 +48,8 @@
     }
 }
 
-/// How bad an end is for the share of errors. A refusal is not the server's fault, but one that
-/// refuses while its reports show room must not stay attractive.
+/// Contribution of a call to the share of errors. A refusal is not the server's fault, but a server
+/// that refuses while its reports show free capacity must not stay attractive.
 double errorValueOf(RouteFeedback feedback)
 {
     return feedback == RouteFeedback::Refused ? 0.5 : (errorPointsOf(feedback) > 0 ? 1.0 : 0.0);
@@ -75,8 +75,8 @@
     m_domain = member.domain;
     m_slots = std::max(1U, std::min(upstream.slots, upstream.connections));
     m_isLeaving = member.leaving || upstream.draining;
-    // Answers tell of draining before the member record does. A record that was written later
-    // takes it back; otherwise a restarted upstream would never be asked again.
+    // Answers announce draining before the member record does. A newer record cancels that;
+    // otherwise a restarted upstream would never be chosen again.
     if (isNewer) {
         m_isDraining = false;
         m_counter = member.counter;
@@ -108,8 +108,8 @@
         m_isDraining = true;
         return;
     }
-    // The longer nothing was heard, the more the next call tells. Otherwise one call to a server
-    // that works again would bring back all that was seen of it while it was sick.
+    // The longer no call has ended, the more the next one counts. Otherwise one call to a recovered
+    // server would restore the latency observed while it was faulty.
     const double latencyWeight = std::max(LATENCY_WEIGHT, 1 - freshness(now, options));
     m_errorShare = errorShare(now, options);
     m_errorShare += ERROR_WEIGHT * (errorValueOf(feedback) - m_errorShare);
@@ -119,7 +119,7 @@
         m_errorPoints = 0;
         m_ejections = 0;
     }
-    // Errors and refusals may be fast: only work done, or given up, tells how slow the server is.
+    // Errors and refusals may be fast: only answers and time-outs show how slow the server is.
     if (feedback == RouteFeedback::Answered || feedback == RouteFeedback::TimedOut) {
         const auto timeUs = static_cast<double>(latency.count());
         m_latencyUs =
@@ -127,10 +127,10 @@
     }
 }
 
-/// A failure domain is cut off, and connections to it hang until they are given up. Membership
-/// notices after seconds; until then each call that spills there would lose the time of a connect.
-/// What this entry cannot reach is no server for it, however many of the service that are:
-/// ejection, which keeps half of them in, does not help there.
+/// Guards against a failure domain that is cut off, where connections hang until they time out.
+/// Membership notices after seconds; until then each call that spills there would lose the time of
+/// a connect. Ejection does not help, as it keeps half of the servers: an entry has to avoid all
+/// servers that it cannot reach, however many they are.
 void Server::updateReachability(TimePoint now, RouteFeedback feedback, const RouterOptions &options)
 {
     if (feedback != RouteFeedback::Unreachable) {
@@ -192,7 +192,7 @@
     if (!options.usesLocalObservations) {
         return reported / capacity(now, options);
     }
-    // What others sent there is known from reports only; the own calls are known exactly.
+    // Calls of other entries are known from reports only; those of this entry are known exactly.
     const double others = std::max(0.0, reported - m_outstandingAtReport);
     const double calls = m_outstanding + reportWeight(now, options) * others;
     return std::min(calls / capacity(now, options), MAX_UTILIZATION);
--- a/src/coordination/routing/internal/server.h
+++ b/src/coordination/routing/internal/server.h
@@ -7,14 +7,14 @@
 
 namespace ivyspar {
 
-/// What an entry knows of one server: its reports, and what its own calls there went through.
+/// State of one server as known to an entry: its load reports, and how the entry's own calls ended.
 class Server
 {
 public:
-    /// `warmupTime` holds if the server does not say for how long it is cold.
+    /// `warmupTime` applies if the server does not report how long it is cold.
     Server(TimePoint now, const Member &member, const UpstreamInfo &upstream, Duration warmupTime);
 
-    /// A newer record of the same server. True if the daemon restarted.
+    /// Applies a newer member record. Returns true if the daemon restarted.
     bool update(TimePoint now, const Member &member, const UpstreamInfo &upstream);
 
     const DaemonId &daemon() const { return m_daemon; }
@@ -22,13 +22,15 @@
     std::uint32_t outstanding() const { return m_outstanding; }
     bool isDraining() const { return m_isLeaving || m_isDraining; }
     bool isEjected(TimePoint now) const { return now < m_ejectedUntil; }
-    /// Was ejected and has not answered since.
+    /// Whether it was ejected and has not answered since.
     bool isOnProbation() const { return m_ejections > 0; }
+    /// On probation it gets one call at a time.
     bool hasProbationCapacity() const { return !isOnProbation() || m_outstanding == 0; }
-    /// A link to it could not be opened, or was lost, a moment ago.
+    /// Whether a link to it recently could not be opened, or was lost.
     bool isUnreachable(TimePoint now) const { return now < m_unreachableUntil; }
-    /// Where it could not be reached before, one call at a time finds out whether it can be again.
+    /// A server that was unreachable is probed by one call at a time.
     bool hasProbeCapacity() const { return m_consecutiveUnreachable == 0 || m_outstanding == 0; }
+    /// Whether its consecutive errors justify an ejection.
     bool hasTooManyErrors(const RouterOptions &options) const;
 
     void onSent() { ++m_outstanding; }
@@ -37,14 +39,15 @@
     void onLoad(TimePoint now, const LoadReport &load);
     void eject(TimePoint now, const RouterOptions &options);
 
-    /// Calls there, over what it can take; 1 is full.
+    /// Calls at the server divided by its capacity; 1 is full.
     double utilization(TimePoint now, const RouterOptions &options) const;
-    /// Latency over that of the whole service, `typical` in µs; 1 if unknown.
+    /// Latency divided by that of the whole service; 1 if unknown.
     double latencyRatio(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const;
-    /// Recent share of errors.
+    /// Recent share of errors, 0 to 1.
     double errorShare(TimePoint now, const RouterOptions &options) const;
-    /// What a further call there costs, lower is better.
+    /// Estimated cost of a further call; lower is better.
     double score(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const;
+    /// Whether calls may spill over to another failure domain.
     bool isSaturated(TimePoint now, double serviceLatencyUs, const RouterOptions &options) const;
     /// The last reported floor, lowered with its age.
     Rank floor(TimePoint now, const RouterOptions &options) const;
@@ -60,11 +63,11 @@
     Incarnation m_incarnation;
     std::uint64_t m_counter = 0;
     std::uint32_t m_slots = 0;
-    /// As its member record says.
+    /// According to its member record.
     bool m_isLeaving = false;
-    /// As its answers say.
+    /// According to its answers.
     bool m_isDraining = false;
-    /// It is cold from then on for that time; and whether it said so itself.
+    /// It is cold from this point for this time, and whether it reported so itself.
     TimePoint m_warmupStart;
     Duration m_warmupTime;
     bool m_reportsCold = false;
@@ -73,17 +76,18 @@
     bool m_hasReport = false;
     LoadReport m_report;
     TimePoint m_reportedAt;
-    /// Own calls that the report includes.
+    /// Calls of this entry that the report includes.
     std::uint32_t m_outstandingAtReport = 0;
 
-    /// Mean latency of answers, in µs; 0 while unknown.
+    /// Mean latency of answers and time-outs; 0 while unknown.
     double m_latencyUs = 0;
     double m_errorShare = 0;
     TimePoint m_lastEndAt;
+    /// Errors since the last answer or ejection; an unreachable server counts twice.
     std::uint32_t m_errorPoints = 0;
     std::uint32_t m_ejections = 0;
     TimePoint m_ejectedUntil;
-    /// Calls in a row for which it could not be reached.
+    /// Consecutive calls for which it was unreachable.
     std::uint32_t m_consecutiveUnreachable = 0;
     TimePoint m_unreachableUntil;
 };
--- a/src/coordination/routing/internal/weightedsplit.cpp
+++ b/src/coordination/routing/internal/weightedsplit.cpp
@@ -22,8 +22,8 @@
     return rule.split[static_cast<std::size_t>(most - credits.begin())].service;
 }
 
-/// Entries start at random places of the round. In step they would all send their first requests to
-/// the part with the largest weight.
+/// Starts at random credits. Otherwise all entries would send their first requests to the part with
+/// the largest weight.
 WeightedSplit::Credits &WeightedSplit::creditsOf(const RuleSpec &rule, IRandom &random)
 {
     const auto [found, isNew] = m_credits.try_emplace(rule.name);
--- a/src/coordination/routing/internal/weightedsplit.h
+++ b/src/coordination/routing/internal/weightedsplit.h
@@ -15,7 +15,7 @@
     void reset() override { m_credits.clear(); }
 
 private:
-    /// What each part is owed, in weights.
+    /// Accumulated credit of each part, in units of weight.
     using Credits = std::vector<double>;
 
     Credits &creditsOf(const RuleSpec &rule, IRandom &random);
--- a/src/coordination/routing/irouter.h
+++ b/src/coordination/routing/irouter.h
@@ -18,8 +18,8 @@
     Rank rank;
     /// Daemons already tried for this call.
     std::vector<DaemonId> excluded;
-    /// A suspect's: all requests of one fingerprint go to the same server, so that those which come
-    /// at once crash one at most. Empty for others.
+    /// Set for a suspect: all requests with the same fingerprint go to the same server, so that
+    /// simultaneous ones crash at most one. Empty for others.
     Fingerprint fingerprint = {};
 };
 
@@ -31,17 +31,17 @@
 
 struct RouteChoice
 {
-    /// Empty when there is none; `reason` says why and `retryAfter` when to come back.
+    /// Empty if there is none; then `reason` says why and `retryAfter` when to retry.
     DaemonId daemon;
     Reason reason = Reason::None;
     Duration retryAfter{ 0 };
     /// The candidates compared, for the decision log.
     std::vector<RouteCandidate> candidates;
-    /// Why this one: `less-loaded`, `only-one`, `spill`, ….
+    /// Why this daemon was chosen: `less-loaded`, `only-one`, `spill`, ….
     const char *why = "";
 };
 
-/// How an attempt at a daemon ended, as far as routing cares.
+/// How an attempt at a daemon ended, as far as it matters for routing.
 enum class RouteFeedback {
     Answered,
     UpstreamError, ///< The upstream answered 5xx; must not look like low load.
@@ -49,7 +49,7 @@
     Draining,
     Unreachable,
     TimedOut,
-    Cancelled, ///< Says nothing of the daemon.
+    Cancelled, ///< Says nothing about the daemon.
 };
 
 /// Chooses the daemon, and so the upstream, for an attempt. Plain object.
@@ -58,19 +58,20 @@
 public:
     virtual ~IRouter() = default;
 
-    /// The current members that are alive. A daemon that newly offers a service starts cold.
+    /// Sets the members that are alive. A daemon that newly offers a known service starts cold.
     virtual void setMembers(TimePoint now, const std::vector<Member> &members) = 0;
+    /// Chooses a daemon for an attempt, or says why there is none.
     virtual RouteChoice choose(TimePoint now, const RouteRequest &request, IRandom &random) = 0;
-    /// An attempt was sent to the daemon.
+    /// Records that an attempt was sent to the daemon.
     virtual void onSent(TimePoint now, const ServiceName &service, const DaemonId &daemon) = 0;
-    /// The attempt ended. `latency` is from sending to the end.
+    /// Records that the attempt ended. `latency` is the time from sending it to its end.
     virtual void onEnd(TimePoint now, const ServiceName &service, const DaemonId &daemon,
                        RouteFeedback feedback, Duration latency) = 0;
-    /// A load report of the daemon arrived, with an answer or a probe.
+    /// Records a load report of the daemon, which came with an answer or a probe.
     virtual void onLoad(TimePoint now, const ServiceName &service, const DaemonId &daemon,
                         const LoadReport &load) = 0;
-    /// The lowest rank that the service's gates admit, judged from recent reports; decays with
-    /// time. A call below it is refused at the entry before anything is spent.
+    /// The lowest rank that the service's gates admit according to recent reports; decays with
+    /// time. A call below it is refused at the entry before any attempt is spent.
     virtual Rank floor(TimePoint now, const ServiceName &service) const = 0;
 };
 
--- a/src/coordination/routing/iweightedsplit.h
+++ b/src/coordination/routing/iweightedsplit.h
@@ -10,8 +10,8 @@
 
 /// Divides the requests of a rule among the services of its split. Plain object.
 ///
-/// Each part gets its share of any run of requests to within one request, where drawing lots would
-/// leave it off by the square root of their number: a small entry would miss the weights by far.
+/// Each part gets its share of any series of requests to within one request. A random choice would
+/// deviate by the square root of their number, which is far from the weights at a small entry.
 class IWeightedSplit
 {
 public:
@@ -19,7 +19,7 @@
 
     /// The service of the rule's next request. `rule.split` is not empty.
     virtual ServiceName choose(const RuleSpec &rule, IRandom &random) = 0;
-    /// The rules may have changed.
+    /// Forgets the state of all rules, as they may have changed.
     virtual void reset() = 0;
 };
 
--- a/src/coordination/routing/tests/routertest.cpp
+++ b/src/coordination/routing/tests/routertest.cpp
@@ -26,13 +26,13 @@
     return options;
 }
 
-/// A server as the router meets it: what it does, and what its reports say.
+/// A simulated server: its behaviour, and what it reports.
 struct FakeServer
 {
     DomainName domain = OWN;
     Duration latency = 20ms;
     RouteFeedback feedback = RouteFeedback::Answered;
-    /// Its reports always show no load.
+    /// Its reports show no load, whatever is in flight.
     bool isReportEmpty = false;
     Rank floor;
     bool isDraining = false;
@@ -96,7 +96,7 @@
         return m_router->choose(m_now, request, m_random).daemon.value();
     }
 
-    /// Share of the calls of the last run that went to the server.
+    /// Share of the calls in the last run that went to the server.
     double shareOf(const std::string &name)
     {
         double all = 0;
@@ -182,10 +182,9 @@
     }
 }
 
-// One server works ten times slower, and its load endpoint says that it is idle. Callers would see
-// a quarter of their calls ten times slower. The entry counts its own calls there and their
-// latency.
-TEST(Router, SlowServerThatReportsNoLoadGetsLittle)
+// One server is ten times slower than the others and reports that it is idle. A quarter of all
+// calls would be ten times slower. The entry counts its own calls to the server and their latency.
+TEST(Router, SlowServerThatReportsNoLoadGetsFewCalls)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
@@ -199,10 +198,9 @@
     }
 }
 
-// Two servers of different speed are asked for nearly all that both can do. The slow one has to be
-// nearly full as well: else the fast one is overrun, and calls are refused there while slots are
-// free.
-TEST(Router, SlowServerIsFilledToo)
+// The load is close to the capacity of two servers of different speed. The slow one has to be
+// nearly full as well; otherwise the fast one is overloaded and refuses calls while slots are free.
+TEST(Router, SlowServerIsUsedCloseToItsCapacity)
 {
     Entry entry(ownOptions());
     entry.server("fast") = FakeServer();
@@ -224,7 +222,7 @@
 
 // One server answers each call with an error at once. It never has calls in flight, so by load
 // alone it is the best choice, and most calls would fail.
-TEST(Router, ServerThatFailsFastGetsLittle)
+TEST(Router, ServerThatFailsFastGetsFewCalls)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
@@ -239,7 +237,7 @@
     }
 }
 
-TEST(Router, ServerThatWorksAgainGetsItsShareBack)
+TEST(Router, RecoveredServerGetsItsShareBack)
 {
     Entry entry(ownOptions());
     addFourServers(entry);
@@ -251,9 +249,9 @@
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-// A service further down refuses most calls, so all servers answer with errors. If the router took
-// servers out for that, the overload would spread to this service.
-TEST(Router, NoServerIsTakenOutWhileAllFailAlike)
+// A service below refuses most calls, so all servers answer with errors. If the router ejected
+// servers for that, the overload would spread to this service.
+TEST(Router, NoServerIsEjectedWhileAllFailAlike)
 {
     Entry entry(ownOptions());
     addFourServers(entry);
@@ -268,9 +266,9 @@
     }
 }
 
-// A server hangs: each call there times out. It is taken out, and after that asked by one call at a
+// A server hangs, and each call to it times out. It is ejected, and then probed by one call at a
 // time, so that at most one caller waits in vain.
-TEST(Router, ServerThatHangsIsAskedByOneCallAtATime)
+TEST(Router, HangingServerIsProbedByOneCallAtATime)
 {
     Entry entry(ownOptions());
     addFourServers(entry);
@@ -288,7 +286,7 @@
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-TEST(Router, ColdServerGetsLittleAtFirstAndThenItsShare)
+TEST(Router, ColdServerRampsUpToItsShare)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
@@ -306,9 +304,9 @@
     }
 }
 
-// A daemon is stopped and started again while its server works on. Nothing is cold, and with a
-// tenth of its share for seconds each stop would cost the service a server.
-TEST(Router, ServerThatSaysItIsNotColdGetsItsWholeShareAfterItsDaemonRestarted)
+// A daemon restarts while its server keeps running. The server is not cold: with a tenth of its
+// share for seconds, each restart would cost the service a server.
+TEST(Router, ServerThatReportsWarmGetsItsShareAfterADaemonRestart)
 {
     Entry entry(ownOptions());
     addFourServers(entry);
@@ -323,8 +321,8 @@
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-// A server is replaced beside a daemon that goes on. The new one says that it is cold.
-TEST(Router, ServerThatSaysItIsColdGetsLessUntilItIsWarm)
+// A server is replaced while its daemon keeps running. The new server reports that it is cold.
+TEST(Router, ServerThatReportsColdGetsLessUntilItIsWarm)
 {
     Entry entry(ownOptions());
     addFourServers(entry);
@@ -339,7 +337,7 @@
     CHECK(entry.shareOf("a") > 0.22);
 }
 
-TEST(Router, OwnDomainComesFirstAndSpillsWhileItIsSaturated)
+TEST(Router, OwnDomainIsPreferredAndSpillsOverWhileSaturated)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
@@ -360,13 +358,11 @@
     }
 }
 
-// 1. A failure domain is cut off. Connections to the three servers there hang until they are given
-// up.
-// 2. The own server is full, so calls spill. Each would lose the time of a connect, and be refused
-// in
-//    the end: half of the servers of a service always stay in, whatever fails.
-// 3. What could not be reached a moment ago is left alone, but for a call now and then.
-TEST(Router, ServersThatCannotBeReachedAreLeftAloneHoweverManyTheyAre)
+// A failure domain is cut off, and connections to the three servers there hang until they time out.
+// The own server is full, so calls spill over. Each of them would lose the time of a connect and
+// then be refused, as ejection always keeps half of the servers. Recently unreachable servers are
+// therefore avoided, except for an occasional probe.
+TEST(Router, UnreachableServersAreAvoidedHoweverManyTheyAre)
 {
     Entry entry(ownOptions());
     entry.server("near") = FakeServer();
@@ -387,9 +383,9 @@
     CHECK(entry.shareOf("near") < 0.9);
 }
 
-// A call that the own server refused hears at once that there is no other, as long as none can be
-// reached. A new call tries all the same: otherwise nobody would find out that they are back.
-TEST(Router, RefusedCallIsNotSentWhereNothingCanBeReached)
+// A call refused by the own server fails at once while no other server is reachable, until the
+// unreachable one is due for another try.
+TEST(Router, RefusedCallIsNotSentToAnUnreachableServer)
 {
     Entry entry(ownOptions());
     entry.server("near") = FakeServer();
@@ -404,7 +400,7 @@
     CHECK(entry.choose(rank, { DaemonId("near") }).daemon == DaemonId("far"));
 }
 
-TEST(Router, DrainingServerIsLeftAtOnceAndAskedAgainAfterANewerRecord)
+TEST(Router, DrainingServerIsAvoidedUntilANewerMemberRecord)
 {
     Entry entry(ownOptions());
     addFourServers(entry);
@@ -424,7 +420,7 @@
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-TEST(Router, ServersTriedBeforeAreNotChosenAgain)
+TEST(Router, ExcludedServersAreNotChosen)
 {
     Entry entry(ownOptions());
     addFourServers(entry);
@@ -438,7 +434,7 @@
     CHECK(none.reason == Reason::NoServer);
 }
 
-TEST(Router, FloorIsThatOfTheServerThatTakesMostAndFallsWithAge)
+TEST(Router, FloorIsTheLowestOfAllServersAndDecaysWithAge)
 {
     const Rank high = lowestRankOf(Priority(90));
     const Rank middle = lowestRankOf(Priority(50));
@@ -459,13 +455,13 @@
     CHECK(refused.reason == Reason::BelowFloor);
     CHECK(refused.retryAfter > Duration(0));
 
-    // No report comes any more: nobody may be refused for good.
+    // Without further reports no call may be refused forever.
     entry.advance(RouterOptions().floorHold + RouterOptions().floorDecay);
     CHECK(entry.router().floor(entry.now(), SERVICE) == Rank());
     CHECK(!entry.choose(Rank()).daemon.value().empty());
 }
 
-TEST(Router, NoCallIsRefusedEarlyWhenSwitchedOff)
+TEST(Router, NoCallIsRefusedEarlyWithoutFloor)
 {
     RouterOptions options = ownOptions();
     options.hasFloor = false;
@@ -479,7 +475,7 @@
     CHECK(!entry.choose(Rank()).daemon.value().empty());
 }
 
-// Servers of different speed: two choices keep the queues short, one random choice does not.
+// Choosing the better of two random servers keeps queues short; one random choice does not.
 TEST(Router, TwoChoicesKeepTheBusiestServerLessBusyThanOne)
 {
     std::uint32_t busiest[2] = {};
@@ -499,7 +495,7 @@
     CHECK(busiest[1] + 5 < busiest[0]);
 }
 
-TEST(Router, ServiceWithoutServersIsSaidSo)
+TEST(Router, ServiceWithoutServersIsReported)
 {
     Entry entry(ownOptions());
     CHECK(entry.choose().reason == Reason::NoServer);
@@ -508,7 +504,7 @@
     CHECK(entry.choose().reason == Reason::NoServer);
 }
 
-// Guards against copies of a request that come at once and crash a server each.
+// Guards against simultaneous copies of a request that crash one server each.
 TEST(Router, AllEntriesSendASuspectToOneServer)
 {
     Entry a(ownOptions());
--- a/src/coordination/routing/tests/weightedsplittest.cpp
+++ b/src/coordination/routing/tests/weightedsplittest.cpp
@@ -26,7 +26,7 @@
     std::unique_ptr<IWeightedSplit> m_split = makeWeightedSplit();
 };
 
-// A small entry sees few requests: drawn by lot, ten of them would be off by a third.
+// A small entry receives few requests: chosen at random, ten of them would deviate by a third.
 TEST(WeightedSplit, KeepsTheWeightsToWithinOneRequest)
 {
     const RuleSpec rule = makeRule(90, 10);
@@ -37,7 +37,7 @@
     }
 }
 
-TEST(WeightedSplit, APartWithoutWeightGetsNothing)
+TEST(WeightedSplit, PartWithZeroWeightIsNotChosen)
 {
     const RuleSpec rule = makeRule(1, 0);
     for (int i = 0; i < 50; ++i) {
@@ -46,7 +46,7 @@
 }
 
 // Entries that start together must not all send their first requests to the same part.
-TEST(WeightedSplit, EntriesStartAtDifferentPlaces)
+TEST(WeightedSplit, EntriesStartWithDifferentParts)
 {
     const RuleSpec rule = makeRule(50, 50);
     std::map<ServiceName, int> firsts;
