--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -12,7 +12,7 @@
 /// Delay of a retry after a crash. By then other daemons have reported which of the requests in
 /// flight at the server have completed elsewhere, and so did not cause the crash.
 constexpr Duration CRASH_RETRY_DELAY = std::chrono::milliseconds(100);
-/// A call that may have crashed more servers than this is not retried.
+/// A call that may have crashed more servers than this is not retried, unless it was cleared.
 constexpr std::size_t MAX_CRASHES = 1;
 
 bool hasCrashedServer(const Verdict &verdict)
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -66,7 +66,7 @@
     std::optional<EntryAction> sendNext(TimePoint now, Verdict &failure);
     EntryActions handleFailure(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
     EntryActions redirectTo(TimePoint now, const DaemonId &holder);
-    /// After a crash of the server, delays the decision on a retry. False if there can be none.
+    /// After a crash of the server, postpones the decision on a retry. False if none is possible.
     bool postponeRetry(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
     EntryActions resumeRetry(TimePoint now);
     Standing standing() const;
--- a/src/coordination/retries/tests/attemptbudgettest.cpp
+++ b/src/coordination/retries/tests/attemptbudgettest.cpp
@@ -18,7 +18,7 @@
     LostGrantsReturn, ///< A caller takes back the grant of an answer that was lost.
     CalleeReturnsSpent, ///< A callee returns attempts that it spent.
     SpendsAfterAnswer, ///< A callee spends attempts that it returned.
-    ContextMakesFresh, ///< A call without context starts a new budget.
+    MissingContextAddsBudget, ///< A call without context starts a new budget.
 };
 
 /// A random call tree whose calls retry and hedge as often as they can.
@@ -55,7 +55,7 @@
         std::optional<AttemptCount> returned;
     };
 
-    bool happens(std::uint64_t percent) { return m_random.below(100) < percent; }
+    bool chance(std::uint64_t percent) { return m_random.below(100) < percent; }
 
     /// Makes a call with random retries or hedges.
     void call(Hop &hop, std::uint64_t depth)
@@ -73,7 +73,7 @@
             isConserved = isConserved && after + granted.value() + 1 == before;
             isConserved = isConserved && granted >= needed;
             const AttemptCount unspent = attempt(granted, depth - 1);
-            if (happens(5)) {
+            if (chance(5)) {
                 closeBudget(hop);
             }
             end(hop, granted, unspent);
@@ -82,7 +82,7 @@
 
     void end(Hop &hop, AttemptCount granted, AttemptCount unspent)
     {
-        if (!happens(m_lossPercent)) {
+        if (!chance(m_lossPercent)) {
             hop.budget.returnUnspent(granted, unspent);
         } else if (m_mutation == Mutation::LostGrantsReturn) {
             hop.budget.returnUnspent(granted, granted);
@@ -108,7 +108,7 @@
         Hop hop{ AttemptBudget(granted), {} };
         const std::uint64_t calls = depth == 0 ? 0 : m_random.below(m_width + 1);
         for (std::uint64_t i = 0; i < calls && m_attempts < LIMIT; ++i) {
-            if (happens(2)) {
+            if (chance(2)) {
                 callWithoutContext();
             } else {
                 call(hop, depth);
@@ -120,8 +120,8 @@
 
     void callWithoutContext()
     {
-        const std::uint32_t fresh = m_mutation == Mutation::ContextMakesFresh ? 30 : 1;
-        AttemptBudget budget{ AttemptCount(fresh) };
+        const std::uint32_t budgetSize = m_mutation == Mutation::MissingContextAddsBudget ? 30 : 1;
+        AttemptBudget budget{ AttemptCount(budgetSize) };
         AttemptCount granted;
         while (budget.spend(AttemptCount(0), AttemptCount(0), granted)) {
             ++m_attempts;
@@ -147,7 +147,7 @@
     return tree.isConserved && attempts <= budget + tree.withoutContext;
 }
 
-bool isCaught(Mutation mutation)
+bool isDetected(Mutation mutation)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         if (!isWithinBudget(seed, 60, mutation)) {
@@ -176,11 +176,11 @@
 
 TEST(AttemptBudget, CheckDetectsBudgetsThatAreNotConserved)
 {
-    CHECK_FALSE(isCaught(Mutation::None));
-    CHECK(isCaught(Mutation::LostGrantsReturn));
-    CHECK(isCaught(Mutation::CalleeReturnsSpent));
-    CHECK(isCaught(Mutation::SpendsAfterAnswer));
-    CHECK(isCaught(Mutation::ContextMakesFresh));
+    CHECK_FALSE(isDetected(Mutation::None));
+    CHECK(isDetected(Mutation::LostGrantsReturn));
+    CHECK(isDetected(Mutation::CalleeReturnsSpent));
+    CHECK(isDetected(Mutation::SpendsAfterAnswer));
+    CHECK(isDetected(Mutation::MissingContextAddsBudget));
 }
 
 TEST(AttemptBudget, KeepsOneAttemptForARetry)
--- a/src/coordination/routing/internal/router.h
+++ b/src/coordination/routing/internal/router.h
@@ -52,8 +52,11 @@
     bool mayEject(TimePoint now, const Service &service, const Server &candidate) const;
 
     bool isExcluded(const Query &query, const Server &server) const;
+    /// Reachable, not ejected, and not busy with a call on probation.
     bool isUsable(const Query &query, const Server &server) const;
+    /// Eligible, and reached by the latest call or due for a probe.
     bool isReachable(const Query &query, const Server &server) const;
+    /// Not draining, not excluded, and its floor admits the request.
     bool isEligible(const Query &query, const Server &server) const;
     /// Returns the first server, from a random position on, that passes the filter and is not
     /// `other`; nullptr if there is none.
--- a/src/coordination/routing/tests/routertest.cpp
+++ b/src/coordination/routing/tests/routertest.cpp
@@ -384,7 +384,8 @@
 }
 
 // A call refused by the own server fails at once while no other server is reachable, until the
-// unreachable one is due for another try.
+// unreachable one is due for another try. New calls still probe it; otherwise its recovery would go
+// unnoticed.
 TEST(Router, RefusedCallIsNotSentToAnUnreachableServer)
 {
     Entry entry(ownOptions());
