--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -71,9 +71,9 @@
     EntryActions resumeRetry(TimePoint now);
     Standing standing() const;
     std::optional<EntryAction> sendTo(TimePoint now, const DaemonId &target, const char *why);
-    /// `isUpstreamError`: the upstream answered with an error of its own or of a call below it.
+    /// `isUpstreamError`: the upstream answered with an error of its own or of an inner call.
     bool mayRetry(TimePoint now, const AttemptResult &result, bool isUpstreamError);
-    /// Least number of attempts that the calls below this one need.
+    /// Least number of attempts that the inner calls of this call need.
     AttemptCount neededForInnerCalls() const;
     /// Closes the attempt and reports its end to the budget and the router.
     void recordEnd(TimePoint now, Attempt &attempt, const AttemptResult &result);
--- a/src/coordination/retries/iretrypolicy.h
+++ b/src/coordination/retries/iretrypolicy.h
@@ -25,7 +25,7 @@
     Duration remaining{ 0 };
     /// The failed attempt reached an upstream, or may have: the next one is a repeat there.
     bool hasReachedUpstream = true;
-    /// The upstream answered with an error of its own or of a call below it. Only the hop next to
+    /// The upstream answered with an error of its own or of an inner call. Only the hop next to
     /// the failure retries.
     bool isUpstreamError = false;
 };
