--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -44,8 +44,8 @@
     options.domain = settings.domain;
     options.hasFloor = hasFloor(settings);
     if (ablations.routing) {
-        options.hasTwoChoices = false;
-        options.isOwnDomainFirst = false;
+        options.usesTwoChoices = false;
+        options.prefersOwnDomain = false;
         options.hasSlowStart = false;
         options.hasErrorPenalty = false;
     }
@@ -57,12 +57,12 @@
     const Ablations &ablations = settings.ablations;
     RetryOptions options;
     if (settings.retryBudget) {
-        options.countsArrivalsOnly = true;
-        options.retryShare = settings.retryBudget->ratio * OWN_SHARE_OF_BUDGET;
+        options.countsUpstreamAttemptsOnly = true;
+        options.retryRatio = settings.retryBudget->ratio * OWN_SHARE_OF_BUDGET;
         // A daemon that has just started does not know how many others start with it.
-        options.initialRetries = 0;
-        options.sharedSlack = settings.retryBudget->slack;
-        options.areHedgesRetries = true;
+        options.initialRetryTokens = 0;
+        options.sharedRetryTokens = settings.retryBudget->slack;
+        options.hedgesUseRetryTokens = true;
         options.hedgeFactor = SILENCE_FACTOR;
     }
     if (ablations.retryTokens) {
@@ -73,10 +73,10 @@
     return options;
 }
 
-RepeatBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings)
+LocalRetryBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings)
 {
-    RepeatBudgetOptions options;
-    options.isOn = !settings.ablations.turnedAway;
+    LocalRetryBudgetOptions options;
+    options.isEnabled = !settings.ablations.turnedAway;
     if (settings.retryBudget) {
         options.ratio = settings.retryBudget->ratio;
         options.window = settings.retryBudget->window;
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -6,14 +6,14 @@
 
 #include "coordination/calls/ientrycall.h"
 #include "coordination/quarantine/suspect.h"
-#include "coordination/retries/iattemptledger.h"
+#include "coordination/retries/iattemptbudget.h"
 #include "coordination/retries/iretrypolicy.h"
 #include "coordination/routing/irouter.h"
 #include "state/configuration.h"
 
 namespace ivyspar {
 
-/// The decisions that an entry call asks, shared by all calls of the entry.
+/// Policies that an entry call consults, shared by all calls of the entry.
 struct EntryPolicies
 {
     IRouter &router;
@@ -21,29 +21,29 @@
     IRandom &random;
 };
 
-struct EntryCallTerms
+struct EntryCallOptions
 {
     RuleSpec rule;
     Rank rank;
     TimePoint deadline;
-    /// A call without context: its single attempt hands nothing over and is never repeated.
+    /// For a call without context: its single attempt hands over no attempts and is never retried.
     bool isSingleAttempt = false;
-    /// The only daemon that may take the call; empty for any. Given by a ticket.
+    /// The only daemon that may run the call, given by a ticket; empty for any.
     DaemonId pinned;
-    /// Whether the request may have crashed servers, asked before each attempt. Empty: it is no
-    /// suspect.
+    /// Returns whether the request may have crashed servers; called before each attempt. Empty for
+    /// a request that is no suspect.
     std::function<Standing()> standing = {};
-    /// Of the request, while it is a suspect.
+    /// Returns the fingerprint of the request while it is a suspect.
     std::function<Fingerprint()> fingerprint = {};
 };
 
 class EntryCall : public IEntryCall
 {
 public:
-    EntryCall(EntryPolicies policies, IAttemptLedger &ledger, EntryCallTerms terms);
+    EntryCall(EntryPolicies policies, IAttemptBudget &budget, EntryCallOptions options);
 
     EntryActions start(TimePoint now) override;
-    EntryActions onEnd(TimePoint now, AttemptIndex attempt, const AttemptEnd &end) override;
+    EntryActions onEnd(TimePoint now, AttemptIndex attempt, const AttemptResult &result) override;
     EntryActions onTimer(TimePoint now) override;
     EntryActions onCallerGone(TimePoint now) override;
     TimePoint nextTimer() const override;
@@ -62,43 +62,44 @@
 
     EntryActions refuse(TimePoint now, Reason reason, Duration retryAfter);
     EntryActions finish(TimePoint now, AttemptIndex attempt, Verdict verdict);
-    /// Sends one more attempt, or says in `failure` why it cannot.
+    /// Sends one more attempt, or sets `failure` to the reason why it cannot.
     std::optional<EntryAction> sendNext(TimePoint now, Verdict &failure);
-    EntryActions followUp(TimePoint now, AttemptIndex attempt, const AttemptEnd &end);
+    EntryActions handleFailure(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
     EntryActions redirectTo(TimePoint now, const DaemonId &holder);
-    /// The server crashed: whether the call is to be repeated is seen a moment later.
-    bool postpone(TimePoint now, AttemptIndex attempt, const AttemptEnd &end);
-    EntryActions resume(TimePoint now);
+    /// After a crash of the server, postpones the decision on a retry. False if none is possible.
+    bool postponeRetry(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
+    EntryActions resumeRetry(TimePoint now);
     Standing standing() const;
-    std::optional<EntryAction> launch(TimePoint now, const DaemonId &target, const char *why);
-    /// `isFromBelow`: the upstream answered with an error of its own or of a call that it made.
-    bool mayRetry(TimePoint now, const AttemptEnd &end, bool isFromBelow);
-    /// Attempts that the calls below this one need at the least.
-    AttemptCount neededBelow() const;
-    void settle(TimePoint now, Attempt &attempt, const AttemptEnd &end);
-    void armHedge(TimePoint now);
-    /// Whether the rule lets one more server be reached.
+    std::optional<EntryAction> sendTo(TimePoint now, const DaemonId &target, const char *why);
+    /// `isUpstreamError`: the upstream answered with an error of its own or of an inner call.
+    bool mayRetry(TimePoint now, const AttemptResult &result, bool isUpstreamError);
+    /// Least number of attempts that the inner calls of this call need.
+    AttemptCount neededForInnerCalls() const;
+    /// Closes the attempt and reports its end to the budget and the router.
+    void recordEnd(TimePoint now, Attempt &attempt, const AttemptResult &result);
+    void scheduleHedge(TimePoint now);
+    /// Whether the rule allows one more server to be reached.
     bool mayReachAnother() const;
     bool hasOpenAttempt() const;
 
     EntryPolicies m_policies;
-    IAttemptLedger &m_ledger;
-    EntryCallTerms m_terms;
+    IAttemptBudget &m_budget;
+    EntryCallOptions m_options;
     std::vector<Attempt> m_attempts;
     std::vector<DaemonId> m_tried;
     std::optional<TimePoint> m_hedgeAt;
-    /// The attempt whose server crashed, while its repetition is put off until then.
+    /// The attempt whose server crashed, while its retry is postponed.
     struct Postponed
     {
         TimePoint until;
         AttemptIndex attempt;
-        AttemptEnd end;
+        AttemptResult result;
     };
     std::optional<Postponed> m_postponed;
-    /// An attempt may have run without our knowing how it ended.
+    /// An attempt may have run and its outcome is unknown.
     bool m_mayHaveRun = false;
     /// Attempts that reached an upstream, or may have.
-    std::uint32_t m_arrivals = 0;
+    std::uint32_t m_upstreamAttempts = 0;
     bool m_isRedirected = false;
     bool m_isFinished = false;
 };
--- a/src/coordination/calls/tests/entrycalltest.cpp
+++ b/src/coordination/calls/tests/entrycalltest.cpp
@@ -4,7 +4,7 @@
 
 #include "coordination/calls/tests/mocks/fakeretrypolicy.h"
 #include "coordination/calls/tests/mocks/fakerouter.h"
-#include "coordination/retries/internal/attemptledger.h"
+#include "coordination/retries/internal/attemptbudget.h"
 #include "state/internal/seededrandom.h"
 
 #include <CppUTest/TestHarness.h>
@@ -17,19 +17,19 @@
 const DaemonId FIRST("first");
 const DaemonId SECOND("second");
 
-AttemptEnd endWith(Outcome outcome, Reason reason, std::uint32_t unspent)
+AttemptResult makeResult(Outcome outcome, Reason reason, std::uint32_t unspent)
 {
-    AttemptEnd end;
-    end.verdict = Verdict{ outcome, reason, Duration::zero() };
-    end.unspent = AttemptCount(unspent);
-    end.status = outcome == Outcome::Answered ? 200 : 0;
-    return end;
+    AttemptResult result;
+    result.verdict = Verdict{ outcome, reason, Duration::zero() };
+    result.unspent = AttemptCount(unspent);
+    result.status = outcome == Outcome::Answered ? 200 : 0;
+    return result;
 }
 
-const EntryAction *findAction(const EntryActions &actions, EntryVerb verb)
+const EntryAction *findAction(const EntryActions &actions, EntryActionType type)
 {
     for (const EntryAction &action : actions) {
-        if (action.verb == verb) {
+        if (action.type == type) {
             return &action;
         }
     }
@@ -43,23 +43,23 @@
     FakeRouter router;
     FakeRetryPolicy retries;
     SeededRandom random{ 1 };
-    AttemptLedger ledger{ AttemptCount(9) };
-    EntryCallTerms terms;
+    AttemptBudget budget{ AttemptCount(9) };
+    EntryCallOptions options;
     TimePoint now{ milliseconds(1000) };
 
     void setup() override
     {
         router.daemons = { FIRST, SECOND };
-        terms.rule.service = ServiceName("cassa");
-        terms.rule.attempts = AttemptCount(9);
-        terms.rule.repetition = Repetition::Never;
-        terms.rank = Rank(100);
-        terms.deadline = now + milliseconds(500);
+        options.rule.service = ServiceName("cassa");
+        options.rule.attempts = AttemptCount(9);
+        options.rule.repetition = Repetition::Never;
+        options.rank = Rank(100);
+        options.deadline = now + milliseconds(500);
     }
 
     EntryCall makeCall()
     {
-        return EntryCall(EntryPolicies{ router, retries, random }, ledger, terms);
+        return EntryCall(EntryPolicies{ router, retries, random }, budget, options);
     }
 };
 
@@ -67,47 +67,47 @@
 {
     EntryCall call = makeCall();
     const EntryActions sent = call.start(now);
-    CHECK(findAction(sent, EntryVerb::Send)->target == FIRST);
+    CHECK(findAction(sent, EntryActionType::Send)->target == FIRST);
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::Answered, Reason::None, 3));
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Answered);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::Answered, Reason::None, 3));
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Answered);
     CHECK(call.isFinished());
     CHECK_EQUAL(1, retries.successes);
 }
 
-// The first gate refuses, so nothing ran; the call goes to another server.
+// The first gate refuses, so the call did not run and is sent to another server.
 TEST(EntryCall, RefusedAttemptIsSentElsewhere)
 {
     EntryCall call = makeCall();
     call.start(now);
     const EntryActions next =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::NotRun, Reason::QueueFull, 7));
-    CHECK(findAction(next, EntryVerb::Send)->target == SECOND);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::NotRun, Reason::QueueFull, 7));
+    CHECK(findAction(next, EntryActionType::Send)->target == SECOND);
 }
 
-// The link is lost after a call that must not be repeated was sent. The caller hears "unknown": a
-// second attempt could run it twice, and "not run" could be a lie.
+// The link is lost after a call that must not be repeated was sent. The caller is told "unknown": a
+// second attempt could run it twice, and "not run" could be wrong.
 TEST(EntryCall, AttemptThatMayHaveRunIsNotRepeated)
 {
     EntryCall call = makeCall();
     call.start(now);
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::Unknown, Reason::LinkLost, 0));
-    CHECK(findAction(ended, EntryVerb::Send) == nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::Unknown, Reason::LinkLost, 0));
+    CHECK(findAction(ended, EntryActionType::Send) == nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
-// A lookup's first attempt is lost, its second is refused. The refusal says nothing of the first,
-// which may have run: the caller must not hear "not run".
+// The first attempt of a lookup is lost, its second is refused. The refusal says nothing about the
+// first, which may have run: the caller must not be told "not run".
 TEST(EntryCall, RefusalAfterALostAttemptIsUnknown)
 {
-    terms.rule.repetition = Repetition::Idempotent;
+    options.rule.repetition = Repetition::Idempotent;
     EntryCall call = makeCall();
     call.start(now);
-    call.onEnd(now, AttemptIndex(0), endWith(Outcome::Unknown, Reason::LinkLost, 0));
+    call.onEnd(now, AttemptIndex(0), makeResult(Outcome::Unknown, Reason::LinkLost, 0));
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(1), endWith(Outcome::NotRun, Reason::QueueFull, 0));
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
+        call.onEnd(now, AttemptIndex(1), makeResult(Outcome::NotRun, Reason::QueueFull, 0));
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
 // No answer comes by the deadline. The caller is answered then, and the attempt is cancelled.
@@ -115,11 +115,11 @@
 {
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(call.nextTimer() == terms.deadline);
-    const EntryActions ended = call.onTimer(terms.deadline);
-    CHECK(findAction(ended, EntryVerb::Cancel) != nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.reason == Reason::Timeout);
+    CHECK(call.nextTimer() == options.deadline);
+    const EntryActions ended = call.onTimer(options.deadline);
+    CHECK(findAction(ended, EntryActionType::Cancel) != nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.reason == Reason::Timeout);
 }
 
 TEST(EntryCall, RankBelowTheFloorIsRefusedBeforeAnythingIsSpent)
@@ -127,101 +127,101 @@
     router.lowest = Rank(101);
     EntryCall call = makeCall();
     const EntryActions ended = call.start(now);
-    const EntryAction *finish = findAction(ended, EntryVerb::Finish);
+    const EntryAction *finish = findAction(ended, EntryActionType::Finish);
     CHECK(finish->verdict.outcome == Outcome::NotRun);
     CHECK(finish->verdict.reason == Reason::BelowFloor);
-    CHECK(finish->verdict.retryAfter == retries.comeBack);
+    CHECK(finish->verdict.retryAfter == retries.retryDelay);
     CHECK_EQUAL(0, router.sent);
-    CHECK(ledger.left() == AttemptCount(9));
+    CHECK(budget.left() == AttemptCount(9));
 }
 
-TEST(EntryCall, SpentBudgetIsRefusedWithoutInvitingBack)
+TEST(EntryCall, SpentBudgetIsRefusedWithoutRetryAfter)
 {
     AttemptCount granted;
-    while (ledger.spend(AttemptCount(0), AttemptCount(100), granted)) { }
+    while (budget.spend(AttemptCount(0), AttemptCount(100), granted)) { }
     EntryCall call = makeCall();
     const EntryActions ended = call.start(now);
-    const EntryAction *finish = findAction(ended, EntryVerb::Finish);
+    const EntryAction *finish = findAction(ended, EntryActionType::Finish);
     CHECK(finish->verdict.reason == Reason::BudgetSpent);
     CHECK(finish->verdict.retryAfter == Duration::zero());
 }
 
-// A slow lookup is hedged. The second attempt answers first; the first one is cancelled, and its
-// late end changes nothing for the caller but frees its place in the router's counts.
-TEST(EntryCall, HedgeWinsAndTheLoserIsCancelled)
+// A slow lookup is hedged. The second attempt answers first and the first one is cancelled. Its
+// late end does not affect the caller, but is reported to the router.
+TEST(EntryCall, HedgeThatAnswersFirstCancelsTheFirstAttempt)
 {
-    terms.rule.repetition = Repetition::Idempotent;
+    options.rule.repetition = Repetition::Idempotent;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
     const EntryActions hedged = call.onTimer(now + milliseconds(20));
-    CHECK(findAction(hedged, EntryVerb::Send)->target == SECOND);
+    CHECK(findAction(hedged, EntryActionType::Send)->target == SECOND);
     const EntryActions ended = call.onEnd(now + milliseconds(25), AttemptIndex(1),
-                                          endWith(Outcome::Answered, Reason::None, 0));
-    CHECK(findAction(ended, EntryVerb::Cancel)->attempt == AttemptIndex(0));
-    CHECK(findAction(ended, EntryVerb::Finish)->attempt == AttemptIndex(1));
+                                          makeResult(Outcome::Answered, Reason::None, 0));
+    CHECK(findAction(ended, EntryActionType::Cancel)->attempt == AttemptIndex(0));
+    CHECK(findAction(ended, EntryActionType::Finish)->attempt == AttemptIndex(1));
     CHECK(call.onEnd(now + milliseconds(30), AttemptIndex(0),
-                     endWith(Outcome::Unknown, Reason::Cancelled, 0))
+                     makeResult(Outcome::Unknown, Reason::Cancelled, 0))
               .empty());
     CHECK(router.ends.back().second == RouteFeedback::Cancelled);
 }
 
-// The operators allow one server for a request. Its answer is late, but it may be running: a hedge
-// would be the second server.
+// The rule allows one server per request. The answer is late, but the request may be running: a
+// hedge would reach a second server.
 TEST(EntryCall, HedgeStaysWithinTheServersThatTheRuleAllows)
 {
-    terms.rule.repetition = Repetition::Idempotent;
-    terms.rule.servers = 1;
+    options.rule.repetition = Repetition::Idempotent;
+    options.rule.servers = 1;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(findAction(call.onTimer(now + milliseconds(20)), EntryVerb::Send) == nullptr);
-    CHECK(call.nextTimer() == terms.deadline);
+    CHECK(findAction(call.onTimer(now + milliseconds(20)), EntryActionType::Send) == nullptr);
+    CHECK(call.nextTimer() == options.deadline);
 }
 
-// Both attempts of a hedged call are at work, and the rule allows two servers. When one is lost, a
-// third server must not be asked while the other may still answer.
+// Both attempts of a hedged call are in flight, and the rule allows two servers. If one is lost, a
+// third server must not be tried while the other may still answer.
 TEST(EntryCall, LostAttemptBesideAnOpenOneIsNotRepeatedBeyondTheAllowedServers)
 {
     router.daemons = { FIRST, SECOND, DaemonId("third") };
-    terms.rule.repetition = Repetition::Idempotent;
-    terms.rule.servers = 2;
+    options.rule.repetition = Repetition::Idempotent;
+    options.rule.servers = 2;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
     call.onTimer(now + milliseconds(20));
-    AttemptEnd lost = endWith(Outcome::Unknown, Reason::LinkLost, 0);
+    AttemptResult lost = makeResult(Outcome::Unknown, Reason::LinkLost, 0);
     lost.hasReachedUpstream = true;
     CHECK(call.onEnd(now + milliseconds(25), AttemptIndex(0), lost).empty());
 }
 
-// The hedge's upstream fails while the first attempt is still at work. The caller gets the whole
-// answer of the first one, not the error.
-TEST(EntryCall, ErrorDoesNotWinOverAnOpenAttempt)
+// The hedge's upstream fails while the first attempt is still in flight. The caller gets the answer
+// of the first one, not the error.
+TEST(EntryCall, ErrorDoesNotOverrideAnOpenAttempt)
 {
-    terms.rule.repetition = Repetition::Idempotent;
+    options.rule.repetition = Repetition::Idempotent;
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
     call.onTimer(now + milliseconds(20));
-    AttemptEnd error = endWith(Outcome::Answered, Reason::None, 0);
+    AttemptResult error = makeResult(Outcome::Answered, Reason::None, 0);
     error.status = 502;
     CHECK(call.onEnd(now + milliseconds(25), AttemptIndex(1), error).empty());
     const EntryActions ended = call.onEnd(now + milliseconds(40), AttemptIndex(0),
-                                          endWith(Outcome::Answered, Reason::None, 0));
-    CHECK(findAction(ended, EntryVerb::Finish)->attempt == AttemptIndex(0));
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Answered);
+                                          makeResult(Outcome::Answered, Reason::None, 0));
+    CHECK(findAction(ended, EntryActionType::Finish)->attempt == AttemptIndex(0));
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Answered);
 }
 
-// Two attempts are left for a call whose upstream makes three more. It is not started: it would
-// spend both and fail half-way.
+// Two attempts are left for a call whose upstream makes three more calls. It is not started: it
+// would spend both and fail half-way.
 TEST(EntryCall, CallThatCannotFinishWithinItsBudgetIsNotStarted)
 {
-    terms.rule.calls = 4;
-    AttemptLedger small(AttemptCount(2));
-    EntryCall call(EntryPolicies{ router, retries, random }, small, terms);
+    options.rule.calls = 4;
+    AttemptBudget small(AttemptCount(2));
+    EntryCall call(EntryPolicies{ router, retries, random }, small, options);
     const EntryActions ended = call.start(now);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.reason == Reason::BudgetSpent);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.reason == Reason::BudgetSpent);
     CHECK_EQUAL(0, router.sent);
     CHECK(small.left() == AttemptCount(2));
 }
@@ -231,47 +231,47 @@
     retries.hedgeAfter = milliseconds(20);
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(call.nextTimer() == terms.deadline);
+    CHECK(call.nextTimer() == options.deadline);
 }
 
-// Another daemon keeps the key's result: the call follows to it once, and only once.
-TEST(EntryCall, FollowsTheKeyToItsHolderOnce)
+// Another daemon keeps the key's result: the call is redirected to it once, and only once.
+TEST(EntryCall, IsRedirectedToTheKeyHolderOnce)
 {
     EntryCall call = makeCall();
     call.start(now);
-    AttemptEnd busy = endWith(Outcome::NotRun, Reason::KeyBusy, 7);
+    AttemptResult busy = makeResult(Outcome::NotRun, Reason::KeyBusy, 7);
     busy.holder = DaemonId("holder");
     retries.mayRetry = false;
     const EntryActions next = call.onEnd(now, AttemptIndex(0), busy);
-    CHECK(findAction(next, EntryVerb::Send)->target == DaemonId("holder"));
+    CHECK(findAction(next, EntryActionType::Send)->target == DaemonId("holder"));
     const EntryActions ended = call.onEnd(now, AttemptIndex(1), busy);
-    CHECK(findAction(ended, EntryVerb::Finish) != nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish) != nullptr);
 }
 
-TEST(EntryCall, CallWithoutContextIsTriedOnce)
+TEST(EntryCall, CallWithoutContextIsNotRetried)
 {
-    terms.isSingleAttempt = true;
+    options.isSingleAttempt = true;
     EntryCall call = makeCall();
-    CHECK(findAction(call.start(now), EntryVerb::Send)->granted == AttemptCount(0));
+    CHECK(findAction(call.start(now), EntryActionType::Send)->granted == AttemptCount(0));
     const EntryActions ended =
-        call.onEnd(now, AttemptIndex(0), endWith(Outcome::NotRun, Reason::QueueFull, 0));
-    CHECK(findAction(ended, EntryVerb::Send) == nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::NotRun);
+        call.onEnd(now, AttemptIndex(0), makeResult(Outcome::NotRun, Reason::QueueFull, 0));
+    CHECK(findAction(ended, EntryActionType::Send) == nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::NotRun);
 }
 
-// Guards against a request that is passed on, and never cancelled, for a client that has left.
-TEST(EntryCall, ACallerThatLeftBeforeTheStartGetsNothingSent)
+// Guards against a request that is forwarded, and never cancelled, for a disconnected caller.
+TEST(EntryCall, NothingIsSentForACallerThatDisconnectedBeforeTheStart)
 {
     EntryCall call = makeCall();
-    CHECK(findAction(call.onCallerGone(now), EntryVerb::Finish) != nullptr);
+    CHECK(findAction(call.onCallerGone(now), EntryActionType::Finish) != nullptr);
     CHECK(call.start(now).empty());
     CHECK_EQUAL(0, call.attempts());
 }
 
-TEST(EntryCall, CallerThatLeavesCancelsWhatIsOpen)
+TEST(EntryCall, CallerThatDisconnectsCancelsOpenAttempts)
 {
     EntryCall call = makeCall();
     call.start(now);
-    CHECK(findAction(call.onCallerGone(now), EntryVerb::Cancel)->attempt == AttemptIndex(0));
+    CHECK(findAction(call.onCallerGone(now), EntryActionType::Cancel)->attempt == AttemptIndex(0));
     CHECK(call.isFinished());
 }
--- a/src/coordination/calls/tests/mocks/fakeretrypolicy.h
+++ b/src/coordination/calls/tests/mocks/fakeretrypolicy.h
@@ -4,19 +4,19 @@
 
 namespace ivyspar {
 
-/// Retries whatever may be repeated at all; hedges after `hedgeAfter` when that is not zero.
+/// Retries everything that is safe to repeat; hedges after `hedgeAfter` if that is not zero.
 class FakeRetryPolicy : public IRetryPolicy
 {
 public:
     bool mayRetry = true;
     Duration hedgeAfter{ 0 };
-    Duration comeBack = std::chrono::milliseconds(40);
+    Duration retryDelay = std::chrono::milliseconds(40);
     int successes = 0;
 
-    bool shouldRetry(TimePoint /*now*/, const RetryQuestion &question) override
+    bool shouldRetry(TimePoint /*now*/, const RetryQuery &query) override
     {
-        const bool isSafe = question.verdict.outcome == Outcome::NotRun
-            || question.repetition == Repetition::Idempotent;
+        const bool isSafe =
+            query.verdict.outcome == Outcome::NotRun || query.repetition == Repetition::Idempotent;
         return mayRetry && isSafe;
     }
     void onSuccess(TimePoint /*now*/, const ServiceName & /*service*/,
@@ -24,16 +24,19 @@
     {
         ++successes;
     }
-    void setDaemons(std::size_t /*daemons*/) override { }
+    void setDaemonCount(std::size_t /*daemons*/) override { }
     Duration hedgeDelay(TimePoint /*now*/, const RuleSpec & /*rule*/) override
     {
         return hedgeAfter;
     }
-    bool takeHedge(TimePoint /*now*/, const ServiceName & /*service*/) override { return true; }
+    bool tryTakeHedgeToken(TimePoint /*now*/, const ServiceName & /*service*/) override
+    {
+        return true;
+    }
     Duration retryAfter(TimePoint /*now*/, const ServiceName & /*service*/,
                         IRandom & /*random*/) override
     {
-        return comeBack;
+        return retryDelay;
     }
 };
 
--- a/src/coordination/calls/tests/suspectcalltest.cpp
+++ b/src/coordination/calls/tests/suspectcalltest.cpp
@@ -2,7 +2,7 @@
 
 #include "coordination/calls/tests/mocks/fakeretrypolicy.h"
 #include "coordination/calls/tests/mocks/fakerouter.h"
-#include "coordination/retries/internal/attemptledger.h"
+#include "coordination/retries/internal/attemptbudget.h"
 #include "state/internal/seededrandom.h"
 
 #include <CppUTest/TestHarness.h>
@@ -12,22 +12,22 @@
 
 namespace {
 
-const EntryAction *findAction(const EntryActions &actions, EntryVerb verb)
+const EntryAction *findAction(const EntryActions &actions, EntryActionType type)
 {
     for (const EntryAction &action : actions) {
-        if (action.verb == verb) {
+        if (action.type == type) {
             return &action;
         }
     }
     return nullptr;
 }
 
-AttemptEnd crash()
+AttemptResult makeCrashResult()
 {
-    AttemptEnd end;
-    end.verdict = Verdict{ Outcome::Unknown, Reason::ServerCrashed, Duration::zero() };
-    end.hasReachedUpstream = true;
-    return end;
+    AttemptResult result;
+    result.verdict = Verdict{ Outcome::Unknown, Reason::ServerCrashed, Duration::zero() };
+    result.hasReachedUpstream = true;
+    return result;
 }
 
 } // namespace
@@ -37,84 +37,85 @@
     FakeRouter m_router;
     FakeRetryPolicy m_retries;
     SeededRandom m_random{ 1 };
-    AttemptLedger m_ledger{ AttemptCount(9) };
-    EntryCallTerms m_terms;
+    AttemptBudget m_budget{ AttemptCount(9) };
+    EntryCallOptions m_options;
     Standing m_standing;
     TimePoint m_now{ 1000ms };
 
     void setup() override
     {
         m_router.daemons = { DaemonId("first"), DaemonId("second"), DaemonId("third") };
-        m_terms.rule.service = ServiceName("cassa");
-        m_terms.rule.attempts = AttemptCount(9);
-        m_terms.rule.repetition = Repetition::Idempotent;
-        m_terms.deadline = m_now + 2s;
-        m_terms.standing = [this] { return m_standing; };
-        m_terms.fingerprint = [] { return Fingerprint("f00d"); };
+        m_options.rule.service = ServiceName("cassa");
+        m_options.rule.attempts = AttemptCount(9);
+        m_options.rule.repetition = Repetition::Idempotent;
+        m_options.deadline = m_now + 2s;
+        m_options.standing = [this] { return m_standing; };
+        m_options.fingerprint = [] { return Fingerprint("f00d"); };
     }
     EntryCall makeCall()
     {
-        return EntryCall(EntryPolicies{ m_router, m_retries, m_random }, m_ledger, m_terms);
+        return EntryCall(EntryPolicies{ m_router, m_retries, m_random }, m_budget, m_options);
     }
-    void suspect(std::size_t crashes)
+    void markSuspect(std::size_t crashes)
     {
         m_standing.suspicion = Suspicion::Suspect;
         m_standing.crashes = crashes;
     }
 };
 
-// Guards against a call that crashes one server after the other within a moment.
-TEST(SuspectCall, IsRepeatedOnlyAMomentAfterACrash)
+// Guards against a call that crashes several servers in quick succession.
+TEST(SuspectCall, IsRetriedOnlyAfterADelay)
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    suspect(1);
-    CHECK(call.onEnd(m_now, AttemptIndex(0), crash()).empty());
+    markSuspect(1);
+    CHECK(call.onEnd(m_now, AttemptIndex(0), makeCrashResult()).empty());
     CHECK(call.nextTimer() == m_now + 100ms);
     m_now += 100ms;
-    CHECK(findAction(call.onTimer(m_now), EntryVerb::Send) != nullptr);
+    CHECK(findAction(call.onTimer(m_now), EntryActionType::Send) != nullptr);
     CHECK(m_router.fingerprints.back() == Fingerprint("f00d"));
 }
 
-TEST(SuspectCall, IsNotRepeatedAfterTheSecondCrash)
+TEST(SuspectCall, IsNotRetriedAfterTheSecondCrash)
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    suspect(2);
-    call.onEnd(m_now, AttemptIndex(0), crash());
+    markSuspect(2);
+    call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
     m_now += 100ms;
     const EntryActions ended = call.onTimer(m_now);
-    CHECK(findAction(ended, EntryVerb::Send) == nullptr);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.reason == Reason::ServerCrashed);
+    CHECK(findAction(ended, EntryActionType::Send) == nullptr);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.reason == Reason::ServerCrashed);
 }
 
-// Guards against requests in demand that are lost with each server though others have completed.
-TEST(SuspectCall, OneThatIsClearedMeanwhileIsRepeatedAsAnyOther)
+// Guards against frequent requests that are lost with each crashed server although the same request
+// has completed elsewhere.
+TEST(SuspectCall, ClearedCallIsRetried)
 {
     EntryCall call = makeCall();
     call.start(m_now);
     m_standing.crashes = 4;
-    call.onEnd(m_now, AttemptIndex(0), crash());
+    call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
     m_now += 100ms;
-    CHECK(findAction(call.onTimer(m_now), EntryVerb::Send) != nullptr);
+    CHECK(findAction(call.onTimer(m_now), EntryActionType::Send) != nullptr);
     CHECK(m_router.fingerprints.back() == Fingerprint());
 }
 
-TEST(SuspectCall, OneThatMayNotBeRepeatedEndsAtOnce)
+TEST(SuspectCall, CallThatMayNotBeRepeatedFailsAtOnce)
 {
-    m_terms.rule.repetition = Repetition::Never;
+    m_options.rule.repetition = Repetition::Never;
     EntryCall call = makeCall();
     call.start(m_now);
-    const EntryActions ended = call.onEnd(m_now, AttemptIndex(0), crash());
-    CHECK(findAction(ended, EntryVerb::Finish)->verdict.outcome == Outcome::Unknown);
+    const EntryActions ended = call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
+    CHECK(findAction(ended, EntryActionType::Finish)->verdict.outcome == Outcome::Unknown);
 }
 
-// Guards against a suspect that runs on two servers at a time.
+// Guards against a suspect that runs on two servers at the same time.
 TEST(SuspectCall, IsNotHedged)
 {
     m_retries.hedgeAfter = 50ms;
-    suspect(1);
+    markSuspect(1);
     EntryCall call = makeCall();
     call.start(m_now);
     m_now += 50ms;
@@ -122,48 +123,51 @@
     LONGS_EQUAL(1, call.attempts());
 }
 
-TEST(SuspectCall, TheAnswerOfAQuarantineNamesNoTimeToComeBack)
+TEST(SuspectCall, QuarantinedCallGetsNoRetryAfter)
 {
     m_standing.suspicion = Suspicion::Quarantined;
     EntryCall call = makeCall();
     const EntryActions ended = call.start(m_now);
-    const EntryAction *finish = findAction(ended, EntryVerb::Finish);
+    const EntryAction *finish = findAction(ended, EntryActionType::Finish);
     CHECK(finish->verdict.outcome == Outcome::NotRun);
     CHECK(finish->verdict.reason == Reason::Quarantined);
     CHECK(finish->verdict.retryAfter == Duration::zero());
 }
 
-// Guards against a request that runs on a mended version and is refused by a gate of the old one.
-TEST(SuspectCall, OneThatAGateOfAnotherVersionRefusesGoesOn)
+// Guards against refusing a request for good that a gate of an old version refuses, although a
+// fixed version could run it.
+TEST(SuspectCall, CallRefusedByAGateOfAnotherVersionIsRetried)
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    AttemptEnd refused;
+    AttemptResult refused;
     refused.verdict = Verdict{ Outcome::NotRun, Reason::Quarantined, Duration::zero() };
-    CHECK(findAction(call.onEnd(m_now, AttemptIndex(0), refused), EntryVerb::Send) != nullptr);
+    CHECK(findAction(call.onEnd(m_now, AttemptIndex(0), refused), EntryActionType::Send)
+          != nullptr);
     m_standing.suspicion = Suspicion::Quarantined;
-    CHECK(findAction(call.onEnd(m_now, AttemptIndex(1), refused), EntryVerb::Send) == nullptr);
+    CHECK(findAction(call.onEnd(m_now, AttemptIndex(1), refused), EntryActionType::Send)
+          == nullptr);
 }
 
-TEST(SuspectCall, OneThatWaitsForItsRepetitionEndsWithItsCaller)
+TEST(SuspectCall, PostponedRetryIsDroppedWhenTheCallerDisconnects)
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    suspect(1);
-    call.onEnd(m_now, AttemptIndex(0), crash());
-    CHECK(findAction(call.onCallerGone(m_now), EntryVerb::Finish) != nullptr);
+    markSuspect(1);
+    call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
+    CHECK(findAction(call.onCallerGone(m_now), EntryActionType::Finish) != nullptr);
     CHECK(call.onTimer(m_now + 100ms).empty());
 }
 
-// Guards against a call whose hedge is still open, and that takes the next server at once.
-TEST(SuspectCall, WithAnotherAttemptOpenItIsNotRepeatedAtOnce)
+// Guards against a call that is retried on the next server at once while its hedge is still open.
+TEST(SuspectCall, IsNotRetriedAtOnceWithAnotherAttemptOpen)
 {
     m_retries.hedgeAfter = 50ms;
     EntryCall call = makeCall();
     call.start(m_now);
     m_now += 50ms;
-    CHECK(findAction(call.onTimer(m_now), EntryVerb::Send) != nullptr);
-    suspect(1);
-    CHECK(call.onEnd(m_now, AttemptIndex(0), crash()).empty());
+    CHECK(findAction(call.onTimer(m_now), EntryActionType::Send) != nullptr);
+    markSuspect(1);
+    CHECK(call.onEnd(m_now, AttemptIndex(0), makeCrashResult()).empty());
     LONGS_EQUAL(2, call.attempts());
 }
--- a/src/coordination/retries/tests/retrypolicytest.cpp
+++ b/src/coordination/retries/tests/retrypolicytest.cpp
@@ -15,14 +15,14 @@
 
 const ServiceName SERVICE("scheda");
 
-RetryQuestion question(Outcome outcome, Reason reason, Repetition repetition = Repetition::Never)
+RetryQuery makeQuery(Outcome outcome, Reason reason, Repetition repetition = Repetition::Never)
 {
-    RetryQuestion question;
-    question.service = SERVICE;
-    question.verdict = { outcome, reason, Duration(0) };
-    question.repetition = repetition;
-    question.remaining = 10s;
-    return question;
+    RetryQuery query;
+    query.service = SERVICE;
+    query.verdict = { outcome, reason, Duration(0) };
+    query.repetition = repetition;
+    query.remaining = 10s;
+    return query;
 }
 
 RuleSpec lookupRule()
@@ -54,10 +54,10 @@
             policy->onSuccess(now, SERVICE, 20ms);
             spending.successes += 1;
         } else {
-            const auto asked = question(Outcome::NotRun, Reason::ConnectFailed);
-            spending.retries += policy->shouldRetry(now, asked) ? 1 : 0;
+            const auto query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+            spending.retries += policy->shouldRetry(now, query) ? 1 : 0;
         }
-        spending.hedges += policy->takeHedge(now, SERVICE) ? 1 : 0;
+        spending.hedges += policy->tryTakeHedgeToken(now, SERVICE) ? 1 : 0;
     }
     return spending;
 }
@@ -68,117 +68,116 @@
 {
     TimePoint now{ 1s };
 
-    bool isRetried(const RetryQuestion &question, RetryOptions options = {})
+    bool isRetried(const RetryQuery &query, RetryOptions options = {})
     {
-        return makeRetryPolicy(options)->shouldRetry(now, question);
+        return makeRetryPolicy(options)->shouldRetry(now, query);
     }
 };
 
-// 1. All servers of a service are overrun by people who look through pages. Their refusals have
-//    spent the retries that were saved up.
-// 2. A few compliance records meet in one gate and fill its queue; the last of them is refused.
-// 3. Another gate puts a page off for it. Without a retry the record would be refused while pages
-//    are served.
-TEST(RetryPolicy, ACallThatOutranksOthersGoesOnFromAFullGate)
+// All servers of a service are overloaded by calls of low priority, whose refusals have used up the
+// retry tokens. A few calls of high priority fill the queue of one gate, and the last of them is
+// refused. Another gate would displace a call of low priority for it; without a retry it would fail
+// while calls of low priority are served.
+TEST(RetryPolicy, HighPriorityCallIsRetriedWithoutTokensAfterAFullGate)
 {
     const auto policy = makeRetryPolicy({});
-    RetryQuestion page = question(Outcome::NotRun, Reason::QueueFull);
-    page.hasArrived = false;
-    page.priority = Priority(1);
-    while (policy->shouldRetry(now, page)) { }
-    RetryQuestion record = page;
-    record.priority = Priority(3);
+    RetryQuery lowPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
+    lowPriority.hasReachedUpstream = false;
+    lowPriority.priority = Priority(1);
+    while (policy->shouldRetry(now, lowPriority)) { }
+    RetryQuery highPriority = lowPriority;
+    highPriority.priority = Priority(3);
     for (int i = 0; i < 20; ++i) {
-        CHECK(policy->shouldRetry(now, record));
+        CHECK(policy->shouldRetry(now, highPriority));
     }
-    record.attempts = 3;
-    CHECK_FALSE(policy->shouldRetry(now, record));
+    highPriority.attempts = 3;
+    CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
-// Where nothing less important is refused, there is nobody to put off: more sends of what is too
-// much already would only add load.
-TEST(RetryPolicy, ACallThatOutranksNobodyPaysForItsRetry)
+// If no call of lower priority was refused, there is none to displace, and further attempts would
+// only add load to an overloaded service.
+TEST(RetryPolicy, RetryNeedsATokenIfNoLowerPriorityIsRefused)
 {
     const auto policy = makeRetryPolicy({});
-    RetryQuestion record = question(Outcome::NotRun, Reason::QueueFull);
-    record.hasArrived = false;
-    record.priority = Priority(3);
-    while (policy->shouldRetry(now, record)) { }
-    RetryQuestion page = record;
-    page.priority = Priority(1);
-    CHECK_FALSE(policy->shouldRetry(now, page));
-    CHECK(policy->shouldRetry(now, record));
+    RetryQuery highPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
+    highPriority.hasReachedUpstream = false;
+    highPriority.priority = Priority(3);
+    while (policy->shouldRetry(now, highPriority)) { }
+    RetryQuery lowPriority = highPriority;
+    lowPriority.priority = Priority(1);
+    CHECK_FALSE(policy->shouldRetry(now, lowPriority));
+    CHECK(policy->shouldRetry(now, highPriority));
     now += 6s;
-    CHECK_FALSE(policy->shouldRetry(now, record));
+    CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
-// What may have run is a repeat, and repeats are bounded for all alike.
-TEST(RetryPolicy, ARankEarnsNoRepeatOfWhatMayHaveRun)
+// Retries of calls that may have run are repeats, which are limited regardless of priority.
+TEST(RetryPolicy, HighPriorityCallThatMayHaveRunNeedsAToken)
 {
     const auto policy = makeRetryPolicy({});
-    RetryQuestion page = question(Outcome::NotRun, Reason::QueueFull);
-    page.hasArrived = false;
-    page.priority = Priority(1);
-    while (policy->shouldRetry(now, page)) { }
-    RetryQuestion record = question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
-    record.priority = Priority(3);
-    CHECK_FALSE(policy->shouldRetry(now, record));
+    RetryQuery lowPriority = makeQuery(Outcome::NotRun, Reason::QueueFull);
+    lowPriority.hasReachedUpstream = false;
+    lowPriority.priority = Priority(1);
+    while (policy->shouldRetry(now, lowPriority)) { }
+    RetryQuery highPriority = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
+    highPriority.priority = Priority(3);
+    CHECK_FALSE(policy->shouldRetry(now, highPriority));
 }
 
-TEST(RetryPolicy, RepeatsWhatWasNotRunElsewhere)
+TEST(RetryPolicy, RetriesCallsThatWereNotRun)
 {
     for (const Repetition repetition :
          { Repetition::Never, Repetition::Once, Repetition::Idempotent }) {
         for (const Reason reason :
              { Reason::ConnectFailed, Reason::Draining, Reason::QueueFull, Reason::NoServer,
                Reason::UpstreamRefused, Reason::ShuttingDown }) {
-            CHECK(isRetried(question(Outcome::NotRun, reason, repetition)));
+            CHECK(isRetried(makeQuery(Outcome::NotRun, reason, repetition)));
         }
         for (const Reason reason :
              { Reason::BelowFloor, Reason::Doomed, Reason::DeadlineExceeded, Reason::BudgetSpent,
                Reason::Cancelled, Reason::LogUnavailable, Reason::KeyBusy }) {
-            CHECK_FALSE(isRetried(question(Outcome::NotRun, reason, repetition)));
+            CHECK_FALSE(isRetried(makeQuery(Outcome::NotRun, reason, repetition)));
         }
     }
 }
 
-// The answer got lost after the upstream took a payment. Sending it again would charge twice.
-TEST(RetryPolicy, RepeatsWhatMayHaveRunOnlyIfIdempotent)
+// The answer is lost after the upstream processed a payment. A retry would charge it twice.
+TEST(RetryPolicy, RetriesCallsThatMayHaveRunOnlyIfIdempotent)
 {
-    CHECK(isRetried(question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
-    CHECK_FALSE(isRetried(question(Outcome::Unknown, Reason::LinkLost, Repetition::Never)));
-    CHECK_FALSE(isRetried(question(Outcome::Unknown, Reason::LinkLost, Repetition::Once)));
-    CHECK_FALSE(isRetried(question(Outcome::Answered, Reason::None, Repetition::Idempotent)));
+    CHECK(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
+    CHECK_FALSE(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Never)));
+    CHECK_FALSE(isRetried(makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Once)));
+    CHECK_FALSE(isRetried(makeQuery(Outcome::Answered, Reason::None, Repetition::Idempotent)));
 }
 
 TEST(RetryPolicy, OnlyTheHopNextToTheFailureRetries)
 {
-    RetryQuestion fromBelow = question(Outcome::NotRun, Reason::ConnectFailed);
-    fromBelow.isFromBelow = true;
-    CHECK_FALSE(isRetried(fromBelow));
+    RetryQuery upstreamError = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+    upstreamError.isUpstreamError = true;
+    CHECK_FALSE(isRetried(upstreamError));
     RetryOptions everyHop;
     everyHop.isNextHopOnly = false;
-    CHECK(isRetried(fromBelow, everyHop));
+    CHECK(isRetried(upstreamError, everyHop));
 }
 
-TEST(RetryPolicy, BoundsTheAttemptsOfOneCall)
+TEST(RetryPolicy, LimitsTheAttemptsOfOneCall)
 {
-    RetryQuestion asked = question(Outcome::NotRun, Reason::ConnectFailed);
-    asked.attempts = RetryOptions().attempts;
-    CHECK_FALSE(isRetried(asked));
+    RetryQuery query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+    query.attempts = RetryOptions().maxAttempts;
+    CHECK_FALSE(isRetried(query));
 }
 
-TEST(RetryPolicy, DoesNotStartWhatCannotEndInTime)
+TEST(RetryPolicy, DoesNotRetryIfTheDeadlineIsTooClose)
 {
     const auto policy = makeRetryPolicy({});
     for (int i = 0; i < 10; ++i) {
         policy->onSuccess(now, SERVICE, 100ms);
     }
-    RetryQuestion asked = question(Outcome::NotRun, Reason::ConnectFailed);
-    asked.remaining = 50ms;
-    CHECK_FALSE(policy->shouldRetry(now, asked));
-    asked.remaining = 300ms;
-    CHECK(policy->shouldRetry(now, asked));
+    RetryQuery query = makeQuery(Outcome::NotRun, Reason::ConnectFailed);
+    query.remaining = 50ms;
+    CHECK_FALSE(policy->shouldRetry(now, query));
+    query.remaining = 300ms;
+    CHECK(policy->shouldRetry(now, query));
 }
 
 TEST(RetryPolicy, RetriesAndHedgesStayWithinTheirShareOfSuccesses)
@@ -187,15 +186,15 @@
     const bool holds = rc::check([&](std::uint64_t seed) {
         const Spending spending = spendAtRandom(options, seed);
         RC_ASSERT(spending.retries
-                  <= options.initialRetries + options.retryShare * spending.successes + 1e-6);
-        RC_ASSERT(spending.hedges <= options.hedgeShare * spending.successes + 1e-6);
+                  <= options.initialRetryTokens + options.retryRatio * spending.successes + 1e-6);
+        RC_ASSERT(spending.hedges <= options.hedgeRatio * spending.successes + 1e-6);
     });
     CHECK(holds);
 
     RetryOptions unbounded;
     unbounded.hasRetryTokens = false;
     const Spending spending = spendAtRandom(unbounded, 1);
-    CHECK(spending.retries > options.initialRetries + options.retryShare * spending.successes);
+    CHECK(spending.retries > options.initialRetryTokens + options.retryRatio * spending.successes);
 }
 
 TEST(RetryPolicy, HedgesAfterAHighQuantileOfRecentLatencies)
@@ -209,7 +208,7 @@
     CHECK(delay >= 20ms);
     CHECK(delay <= 25ms);
 
-    // What was measured two windows ago counts no more.
+    // Latencies of two windows ago no longer count.
     now += 2 * RetryOptions().window;
     for (int i = 0; i < 1000; ++i) {
         policy->onSuccess(now, SERVICE, 200ms);
@@ -238,25 +237,25 @@
     CHECK(policy->hedgeDelay(now, rule) == Duration(0));
 }
 
-// Answers of a service are lost without a sign. Its hedges and its retries are all repeats for the
-// servers: where the budget is shared, they must not be saved up twice.
-TEST(RetryPolicy, HedgesOfASharedBudgetTakeFromTheRetries)
+// Answers of a service are lost silently. Hedges and retries are both repeats for the servers: with
+// a shared budget, tokens must not be saved up twice.
+TEST(RetryPolicy, HedgesOfASharedBudgetTakeRetryTokens)
 {
     RetryOptions options;
-    options.areHedgesRetries = true;
-    options.initialRetries = 0;
+    options.hedgesUseRetryTokens = true;
+    options.initialRetryTokens = 0;
     const auto policy = makeRetryPolicy(options);
     // Ten tenths add up to a little less than one.
     for (int i = 0; i < 11; ++i) {
         policy->onSuccess(now, SERVICE, 20ms);
     }
-    CHECK(policy->takeHedge(now, SERVICE));
-    CHECK_FALSE(policy->takeHedge(now, SERVICE));
+    CHECK(policy->tryTakeHedgeToken(now, SERVICE));
+    CHECK_FALSE(policy->tryTakeHedgeToken(now, SERVICE));
     CHECK_FALSE(policy->shouldRetry(
-        now, question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
+        now, makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent)));
 }
 
-TEST(RetryPolicy, HedgeForSilenceWaitsForAMultipleOfTheUsualTime)
+TEST(RetryPolicy, HedgeFactorMultipliesTheHedgeDelay)
 {
     RetryOptions options;
     options.hedgeFactor = 2;
@@ -277,14 +276,14 @@
     for (int i = 0; i < 1000; ++i) {
         policy->onSuccess(now, SERVICE, 20ms);
     }
-    CHECK(policy->takeHedge(now, SERVICE));
+    CHECK(policy->tryTakeHedgeToken(now, SERVICE));
     for (int i = 0; i < 5; ++i) {
         policy->retryAfter(now, SERVICE, random);
     }
-    CHECK_FALSE(policy->takeHedge(now, SERVICE));
+    CHECK_FALSE(policy->tryTakeHedgeToken(now, SERVICE));
 }
 
-TEST(RetryPolicy, SpreadsRefusedCallersOverMoreTimeTheMoreThereAre)
+TEST(RetryPolicy, RetryAfterGrowsWithTheShareOfRefusedCalls)
 {
     const auto policy = makeRetryPolicy({});
     SeededRandom random(1);
@@ -298,61 +297,61 @@
         delays.insert(policy->retryAfter(now, SERVICE, random));
     }
     CHECK(*delays.rbegin() - *delays.begin() > 4s);
-    CHECK(*delays.rbegin() <= 1.5 * RetryOptions().longestRetryAfter);
+    CHECK(*delays.rbegin() <= 1.5 * RetryOptions().maxRetryAfter);
 }
 
-// All daemons of a large deployment lose answers of the same service. Each repeats what it saved
-// up, at the same moment; together they may not repeat more than the slack that operators allow.
-TEST(RetryPolicy, AllDaemonsTogetherSaveUpNoMoreThanTheSharedSlack)
+// All daemons of a large deployment lose answers of the same service, and each spends its saved
+// tokens at the same moment. Together they may not exceed the slack that operators allow.
+TEST(RetryPolicy, AllDaemonsTogetherStayWithinTheSharedTokens)
 {
     RetryOptions options;
-    options.initialRetries = 0;
-    options.sharedSlack = 111;
+    options.initialRetryTokens = 0;
+    options.sharedRetryTokens = 111;
     for (const std::size_t daemons : { 4, 16, 81, 790 }) {
         const auto policy = makeRetryPolicy(options);
-        policy->setDaemons(daemons);
+        policy->setDaemonCount(daemons);
         for (int i = 0; i < 10000; ++i) {
             policy->onSuccess(now, SERVICE, 1ms);
         }
         double repeats = 0;
         while (policy->shouldRetry(
-            now, question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent))) {
+            now, makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent))) {
             ++repeats;
         }
-        CHECK(repeats * static_cast<double>(daemons) <= options.sharedSlack);
+        CHECK(repeats * static_cast<double>(daemons) <= options.sharedRetryTokens);
     }
 }
 
-// Daemons that start together save up before they know of each other. What they saved beyond their
-// part is taken back when they do.
-TEST(RetryPolicy, SavingsBeyondTheOwnPartEndWhenOthersAreFound)
+// Daemons that start together save up tokens before they know each other. Tokens beyond the share
+// of a daemon are dropped when it learns of the others.
+TEST(RetryPolicy, TokensBeyondTheOwnShareAreDroppedWhenDaemonsAreFound)
 {
     RetryOptions options;
-    options.initialRetries = 0;
-    options.sharedSlack = 64;
+    options.initialRetryTokens = 0;
+    options.sharedRetryTokens = 64;
     const auto policy = makeRetryPolicy(options);
     for (int i = 0; i < 1000; ++i) {
         policy->onSuccess(now, SERVICE, 1ms);
     }
-    policy->setDaemons(64);
-    const auto asked = question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
-    CHECK(policy->shouldRetry(now, asked));
-    CHECK_FALSE(policy->shouldRetry(now, asked));
+    policy->setDaemonCount(64);
+    const auto query = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
+    CHECK(policy->shouldRetry(now, query));
+    CHECK_FALSE(policy->shouldRetry(now, query));
 }
 
-// Two full gates refused a lookup, so no server saw it; the third was sent it and its link was
-// lost. That is the first loss: another server may be asked.
-TEST(RetryPolicy, RefusalsBeforeALossDoNotUseUpItsRetries)
+// Two full gates refused a lookup, so it reached no server; the third gate received it and its link
+// was lost. That is the first loss, so another server may be tried.
+TEST(RetryPolicy, RefusalsBeforeALossDoNotUseUpItsAttempts)
 {
     RetryOptions options;
-    options.countsArrivalsOnly = true;
-    RetryQuestion lost = question(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
+    options.countsUpstreamAttemptsOnly = true;
+    RetryQuery lost = makeQuery(Outcome::Unknown, Reason::LinkLost, Repetition::Idempotent);
     lost.attempts = 3;
-    lost.arrivals = 1;
+    lost.upstreamAttempts = 1;
     CHECK(isRetried(lost, options));
-    lost.arrivals = 3;
+    lost.upstreamAttempts = 3;
     CHECK_FALSE(isRetried(lost, options));
-    lost.arrivals = 1;
-    lost.attempts = options.unseenAttempts;
+    lost.upstreamAttempts = 1;
+    lost.attempts = options.maxTotalAttempts;
     CHECK_FALSE(isRetried(lost, options));
 }
--- a/src/coordination/routing/tests/routertest.cpp
+++ b/src/coordination/routing/tests/routertest.cpp
@@ -26,13 +26,13 @@
     return options;
 }
 
-/// A server as the router meets it: what it does, and what its reports say.
+/// A simulated server: its behaviour, and what it reports.
 struct FakeServer
 {
     DomainName domain = OWN;
     Duration latency = 20ms;
-    RouteFeedback end = RouteFeedback::Answered;
-    /// Its reports always show no load.
+    RouteFeedback feedback = RouteFeedback::Answered;
+    /// Its reports show no load, whatever is in flight.
     bool isReportEmpty = false;
     Rank floor;
     bool isDraining = false;
@@ -56,7 +56,7 @@
     IRouter &router() { return *m_router; }
     TimePoint now() const { return m_now; }
 
-    void announce()
+    void updateMembers()
     {
         std::vector<Member> members;
         for (const auto &[name, server] : m_servers) {
@@ -96,7 +96,7 @@
         return m_router->choose(m_now, request, m_random).daemon.value();
     }
 
-    /// Share of the calls of the last run that went to the server.
+    /// Share of the calls in the last run that went to the server.
     double shareOf(const std::string &name)
     {
         double all = 0;
@@ -117,7 +117,7 @@
         m_router->onLoad(m_now, SERVICE, DaemonId(name), load);
     }
 
-    void pass(Duration time) { m_now += time; }
+    void advance(Duration time) { m_now += time; }
 
 private:
     struct Call
@@ -146,7 +146,7 @@
             m_calls.erase(m_calls.begin());
             FakeServer &server = m_servers[call.server];
             --server.inFlight;
-            m_router->onEnd(m_now, SERVICE, DaemonId(call.server), server.end,
+            m_router->onEnd(m_now, SERVICE, DaemonId(call.server), server.feedback,
                             std::chrono::duration_cast<Duration>(m_now - call.sent));
             report(call.server);
         }
@@ -160,12 +160,12 @@
 };
 
 /// Four servers of the own failure domain.
-void addFour(Entry &entry)
+void addFourServers(Entry &entry)
 {
     for (const char *name : { "a", "b", "c", "d" }) {
         entry.server(name) = FakeServer();
     }
-    entry.announce();
+    entry.updateMembers();
 }
 
 } // namespace
@@ -175,23 +175,22 @@
 TEST(Router, SpreadsEvenlyOverEqualServers)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.run(10s, 1ms);
     for (const char *name : { "a", "b", "c", "d" }) {
         CHECK(entry.shareOf(name) > 0.2);
     }
 }
 
-// One server works ten times slower, and its load endpoint says that it is idle. Callers would see
-// a quarter of their calls ten times slower. The entry counts its own calls there and their
-// latency.
-TEST(Router, SlowServerThatReportsNoLoadGetsLittle)
+// One server is ten times slower than the others and reports that it is idle. A quarter of all
+// calls would be ten times slower. The entry counts its own calls to the server and their latency.
+TEST(Router, SlowServerThatReportsNoLoadGetsFewCalls)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
-        options.trustsOwnView = isOn;
+        options.usesLocalObservations = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         entry.server("a").latency = 200ms;
         entry.server("a").isReportEmpty = true;
         entry.run(10s, 1ms);
@@ -199,16 +198,15 @@
     }
 }
 
-// Two servers of different speed are asked for nearly all that both can do. The slow one has to be
-// nearly full as well: else the fast one is overrun, and calls are refused there while slots are
-// free.
-TEST(Router, SlowServerIsFilledToo)
+// The load is close to the capacity of two servers of different speed. The slow one has to be
+// nearly full as well; otherwise the fast one is overloaded and refuses calls while slots are free.
+TEST(Router, SlowServerIsUsedCloseToItsCapacity)
 {
     Entry entry(ownOptions());
     entry.server("fast") = FakeServer();
     entry.server("slow") = FakeServer();
     entry.server("slow").latency = 40ms;
-    entry.announce();
+    entry.updateMembers();
     entry.run(4s, 370us); // 2,700 of 3,000 a second
     std::uint32_t fast = 0;
     std::uint32_t slow = 0;
@@ -224,41 +222,41 @@
 
 // One server answers each call with an error at once. It never has calls in flight, so by load
 // alone it is the best choice, and most calls would fail.
-TEST(Router, ServerThatFailsFastGetsLittle)
+TEST(Router, ServerThatFailsFastGetsFewCalls)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
         options.hasErrorPenalty = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         entry.server("a").latency = 1ms;
-        entry.server("a").end = RouteFeedback::UpstreamError;
+        entry.server("a").feedback = RouteFeedback::UpstreamError;
         entry.run(10s, 1ms);
         CHECK_EQUAL(isOn, entry.shareOf("a") < 0.02);
         CHECK_EQUAL(!isOn, entry.shareOf("a") > 0.25);
     }
 }
 
-TEST(Router, ServerThatWorksAgainGetsItsShareBack)
+TEST(Router, RecoveredServerGetsItsShareBack)
 {
     Entry entry(ownOptions());
-    addFour(entry);
-    entry.server("a").end = RouteFeedback::UpstreamError;
+    addFourServers(entry);
+    entry.server("a").feedback = RouteFeedback::UpstreamError;
     entry.run(10s, 1ms);
-    entry.server("a").end = RouteFeedback::Answered;
-    entry.run(RouterOptions().longestEjection + 5s, 1ms);
+    entry.server("a").feedback = RouteFeedback::Answered;
+    entry.run(RouterOptions().maxEjectionTime + 5s, 1ms);
     entry.run(5s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-// A service further down refuses most calls, so all servers answer with errors. If the router took
-// servers out for that, the overload would spread to this service.
-TEST(Router, NoServerIsTakenOutWhileAllFailAlike)
+// A service below refuses most calls, so all servers answer with errors. If the router ejected
+// servers for that, the overload would spread to this service.
+TEST(Router, NoServerIsEjectedWhileAllFailAlike)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c", "d" }) {
-        entry.server(name).end = RouteFeedback::UpstreamError;
+        entry.server(name).feedback = RouteFeedback::UpstreamError;
     }
     for (int i = 0; i < 50; ++i) {
         entry.run(100ms, 500us);
@@ -268,70 +266,70 @@
     }
 }
 
-// A server hangs: each call there times out. It is taken out, and after that asked by one call at a
+// A server hangs, and each call to it times out. It is ejected, and then probed by one call at a
 // time, so that at most one caller waits in vain.
-TEST(Router, ServerThatHangsIsAskedByOneCallAtATime)
+TEST(Router, HangingServerIsProbedByOneCallAtATime)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.server("a").latency = 500ms;
-    entry.server("a").end = RouteFeedback::TimedOut;
+    entry.server("a").feedback = RouteFeedback::TimedOut;
     entry.run(2s, 1ms);
     for (int i = 0; i < 20000; ++i) {
         entry.run(1ms, 1ms);
         CHECK(entry.server("a").inFlight <= 1);
     }
-    entry.server("a").end = RouteFeedback::Answered;
+    entry.server("a").feedback = RouteFeedback::Answered;
     entry.server("a").latency = 20ms;
     entry.run(20s, 1ms);
     entry.run(1s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-TEST(Router, ColdServerGetsLittleAtFirstAndThenItsShare)
+TEST(Router, ColdServerRampsUpToItsShare)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
         options.hasSlowStart = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         entry.run(2s, 1ms);
         entry.server("e") = FakeServer();
-        entry.announce();
+        entry.updateMembers();
         entry.run(1s, 1ms);
         CHECK_EQUAL(isOn, entry.shareOf("e") < 0.12);
-        entry.run(RouterOptions().slowStart, 1ms);
+        entry.run(RouterOptions().slowStartTime, 1ms);
         entry.run(5s, 1ms);
         CHECK(entry.shareOf("e") > 0.15);
     }
 }
 
-// A daemon is stopped and started again while its server works on. Nothing is cold, and with a
-// tenth of its share for seconds each stop would cost the service a server.
-TEST(Router, ServerThatSaysItIsNotColdGetsItsWholeShareAfterItsDaemonRestarted)
+// A daemon restarts while its server keeps running. The server is not cold: with a tenth of its
+// share for seconds, each restart would cost the service a server.
+TEST(Router, ServerThatReportsWarmGetsItsShareAfterADaemonRestart)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c", "d" }) {
         entry.server(name).coldLeft = Duration(0);
     }
-    entry.announce();
+    entry.updateMembers();
     entry.run(2s, 1ms);
     entry.server("a").incarnation = 2;
-    entry.announce();
+    entry.updateMembers();
     entry.run(1s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-// A server is replaced beside a daemon that goes on. The new one says that it is cold.
-TEST(Router, ServerThatSaysItIsColdGetsLessUntilItIsWarm)
+// A server is replaced while its daemon keeps running. The new server reports that it is cold.
+TEST(Router, ServerThatReportsColdGetsLessUntilItIsWarm)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.run(2s, 1ms);
     entry.server("a").coldLeft = 3s;
     entry.server("a").counter = 2;
-    entry.announce();
+    entry.updateMembers();
     entry.run(500ms, 200us);
     CHECK(entry.shareOf("a") < 0.2);
     entry.run(4s, 200us);
@@ -339,16 +337,16 @@
     CHECK(entry.shareOf("a") > 0.22);
 }
 
-TEST(Router, OwnDomainComesFirstAndSpillsWhileItIsSaturated)
+TEST(Router, OwnDomainIsPreferredAndSpillsOverWhileSaturated)
 {
     for (const bool isOn : { true, false }) {
         RouterOptions options = ownOptions();
-        options.isOwnDomainFirst = isOn;
+        options.prefersOwnDomain = isOn;
         Entry entry(options);
         entry.server("near") = FakeServer();
         entry.server("far") = FakeServer();
         entry.server("far").domain = OTHER;
-        entry.announce();
+        entry.updateMembers();
         entry.run(2s, 1ms); // 20 of 40 slots
         CHECK_EQUAL(isOn, entry.shareOf("near") == 1);
         entry.run(2s, 400us); // 50 of 40 slots
@@ -360,74 +358,73 @@
     }
 }
 
-// 1. A failure domain is cut off. Connections to the three servers there hang until they are given
-// up.
-// 2. The own server is full, so calls spill. Each would lose the time of a connect, and be refused
-// in
-//    the end: half of the servers of a service always stay in, whatever fails.
-// 3. What could not be reached a moment ago is left alone, but for a call now and then.
-TEST(Router, ServersThatCannotBeReachedAreLeftAloneHoweverManyTheyAre)
+// A failure domain is cut off, and connections to the three servers there hang until they time out.
+// The own server is full, so calls spill over. Each of them would lose the time of a connect and
+// then be refused, as ejection always keeps half of the servers. Recently unreachable servers are
+// therefore avoided, except for an occasional probe.
+TEST(Router, UnreachableServersAreAvoidedHoweverManyTheyAre)
 {
     Entry entry(ownOptions());
     entry.server("near") = FakeServer();
     for (const char *name : { "far1", "far2", "far3" }) {
         entry.server(name).domain = OTHER;
-        entry.server(name).end = RouteFeedback::Unreachable;
+        entry.server(name).feedback = RouteFeedback::Unreachable;
     }
-    entry.announce();
+    entry.updateMembers();
     entry.run(4s, 400us); // 50 of 40 slots
     entry.run(2s, 400us);
     CHECK(entry.shareOf("near") > 0.98);
 
     for (const char *name : { "far1", "far2", "far3" }) {
-        entry.server(name).end = RouteFeedback::Answered;
+        entry.server(name).feedback = RouteFeedback::Answered;
     }
     entry.run(4s, 400us);
     entry.run(1s, 400us);
     CHECK(entry.shareOf("near") < 0.9);
 }
 
-// A call that the own server refused hears at once that there is no other, as long as none can be
-// reached. A new call tries all the same: otherwise nobody would find out that they are back.
-TEST(Router, RefusedCallIsNotSentWhereNothingCanBeReached)
+// A call refused by the own server fails at once while no other server is reachable, until the
+// unreachable one is due for another try. New calls still probe it; otherwise its recovery would go
+// unnoticed.
+TEST(Router, RefusedCallIsNotSentToAnUnreachableServer)
 {
     Entry entry(ownOptions());
     entry.server("near") = FakeServer();
     entry.server("far") = FakeServer();
     entry.server("far").domain = OTHER;
-    entry.announce();
+    entry.updateMembers();
     entry.router().onSent(entry.now(), SERVICE, DaemonId("far"));
     entry.router().onEnd(entry.now(), SERVICE, DaemonId("far"), RouteFeedback::Unreachable, 250ms);
     const Rank rank = lowestRankOf(Priority(50));
     CHECK(entry.choose(rank, { DaemonId("near") }).daemon.value().empty());
-    entry.pass(RouterOptions().unreachable);
+    entry.advance(RouterOptions().unreachableTime);
     CHECK(entry.choose(rank, { DaemonId("near") }).daemon == DaemonId("far"));
 }
 
-TEST(Router, DrainingServerIsLeftAtOnceAndAskedAgainAfterANewerRecord)
+TEST(Router, DrainingServerIsAvoidedUntilANewerMemberRecord)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     entry.server("a").isDraining = true;
     entry.report("a");
     entry.run(1s, 1ms);
     CHECK_EQUAL(0U, entry.server("a").chosen);
 
-    entry.announce();
+    entry.updateMembers();
     entry.run(1s, 1ms);
     CHECK_EQUAL(0U, entry.server("a").chosen);
 
     entry.server("a").isDraining = false;
     entry.server("a").counter = 2;
-    entry.announce();
+    entry.updateMembers();
     entry.run(5s, 1ms);
     CHECK(entry.shareOf("a") > 0.2);
 }
 
-TEST(Router, ServersTriedBeforeAreNotChosenAgain)
+TEST(Router, ExcludedServersAreNotChosen)
 {
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     const std::vector<DaemonId> excluded{ DaemonId("a"), DaemonId("b"), DaemonId("d") };
     for (int i = 0; i < 100; ++i) {
         CHECK(entry.choose(Rank(), excluded).daemon == DaemonId("c"));
@@ -438,12 +435,12 @@
     CHECK(none.reason == Reason::NoServer);
 }
 
-TEST(Router, FloorIsThatOfTheServerThatTakesMostAndFallsWithAge)
+TEST(Router, FloorIsTheLowestOfAllServersAndDecaysWithAge)
 {
     const Rank high = lowestRankOf(Priority(90));
     const Rank middle = lowestRankOf(Priority(50));
     Entry entry(ownOptions());
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c" }) {
         entry.server(name).floor = high;
         entry.report(name);
@@ -459,18 +456,18 @@
     CHECK(refused.reason == Reason::BelowFloor);
     CHECK(refused.retryAfter > Duration(0));
 
-    // No report comes any more: nobody may be refused for good.
-    entry.pass(RouterOptions().floorHold + RouterOptions().floorDecay);
+    // Without further reports no call may be refused forever.
+    entry.advance(RouterOptions().floorHold + RouterOptions().floorDecay);
     CHECK(entry.router().floor(entry.now(), SERVICE) == Rank());
     CHECK(!entry.choose(Rank()).daemon.value().empty());
 }
 
-TEST(Router, NoCallIsRefusedEarlyWhenSwitchedOff)
+TEST(Router, NoCallIsRefusedEarlyWithoutFloor)
 {
     RouterOptions options = ownOptions();
     options.hasFloor = false;
     Entry entry(options);
-    addFour(entry);
+    addFourServers(entry);
     for (const char *name : { "a", "b", "c", "d" }) {
         entry.server(name).floor = lowestRankOf(Priority(90));
         entry.report(name);
@@ -479,15 +476,15 @@
     CHECK(!entry.choose(Rank()).daemon.value().empty());
 }
 
-// Servers of different speed: two choices keep the queues short, one random choice does not.
+// Choosing the better of two random servers keeps queues short; one random choice does not.
 TEST(Router, TwoChoicesKeepTheBusiestServerLessBusyThanOne)
 {
     std::uint32_t busiest[2] = {};
     for (const bool isOn : { false, true }) {
         RouterOptions options = ownOptions();
-        options.hasTwoChoices = isOn;
+        options.usesTwoChoices = isOn;
         Entry entry(options);
-        addFour(entry);
+        addFourServers(entry);
         for (int i = 0; i < 2000; ++i) {
             entry.run(1ms, 200us); // 100 calls in flight
             for (const char *name : { "a", "b", "c", "d" }) {
@@ -499,16 +496,16 @@
     CHECK(busiest[1] + 5 < busiest[0]);
 }
 
-TEST(Router, ServiceWithoutServersIsSaidSo)
+TEST(Router, ServiceWithoutServersIsReported)
 {
     Entry entry(ownOptions());
     CHECK(entry.choose().reason == Reason::NoServer);
-    addFour(entry);
+    addFourServers(entry);
     entry.router().setMembers(entry.now(), {});
     CHECK(entry.choose().reason == Reason::NoServer);
 }
 
-// Guards against copies of a request that come at once and crash a server each.
+// Guards against simultaneous copies of a request that crash one server each.
 TEST(Router, AllEntriesSendASuspectToOneServer)
 {
     Entry a(ownOptions());
@@ -519,8 +516,8 @@
         a.server(name).domain = name < std::string("s3") ? OWN : OTHER;
         b.server(name).domain = a.server(name).domain;
     }
-    a.announce();
-    b.announce();
+    a.updateMembers();
+    b.updateMembers();
     std::map<std::string, int> chosen;
     for (int i = 0; i < 200; ++i) {
         const std::string fingerprint = "f" + std::to_string(i);
