--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -406,7 +406,8 @@
     if (!run.incoming.isLetIn) {
         return;
     }
-    m_admission->onFinish(targetOf(run.incoming), rootEndOf(run.verdict, run.response.status));
+    m_admission->onRequestEnd(targetOf(run.incoming),
+                              rootResultOf(run.verdict, run.response.status));
 }
 
 Rank EntryService::rankOf(const Incoming &incoming) const
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -125,14 +125,14 @@
     return share;
 }
 
-void RootAdmission::onFinish(const RootTarget &target, RootEnd end)
+void RootAdmission::onRequestEnd(const RootTarget &target, RootResult result)
 {
     Tree &tree = treeOf(target);
     tree.underWay -= tree.underWay > 0 ? 1 : 0;
-    if (end == RootEnd::Whole) {
+    if (result == RootResult::Success) {
         tree.window = windowOf(tree) + 1;
     }
-    if (end == RootEnd::Failed) {
+    if (result == RootResult::Failure) {
         tree.window = std::max(windowOf(tree) / 2, m_options.leastWindow);
     }
 }
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -23,7 +23,7 @@
     RootGrounds grounds(TimePoint now, const RootTarget &target) const override;
     void onEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
                bool isWhole) override;
-    void onFinish(const RootTarget &target, RootEnd end) override;
+    void onRequestEnd(const RootTarget &target, RootResult result) override;
 
 private:
     struct Profile;
--- a/src/coordination/admission/internal/rootend.cpp
+++ b/src/coordination/admission/internal/rootresult.cpp
@@ -31,13 +31,13 @@
 
 } // namespace
 
-RootEnd rootEndOf(const Verdict &verdict, std::uint16_t status)
+RootResult rootResultOf(const Verdict &verdict, std::uint16_t status)
 {
     if (verdict.outcome == Outcome::Answered && !isServerError(status)) {
-        return RootEnd::Whole;
+        return RootResult::Success;
     }
     const bool tellsNothing = verdict.reason == Reason::Cancelled || hasMetNoServer(verdict);
-    return tellsNothing ? RootEnd::Abandoned : RootEnd::Failed;
+    return tellsNothing ? RootResult::Ignored : RootResult::Failure;
 }
 
 } // namespace ivyspar
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -21,14 +21,14 @@
 };
 
 /// How a request that was let in ended.
-enum class RootEnd {
-    Whole, ///< Answered, with all its calls.
-    Failed,
-    Abandoned, ///< It tells nothing of the services: its caller left, or no server was reached.
+enum class RootResult {
+    Success, ///< Answered, with all its calls.
+    Failure,
+    Ignored, ///< It tells nothing of the services: its caller left, or no server was reached.
 };
 
 /// What the end of a request tells. `status` counts if it was answered.
-RootEnd rootEndOf(const Verdict &verdict, std::uint16_t status);
+RootResult rootResultOf(const Verdict &verdict, std::uint16_t status);
 
 /// What a decision was based on, for the logs.
 struct RootGrounds
@@ -69,7 +69,7 @@
     virtual void onEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
                        bool isWhole) = 0;
     /// A request that was let in is over. To be called once for each.
-    virtual void onFinish(const RootTarget &target, RootEnd end) = 0;
+    virtual void onRequestEnd(const RootTarget &target, RootResult result) = 0;
 };
 
 struct RootAdmissionOptions
--- a/src/coordination/admission/tests/manyentriestest.cpp
+++ b/src/coordination/admission/tests/manyentriestest.cpp
@@ -160,7 +160,7 @@
         tree.usage.load = DemandLoad(static_cast<std::uint32_t>(tree.loads / tree.usage.calls));
         IRootAdmission &admission = *m_entries[tree.entry];
         admission.onEnd(m_time.now(), TRAY, { tree.usage }, !tree.isBroken);
-        admission.onFinish(TRAY, tree.isBroken ? RootEnd::Failed : RootEnd::Whole);
+        admission.onRequestEnd(TRAY, tree.isBroken ? RootResult::Failure : RootResult::Success);
         m_whole += tree.isBroken ? 0 : 1;
     }
 
--- a/src/coordination/admission/tests/rootadmissiontest.cpp
+++ b/src/coordination/admission/tests/rootadmissiontest.cpp
@@ -41,7 +41,7 @@
                 let[i] += isIn && isCounted ? 1 : 0;
                 if (isIn) {
                     m_admission->onEnd(m_now, *targets[i], makeUsage(narrowLoad), true);
-                    m_admission->onFinish(*targets[i], RootEnd::Whole);
+                    m_admission->onRequestEnd(*targets[i], RootResult::Success);
                 }
             }
         }
@@ -107,7 +107,7 @@
         if (m_admission->admit(m_now, BROWSING)) {
             stoodFor += 1000.0 / m_admission->letIn(m_now, BROWSING).value();
             m_admission->onEnd(m_now, BROWSING, makeUsage(load), true);
-            m_admission->onFinish(BROWSING, RootEnd::Whole);
+            m_admission->onRequestEnd(BROWSING, RootResult::Success);
         }
     }
     CHECK(stoodFor / arrived > 0.85);
@@ -140,7 +140,7 @@
     }
     CHECK_EQUAL(2, letIn);
     CHECK(m_admission->letIn(m_now, BROWSING) < DemandShare(100));
-    m_admission->onFinish(BROWSING, RootEnd::Whole);
+    m_admission->onRequestEnd(BROWSING, RootResult::Success);
     CHECK(m_admission->admit(m_now, BROWSING));
     CHECK(m_admission->admit(m_now, BROWSING));
     CHECK_FALSE(m_admission->admit(m_now, BROWSING));
@@ -183,9 +183,9 @@
     for (int i = 0; i < 50; ++i) {
         CHECK(m_admission->admit(m_now, BROWSING));
         CHECK_EQUAL(i < 1, m_admission->admit(m_now, BROWSING));
-        m_admission->onFinish(BROWSING, RootEnd::Failed);
+        m_admission->onRequestEnd(BROWSING, RootResult::Failure);
         if (i < 1) {
-            m_admission->onFinish(BROWSING, RootEnd::Failed);
+            m_admission->onRequestEnd(BROWSING, RootResult::Failure);
         }
     }
 }
@@ -196,8 +196,8 @@
     for (int i = 0; i < 50; ++i) {
         CHECK(m_admission->admit(m_now, BROWSING));
         CHECK(m_admission->admit(m_now, BROWSING));
-        m_admission->onFinish(BROWSING, RootEnd::Abandoned);
-        m_admission->onFinish(BROWSING, RootEnd::Abandoned);
+        m_admission->onRequestEnd(BROWSING, RootResult::Ignored);
+        m_admission->onRequestEnd(BROWSING, RootResult::Ignored);
     }
 }
 
@@ -210,7 +210,7 @@
     const Verdict notReached{ Outcome::NotRun, Reason::ConnectFailed, Duration(0) };
     for (const Verdict &verdict : { noServer, notReached, noServer, notReached }) {
         CHECK(m_admission->admit(m_now, BROWSING));
-        m_admission->onFinish(BROWSING, rootEndOf(verdict, 0));
+        m_admission->onRequestEnd(BROWSING, rootResultOf(verdict, 0));
     }
     CHECK(m_admission->admit(m_now, BROWSING));
     CHECK(m_admission->admit(m_now, BROWSING));
@@ -219,15 +219,15 @@
 TEST(RootAdmission, TheEndOfARequestTellsOfTheServicesOnlyIfTheyWereAsked)
 {
     const auto endOf = [](Outcome outcome, Reason reason, std::uint16_t status) {
-        return rootEndOf(Verdict{ outcome, reason, Duration(0) }, status);
+        return rootResultOf(Verdict{ outcome, reason, Duration(0) }, status);
     };
-    CHECK(endOf(Outcome::Answered, Reason::None, 200) == RootEnd::Whole);
-    CHECK(endOf(Outcome::Answered, Reason::None, 500) == RootEnd::Failed);
-    CHECK(endOf(Outcome::NotRun, Reason::QueueFull, 0) == RootEnd::Failed);
-    CHECK(endOf(Outcome::Unknown, Reason::Timeout, 0) == RootEnd::Failed);
-    CHECK(endOf(Outcome::Unknown, Reason::LinkLost, 0) == RootEnd::Failed);
-    CHECK(endOf(Outcome::Unknown, Reason::Cancelled, 0) == RootEnd::Abandoned);
-    CHECK(endOf(Outcome::NotRun, Reason::Draining, 0) == RootEnd::Abandoned);
+    CHECK(endOf(Outcome::Answered, Reason::None, 200) == RootResult::Success);
+    CHECK(endOf(Outcome::Answered, Reason::None, 500) == RootResult::Failure);
+    CHECK(endOf(Outcome::NotRun, Reason::QueueFull, 0) == RootResult::Failure);
+    CHECK(endOf(Outcome::Unknown, Reason::Timeout, 0) == RootResult::Failure);
+    CHECK(endOf(Outcome::Unknown, Reason::LinkLost, 0) == RootResult::Failure);
+    CHECK(endOf(Outcome::Unknown, Reason::Cancelled, 0) == RootResult::Ignored);
+    CHECK(endOf(Outcome::NotRun, Reason::Draining, 0) == RootResult::Ignored);
 }
 
 TEST_GROUP(DemandEstimate)
--- a/src/coordination/admission/tests/successoddstest.cpp
+++ b/src/coordination/admission/tests/successoddstest.cpp
@@ -137,7 +137,7 @@
         ServiceUsage usage = lossOf(thousandths);
         usage.calls = calls;
         admission.onEnd(m_now, target, { usage }, true);
-        admission.onFinish(target, RootEnd::Whole);
+        admission.onRequestEnd(target, RootResult::Success);
         return true;
     }
 };
