--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -396,8 +396,8 @@
         return;
     }
     if (m_options.hasRootAdmission && run.incoming.depth == Depth(0)) {
-        m_admission->onEnd(m_loop.now(), targetOf(run.incoming), usage,
-                           isWhole(answer.message.verdict, answer.message.response));
+        m_admission->onAttemptEnd(m_loop.now(), targetOf(run.incoming), usage,
+                                  isWhole(answer.message.verdict, answer.message.response));
     }
 }
 
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -190,14 +190,14 @@
     return grounds;
 }
 
-void RootAdmission::onEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
-                          bool isWhole)
+void RootAdmission::onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
+                                 bool isComplete)
 {
     for (const ServiceUsage &each : usage) {
         learnLoad(now, each);
         m_odds.learn(now, each);
     }
-    if (isWhole) {
+    if (isComplete) {
         learnCosts(treeOf(target), usage);
     }
 }
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -21,8 +21,8 @@
     bool admit(TimePoint now, const RootTarget &target) override;
     DemandShare letIn(TimePoint now, const RootTarget &target) const override;
     RootGrounds grounds(TimePoint now, const RootTarget &target) const override;
-    void onEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
-               bool isWhole) override;
+    void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
+                      bool isComplete) override;
     void onRequestEnd(const RootTarget &target, RootResult result) override;
 
 private:
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -65,9 +65,9 @@
     /// of its tree know what demand it stands for.
     virtual DemandShare letIn(TimePoint now, const RootTarget &target) const = 0;
     virtual RootGrounds grounds(TimePoint now, const RootTarget &target) const = 0;
-    /// An attempt of a request ended; `isWhole` when all its calls were made.
-    virtual void onEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
-                       bool isWhole) = 0;
+    /// An attempt of a request ended; `isComplete` when all its calls were made.
+    virtual void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
+                              bool isComplete) = 0;
     /// A request that was let in is over. To be called once for each.
     virtual void onRequestEnd(const RootTarget &target, RootResult result) = 0;
 };
--- a/src/coordination/admission/tests/manyentriestest.cpp
+++ b/src/coordination/admission/tests/manyentriestest.cpp
@@ -159,7 +159,7 @@
     {
         tree.usage.load = DemandLoad(static_cast<std::uint32_t>(tree.loads / tree.usage.calls));
         IRootAdmission &admission = *m_entries[tree.entry];
-        admission.onEnd(m_time.now(), TRAY, { tree.usage }, !tree.isBroken);
+        admission.onAttemptEnd(m_time.now(), TRAY, { tree.usage }, !tree.isBroken);
         admission.onRequestEnd(TRAY, tree.isBroken ? RootResult::Failure : RootResult::Success);
         m_whole += tree.isBroken ? 0 : 1;
     }
--- a/src/coordination/admission/tests/rootadmissiontest.cpp
+++ b/src/coordination/admission/tests/rootadmissiontest.cpp
@@ -40,7 +40,7 @@
                 const bool isIn = m_admission->admit(m_now, *targets[i]);
                 let[i] += isIn && isCounted ? 1 : 0;
                 if (isIn) {
-                    m_admission->onEnd(m_now, *targets[i], makeUsage(narrowLoad), true);
+                    m_admission->onAttemptEnd(m_now, *targets[i], makeUsage(narrowLoad), true);
                     m_admission->onRequestEnd(*targets[i], RootResult::Success);
                 }
             }
@@ -106,7 +106,7 @@
         ++arrived;
         if (m_admission->admit(m_now, BROWSING)) {
             stoodFor += 1000.0 / m_admission->letIn(m_now, BROWSING).value();
-            m_admission->onEnd(m_now, BROWSING, makeUsage(load), true);
+            m_admission->onAttemptEnd(m_now, BROWSING, makeUsage(load), true);
             m_admission->onRequestEnd(BROWSING, RootResult::Success);
         }
     }
@@ -119,7 +119,7 @@
 {
     const TreeUsage usual{ { WIDE, std::chrono::milliseconds(100), DemandLoad(300) } };
     for (int i = 0; i < 100; ++i) {
-        m_admission->onEnd(m_now, BROWSING, i % 10 == 0 ? makeUsage(9000) : usual, true);
+        m_admission->onAttemptEnd(m_now, BROWSING, i % 10 == 0 ? makeUsage(9000) : usual, true);
     }
     CHECK(m_admission->admit(m_now, BROWSING));
     CHECK(m_admission->admit(m_now, BROWSING));
--- a/src/coordination/admission/tests/successoddstest.cpp
+++ b/src/coordination/admission/tests/successoddstest.cpp
@@ -136,7 +136,7 @@
         }
         ServiceUsage usage = lossOf(thousandths);
         usage.calls = calls;
-        admission.onEnd(m_now, target, { usage }, true);
+        admission.onAttemptEnd(m_now, target, { usage }, true);
         admission.onRequestEnd(target, RootResult::Success);
         return true;
     }
