--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -293,7 +293,7 @@
         return false;
     }
     incoming.isLetIn = true;
-    incoming.letIn = m_admission->letIn(now, target);
+    incoming.letIn = m_admission->admittedShare(now, target);
     return true;
 }
 
--- a/src/coordination/admission/igate.h
+++ b/src/coordination/admission/igate.h
@@ -18,7 +18,7 @@
     /// The moment by which the caller must have its answer.
     TimePoint deadline;
     /// Of requests like the caller's, which share its entry lets in; 0 in a repeated attempt.
-    DemandShare letIn;
+    DemandShare admittedShare;
 };
 
 enum class GateVerb {
--- a/src/coordination/admission/internal/demandestimate.cpp
+++ b/src/coordination/admission/internal/demandestimate.cpp
@@ -43,9 +43,9 @@
     m_correction = std::clamp(m_correction, 1.0, m_options.largestCorrection);
 }
 
-void DemandEstimate::onArrival(TimePoint now, DemandShare letIn, Duration serviceTime)
+void DemandEstimate::onArrival(TimePoint now, DemandShare admittedShare, Duration serviceTime)
 {
-    const DemandShare known = letIn == DemandShare() ? WHOLE_DEMAND : letIn;
+    const DemandShare known = admittedShare == DemandShare() ? WHOLE_DEMAND : admittedShare;
     const double standsFor =
         static_cast<double>(WHOLE_DEMAND.value()) / static_cast<double>(known.value());
     m_demand.add(now, standsFor * static_cast<double>(serviceTime.count()), m_options.memory);
--- a/src/coordination/admission/internal/demandestimate.h
+++ b/src/coordination/admission/internal/demandestimate.h
@@ -48,7 +48,7 @@
     /// `calls` have been here since the last time, `slots` can run at a time.
     void advance(TimePoint now, double calls, double slots);
     /// The first attempt of a call arrived; it takes a slot for about `serviceTime`.
-    void onArrival(TimePoint now, DemandShare letIn, Duration serviceTime);
+    void onArrival(TimePoint now, DemandShare admittedShare, Duration serviceTime);
     DemandLoad load(TimePoint now, double slots) const;
 
 private:
--- a/src/coordination/admission/internal/gate.cpp
+++ b/src/coordination/admission/internal/gate.cpp
@@ -76,8 +76,8 @@
         return actions;
     }
     m_floor.onArrival(request.rank);
-    if (request.letIn != DemandShare()) {
-        m_demand.onArrival(now, request.letIn, Duration(std::llround(m_serviceTime)));
+    if (request.admittedShare != DemandShare()) {
+        m_demand.onArrival(now, request.admittedShare, Duration(std::llround(m_serviceTime)));
     }
     m_queue.push(request);
     startWaiting(actions);
--- a/src/coordination/admission/internal/processorload.cpp
+++ b/src/coordination/admission/internal/processorload.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-void ProcessorLoad::onArrival(TimePoint now, DemandShare letIn, Duration lag)
+void ProcessorLoad::onArrival(TimePoint now, DemandShare admittedShare, Duration lag)
 {
     const double passed = toSeconds(now - m_at);
     m_at = now;
@@ -38,11 +38,11 @@
         m_behindAt = now;
     }
     m_isBinding = m_behindAt != TimePoint::min() && now - m_behindAt < HOLD;
-    if (letIn == DemandShare()) {
+    if (admittedShare == DemandShare()) {
         return;
     }
     const double standsFor =
-        static_cast<double>(WHOLE_DEMAND.value()) / static_cast<double>(letIn.value());
+        static_cast<double>(WHOLE_DEMAND.value()) / static_cast<double>(admittedShare.value());
     const double shareWeight = 1 - std::exp(-passed / toSeconds(SHARE_MEMORY));
     m_standsFor += shareWeight * (standsFor - m_standsFor);
 }
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -156,7 +156,7 @@
 /// What was let in, and not what was meant to be. While the share falls, requests that were saved
 /// up before are let in as well; told with the low share, each would stand for many, the demand
 /// would seem to grow, and the share would fall further.
-DemandShare RootAdmission::letIn(TimePoint now, const RootTarget &target) const
+DemandShare RootAdmission::admittedShare(TimePoint now, const RootTarget &target) const
 {
     const Profile *profile = findProfile(target);
     if (!profile) {
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -19,7 +19,7 @@
 
     void setMembers(const std::vector<Member> &members) override;
     bool admit(TimePoint now, const RootTarget &target) override;
-    DemandShare letIn(TimePoint now, const RootTarget &target) const override;
+    DemandShare admittedShare(TimePoint now, const RootTarget &target) const override;
     RootGrounds grounds(TimePoint now, const RootTarget &target) const override;
     void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
                       bool isComplete) override;
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -63,7 +63,7 @@
     virtual bool admit(TimePoint now, const RootTarget &target) = 0;
     /// Which share of such requests is let in here now. Goes with the request, so that the services
     /// of its tree know what demand it stands for.
-    virtual DemandShare letIn(TimePoint now, const RootTarget &target) const = 0;
+    virtual DemandShare admittedShare(TimePoint now, const RootTarget &target) const = 0;
     virtual RootGrounds grounds(TimePoint now, const RootTarget &target) const = 0;
     /// An attempt of a request ended; `isComplete` when all its calls were made.
     virtual void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
--- a/src/coordination/admission/processorload.h
+++ b/src/coordination/admission/processorload.h
@@ -16,7 +16,7 @@
 {
 public:
     /// A call arrived; entries let in this share of such requests. `lag`: how late it was read.
-    void onArrival(TimePoint now, DemandShare letIn, Duration lag);
+    void onArrival(TimePoint now, DemandShare admittedShare, Duration lag);
     /// The whole demand, that which entries refused included, over what can be taken. Zero while
     /// the daemon keeps up.
     DemandLoad load() const;
--- a/src/coordination/admission/tests/manyentriestest.cpp
+++ b/src/coordination/admission/tests/manyentriestest.cpp
@@ -72,7 +72,7 @@
     {
         std::size_t entry = 0;
         bool isReturn = false;
-        DemandShare letIn;
+        DemandShare admittedShare;
         std::uint32_t batch = 0;
         std::uint32_t open = 0;
         bool isBroken = false;
@@ -101,7 +101,7 @@
         }
         const TreePtr tree = std::make_shared<Tree>();
         tree->entry = entry;
-        tree->letIn = admission.letIn(m_time.now(), TRAY);
+        tree->admittedShare = admission.admittedShare(m_time.now(), TRAY);
         tree->usage.service = PLANNER;
         tree->usage.calls = 0;
         m_time.schedule(OTHER_WORK, [this, tree] { startBatch(tree); });
@@ -116,7 +116,8 @@
             m_calls[id] = tree;
             perform(gate,
                     m_gates[gate]->offer(
-                        m_time.now(), { id, Rank(1000), m_time.now() + CALL_LIMIT, tree->letIn }));
+                        m_time.now(),
+                        { id, Rank(1000), m_time.now() + CALL_LIMIT, tree->admittedShare }));
         }
     }
 
--- a/src/coordination/admission/tests/rootadmissiontest.cpp
+++ b/src/coordination/admission/tests/rootadmissiontest.cpp
@@ -105,7 +105,7 @@
         const std::uint32_t load = i % 50 < 20 ? 5000 : 300;
         ++arrived;
         if (m_admission->admit(m_now, BROWSING)) {
-            stoodFor += 1000.0 / m_admission->letIn(m_now, BROWSING).value();
+            stoodFor += 1000.0 / m_admission->admittedShare(m_now, BROWSING).value();
             m_admission->onAttemptEnd(m_now, BROWSING, makeUsage(load), true);
             m_admission->onRequestEnd(BROWSING, RootResult::Success);
         }
@@ -134,12 +134,12 @@
 // 3. A few at a time are whole, and the rest hears at once when to come back.
 TEST(RootAdmission, AnUnknownRuleIsLetInAFewAtATime)
 {
-    int letIn = 0;
+    int admitted = 0;
     for (int i = 0; i < 100; ++i) {
-        letIn += m_admission->admit(m_now, BROWSING) ? 1 : 0;
+        admitted += m_admission->admit(m_now, BROWSING) ? 1 : 0;
     }
-    CHECK_EQUAL(2, letIn);
-    CHECK(m_admission->letIn(m_now, BROWSING) < DemandShare(100));
+    CHECK_EQUAL(2, admitted);
+    CHECK(m_admission->admittedShare(m_now, BROWSING) < DemandShare(100));
     m_admission->onRequestEnd(BROWSING, RootResult::Success);
     CHECK(m_admission->admit(m_now, BROWSING));
     CHECK(m_admission->admit(m_now, BROWSING));
@@ -155,11 +155,11 @@
         members[i].upstreams = { UpstreamInfo{ i < 4 ? NARROW : WIDE, 25, 100, false } };
     }
     m_admission->setMembers(members);
-    int letIn = 0;
+    int admitted = 0;
     for (int i = 0; i < 100; ++i) {
-        letIn += m_admission->admit(m_now, BROWSING) ? 1 : 0;
+        admitted += m_admission->admit(m_now, BROWSING) ? 1 : 0;
     }
-    CHECK_EQUAL(5, letIn);
+    CHECK_EQUAL(5, admitted);
 }
 
 // A daemon that has just started knows of itself alone. It must not take all slots of its server
@@ -169,11 +169,11 @@
     std::vector<Member> members(1);
     members[0].upstreams = { UpstreamInfo{ WIDE, 160, 1000, false } };
     m_admission->setMembers(members);
-    int letIn = 0;
+    int admitted = 0;
     for (int i = 0; i < 100; ++i) {
-        letIn += m_admission->admit(m_now, BROWSING) ? 1 : 0;
+        admitted += m_admission->admit(m_now, BROWSING) ? 1 : 0;
     }
-    CHECK_EQUAL(10, letIn);
+    CHECK_EQUAL(10, admitted);
 }
 
 // A rule whose trees all fail is tried by one request at a time: never by none, or it would be
@@ -235,14 +235,16 @@
     TimePoint m_now{ std::chrono::seconds(10) };
     DemandEstimate m_estimate{ DemandEstimateOptions() };
 
-    /// 200 requests a second are wanted, of 50 ms each, of 20 slots; `letIn` thousandths come.
-    DemandLoad run(std::uint32_t letIn)
+    /// 200 requests a second are wanted, of 50 ms each, of 20 slots; `admittedShare` thousandths
+    /// come.
+    DemandLoad run(std::uint32_t admittedShare)
     {
         for (int i = 0; i < 1000; ++i) {
             m_now += std::chrono::milliseconds(5);
-            m_estimate.advance(m_now, 10.0 * letIn / 1000, 20);
-            if (i * letIn / 1000 != (i + 1) * letIn / 1000) {
-                m_estimate.onArrival(m_now, DemandShare(letIn), std::chrono::milliseconds(50));
+            m_estimate.advance(m_now, 10.0 * admittedShare / 1000, 20);
+            if (i * admittedShare / 1000 != (i + 1) * admittedShare / 1000) {
+                m_estimate.onArrival(m_now, DemandShare(admittedShare),
+                                     std::chrono::milliseconds(50));
             }
         }
         return m_estimate.load(m_now, 20);
