--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -324,16 +324,16 @@
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = service;
     rejection.rule = incoming.rule.name;
-    const RootGrounds grounds = m_admission->grounds(now, targetOf(incoming));
-    rejection.choice = grounds.narrowest.value();
-    if (grounds.isKnown) {
-        rejection.inputs = { { "share", grounds.share },
-                             { "odds", grounds.odds },
-                             { "load", grounds.load },
-                             { "load_age_ms", toMillis(grounds.loadAge) } };
+    const AdmissionBasis basis = m_admission->basis(now, targetOf(incoming));
+    rejection.choice = basis.bottleneck.value();
+    if (basis.isKnown) {
+        rejection.inputs = { { "share", basis.share },
+                             { "odds", basis.lossAdmittedShare },
+                             { "load", basis.load },
+                             { "load_age_ms", toMillis(basis.loadAge) } };
     } else {
-        rejection.inputs = { { "window", grounds.window },
-                             { "under_way", static_cast<double>(grounds.underWay) } };
+        rejection.inputs = { { "window", basis.window },
+                             { "under_way", static_cast<double>(basis.inFlight) } };
     }
     return rejection;
 }
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -44,12 +44,12 @@
             slots[upstream.service] += upstream.slots;
         }
     }
-    double narrowest = 0;
+    double fewestSlots = 0;
     for (const auto &[name, count] : slots) {
-        narrowest = narrowest == 0 ? count : std::min(narrowest, count);
+        fewestSlots = fewestSlots == 0 ? count : std::min(fewestSlots, count);
     }
     const auto daemons = static_cast<double>(std::max(members.size(), m_options.leastDaemons));
-    m_firstWindow = std::max(narrowest / daemons, m_options.firstWindow);
+    m_firstWindow = std::max(fewestSlots / daemons, m_options.firstWindow);
 }
 
 double RootAdmission::windowOf(const Tree &tree) const
@@ -81,9 +81,9 @@
     profile.share = shareOf(now, target, profile);
     Tree &tree = *profile.tree;
     const bool isIn =
-        isKnown(tree) ? take(now, profile, profile.share) : tree.underWay + 1 <= windowOf(tree);
+        isKnown(tree) ? take(now, profile, profile.share) : tree.inFlight + 1 <= windowOf(tree);
     if (isIn) {
-        ++tree.underWay;
+        ++tree.inFlight;
         profile.admitted.add(now, 1, m_options.demandMemory);
     }
     return isIn;
@@ -97,8 +97,8 @@
             m_treeCalls.push_back({ name, cost.calls });
         }
     }
-    profile.odds = m_odds.onArrival(now, target.priority, m_treeCalls);
-    profile.worthwhile += profile.odds;
+    profile.lossAdmittedShare = m_odds.onArrival(now, target.priority, m_treeCalls);
+    profile.worthwhile += profile.lossAdmittedShare;
     if (profile.worthwhile < 1) {
         return false;
     }
@@ -109,7 +109,7 @@
 double RootAdmission::shareOf(TimePoint now, const RootTarget &target, Profile &profile)
 {
     double share = AMPLE;
-    profile.narrowest = ServiceName();
+    profile.bottleneck = ServiceName();
     for (const auto &[name, cost] : profile.tree->costs) {
         if (cost.reached < m_options.leastReached) {
             continue;
@@ -119,7 +119,7 @@
         const double own = fitting(now, service, target.priority, profile);
         if (own < share) {
             share = own;
-            profile.narrowest = name;
+            profile.bottleneck = name;
         }
     }
     return share;
@@ -128,7 +128,7 @@
 void RootAdmission::onRequestEnd(const RootTarget &target, RootResult result)
 {
     Tree &tree = treeOf(target);
-    tree.underWay -= tree.underWay > 0 ? 1 : 0;
+    tree.inFlight -= tree.inFlight > 0 ? 1 : 0;
     if (result == RootResult::Success) {
         tree.window = windowOf(tree) + 1;
     }
@@ -169,25 +169,25 @@
     return DemandShare(static_cast<std::uint32_t>(std::max(told, LEAST_TOLD)));
 }
 
-RootGrounds RootAdmission::grounds(TimePoint now, const RootTarget &target) const
+AdmissionBasis RootAdmission::basis(TimePoint now, const RootTarget &target) const
 {
-    RootGrounds grounds;
+    AdmissionBasis basis;
     const Profile *profile = findProfile(target);
     if (!profile) {
-        return grounds;
+        return basis;
     }
-    grounds.isKnown = isKnown(*profile->tree);
-    grounds.underWay = profile->tree->underWay;
-    grounds.window = windowOf(*profile->tree);
-    grounds.share = profile->share;
-    grounds.narrowest = profile->narrowest;
-    grounds.odds = profile->odds;
-    const auto service = m_services.find(profile->narrowest);
+    basis.isKnown = isKnown(*profile->tree);
+    basis.inFlight = profile->tree->inFlight;
+    basis.window = windowOf(*profile->tree);
+    basis.share = profile->share;
+    basis.bottleneck = profile->bottleneck;
+    basis.lossAdmittedShare = profile->lossAdmittedShare;
+    const auto service = m_services.find(profile->bottleneck);
     if (service != m_services.end()) {
-        grounds.load = loadOf(now, service->second);
-        grounds.loadAge = std::chrono::duration_cast<Duration>(now - service->second.toldAt);
+        basis.load = loadOf(now, service->second);
+        basis.loadAge = std::chrono::duration_cast<Duration>(now - service->second.toldAt);
     }
-    return grounds;
+    return basis;
 }
 
 void RootAdmission::onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -20,7 +20,7 @@
     void setMembers(const std::vector<Member> &members) override;
     bool admit(TimePoint now, const RootTarget &target) override;
     DemandShare admittedShare(TimePoint now, const RootTarget &target) const override;
-    RootGrounds grounds(TimePoint now, const RootTarget &target) const override;
+    AdmissionBasis basis(TimePoint now, const RootTarget &target) const override;
     void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
                       bool isComplete) override;
     void onRequestEnd(const RootTarget &target, RootResult result) override;
@@ -60,7 +60,7 @@
         std::uint32_t samples = 0;
         /// While the tree is not known yet: requests that may be under way, once one has ended.
         std::optional<double> window;
-        std::uint32_t underWay = 0;
+        std::uint32_t inFlight = 0;
     };
     /// Requests of a rule of one priority.
     struct Profile
@@ -70,9 +70,9 @@
         /// Of the usual arrivals, what fits.
         double share = 1;
         /// The service that leaves least room; empty while none is known.
-        ServiceName narrowest;
+        ServiceName bottleneck;
         /// Of the requests, the share that is worth to begin.
-        double odds = 1;
+        double lossAdmittedShare = 1;
         /// What is saved up of the next request that is worth it.
         double worthwhile = 0;
         /// Requests that may be let in at once.
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -31,17 +31,17 @@
 RootResult rootResultOf(const Verdict &verdict, std::uint16_t status);
 
 /// What a decision was based on, for the logs.
-struct RootGrounds
+struct AdmissionBasis
 {
     /// Whether the rule's tree is known; if not, `window` decides, else `share`.
     bool isKnown = false;
-    std::uint32_t underWay = 0;
+    std::uint32_t inFlight = 0;
     double window = 0;
-    /// Of the usual arrivals, the share that fits into `narrowest`; empty if no service is known.
+    /// Of the usual arrivals, the share that fits into `bottleneck`; empty if no service is known.
     double share = 0;
-    ServiceName narrowest;
+    ServiceName bottleneck;
     /// Of the requests, the share that is worth to begin by what the services of the tree lose.
-    double odds = 1;
+    double lossAdmittedShare = 1;
     /// Its whole demand over what it can take, and how long ago that was told.
     double load = 0;
     Duration loadAge{ 0 };
@@ -64,7 +64,7 @@
     /// Which share of such requests is let in here now. Goes with the request, so that the services
     /// of its tree know what demand it stands for.
     virtual DemandShare admittedShare(TimePoint now, const RootTarget &target) const = 0;
-    virtual RootGrounds grounds(TimePoint now, const RootTarget &target) const = 0;
+    virtual AdmissionBasis basis(TimePoint now, const RootTarget &target) const = 0;
     /// An attempt of a request ended; `isComplete` when all its calls were made.
     virtual void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
                               bool isComplete) = 0;
@@ -94,7 +94,7 @@
     /// together, after a power failure, would otherwise let in all that comes, no tree would
     /// be whole, and nothing would be learnt from them.
     std::uint32_t knownAfter = 8;
-    /// The first window is this entry's part of the slots of the narrowest service, to which the
+    /// The first window is this entry's part of the slots of the bottleneck service, to which the
     /// rule may lead, and at least this.
     double firstWindow = 2;
     double leastWindow = 1;
--- a/src/coordination/admission/tests/successoddstest.cpp
+++ b/src/coordination/admission/tests/successoddstest.cpp
@@ -157,7 +157,7 @@
     run(*admission, 450, viewing, pledging);
     CHECK(viewing < 120);
     CHECK(pledging > 190);
-    CHECK(admission->grounds(m_now, m_viewing).odds < 0.2);
+    CHECK(admission->basis(m_now, m_viewing).lossAdmittedShare < 0.2);
     run(*admission, 0, viewing, pledging);
     run(*admission, 0, viewing, pledging);
     CHECK(viewing > 450);
