--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -88,9 +88,9 @@
 {
     RootAdmissionOptions options;
     options.hasFairShares = !settings.ablations.fairShares;
-    options.hasOdds = !settings.ablations.odds;
+    options.hasLossBasedAdmission = !settings.ablations.odds;
     if (settings.retryBudget && !settings.ablations.turnedAway) {
-        options.repeatRatio = settings.retryBudget->ratio;
+        options.retryRatio = settings.retryBudget->ratio;
     }
     return options;
 }
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -11,15 +11,15 @@
 
 /// With room for this multiple of the usual demand nothing has to be counted.
 constexpr double AMPLE = 3;
-/// A request that got through against all odds must not stand for thousands.
+/// A request that got through against all lossAdmission must not stand for thousands.
 constexpr long LEAST_TOLD = 20;
 
-SuccessOddsOptions oddsOptions(const RootAdmissionOptions &options)
+LossBasedAdmissionOptions lossOptions(const RootAdmissionOptions &options)
 {
-    SuccessOddsOptions odds;
-    odds.isOn = options.hasOdds;
-    odds.repeatRatio = options.repeatRatio;
-    return odds;
+    LossBasedAdmissionOptions lossAdmission;
+    lossAdmission.isOn = options.hasLossBasedAdmission;
+    lossAdmission.retryRatio = options.retryRatio;
+    return lossAdmission;
 }
 
 } // namespace
@@ -32,7 +32,7 @@
 RootAdmission::RootAdmission(const RootAdmissionOptions &options)
     : m_options(options)
     , m_firstWindow(options.firstWindow)
-    , m_odds(oddsOptions(options))
+    , m_lossAdmission(lossOptions(options))
 {
 }
 
@@ -97,7 +97,7 @@
             m_treeCalls.push_back({ name, cost.calls });
         }
     }
-    profile.lossAdmittedShare = m_odds.onArrival(now, target.priority, m_treeCalls);
+    profile.lossAdmittedShare = m_lossAdmission.onArrival(now, target.priority, m_treeCalls);
     profile.worthwhile += profile.lossAdmittedShare;
     if (profile.worthwhile < 1) {
         return false;
@@ -195,7 +195,7 @@
 {
     for (const ServiceUsage &each : usage) {
         learnLoad(now, each);
-        m_odds.learn(now, each);
+        m_lossAdmission.onReport(now, each);
     }
     if (isComplete) {
         learnCosts(treeOf(target), usage);
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "coordination/admission/demandrate.h"
-#include "coordination/admission/internal/successodds.h"
+#include "coordination/admission/internal/lossbasedadmission.h"
 #include "coordination/admission/irootadmission.h"
 
 namespace ivyspar {
@@ -112,7 +112,7 @@
     std::map<TreeKey, Tree> m_trees;
     std::map<ProfileKey, Profile> m_profiles;
     std::unordered_map<ServiceName, Service> m_services;
-    SuccessOdds m_odds;
+    LossBasedAdmission m_lossAdmission;
     /// Kept to save an allocation for each request.
     std::vector<TreeCalls> m_treeCalls;
 };
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -107,9 +107,9 @@
     /// Off: rules of one priority get equal shares of a service, whatever their requests cost it.
     bool hasFairShares = true;
     /// Off: trees are begun however few of them can end whole.
-    bool hasOdds = true;
+    bool hasLossBasedAdmission = true;
     /// Repeats for each call that all daemons together may send to a service.
-    double repeatRatio = 0;
+    double retryRatio = 0;
 };
 
 std::unique_ptr<IRootAdmission> makeRootAdmission(const RootAdmissionOptions &options = {});
--- a/src/coordination/admission/tests/successoddstest.cpp
+++ b/src/coordination/admission/tests/lossbasedadmissiontest.cpp
@@ -1,4 +1,4 @@
-#include "coordination/admission/internal/successodds.h"
+#include "coordination/admission/internal/lossbasedadmission.h"
 #include "coordination/admission/irootadmission.h"
 
 #include <CppUTest/TestHarness.h>
@@ -22,27 +22,27 @@
 
 } // namespace
 
-TEST_GROUP(SuccessOdds)
+TEST_GROUP(LossBasedAdmission)
 {
     TimePoint m_now{ 10s };
-    SuccessOddsOptions m_options;
-    std::unique_ptr<SuccessOdds> m_odds;
+    LossBasedAdmissionOptions m_options;
+    std::unique_ptr<LossBasedAdmission> m_lossAdmission;
 
     void setup() override
     {
-        m_options.repeatRatio = 0.2;
-        m_odds = std::make_unique<SuccessOdds>(m_options);
+        m_options.retryRatio = 0.2;
+        m_lossAdmission = std::make_unique<LossBasedAdmission>(m_options);
     }
 
     /// Two important requests with four calls and four minor ones with eight arrive every 10 ms.
     void run(Duration time, std::uint32_t thousandths)
     {
         for (const TimePoint end = m_now + time; m_now < end; m_now += 10ms) {
-            m_odds->learn(m_now, lossOf(thousandths));
+            m_lossAdmission->onReport(m_now, lossOf(thousandths));
             for (int i = 0; i < 2; ++i) {
-                m_important = m_odds->onArrival(m_now, IMPORTANT, FOUR_CALLS);
-                m_minor = m_odds->onArrival(m_now, MINOR, EIGHT_CALLS);
-                m_minor = m_odds->onArrival(m_now, MINOR, EIGHT_CALLS);
+                m_important = m_lossAdmission->onArrival(m_now, IMPORTANT, FOUR_CALLS);
+                m_minor = m_lossAdmission->onArrival(m_now, MINOR, EIGHT_CALLS);
+                m_minor = m_lossAdmission->onArrival(m_now, MINOR, EIGHT_CALLS);
             }
         }
     }
@@ -50,7 +50,7 @@
     double m_minor = 0;
 };
 
-TEST(SuccessOdds, WithoutLossAllIsBegun)
+TEST(LossBasedAdmission, WithoutLossAllIsBegun)
 {
     run(2s, 10);
     DOUBLES_EQUAL(1, m_important, 0);
@@ -58,7 +58,7 @@
 }
 
 // What a fifth of repeats can mend, one call in ten, is no reason to refuse anybody.
-TEST(SuccessOdds, ASmallLossIsMendedForAll)
+TEST(LossBasedAdmission, ASmallLossIsMendedForAll)
 {
     run(2s, 100);
     DOUBLES_EQUAL(1, m_important, 0);
@@ -70,7 +70,7 @@
 //    and there is a fifth of one for each call.
 // 3. The important trees, with four calls, are mended; of the minor ones hardly any is begun, and
 //    their callers hear so at once.
-TEST(SuccessOdds, WhereLittleCanBeMendedTheImportantIsBegun)
+TEST(LossBasedAdmission, WhereLittleCanBeMendedTheImportantIsBegun)
 {
     run(2s, 450);
     DOUBLES_EQUAL(1, m_important, 0);
@@ -80,13 +80,13 @@
 
 // A tree with a single call there ends whole more often than not. Callers get more of it than of a
 // refusal.
-TEST(SuccessOdds, ATreeThatLikelyEndsWholeIsBegunUnmended)
+TEST(LossBasedAdmission, ATreeThatLikelyEndsWholeIsBegunUnmended)
 {
     run(2s, 450);
-    DOUBLES_EQUAL(1, m_odds->onArrival(m_now, MINOR, ONE_CALL), 0);
+    DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, MINOR, ONE_CALL), 0);
 }
 
-TEST(SuccessOdds, TheEndOfTheTroubleIsFoundWithinASecond)
+TEST(LossBasedAdmission, TheEndOfTheTroubleIsFoundWithinASecond)
 {
     run(2s, 450);
     run(1s, 0);
@@ -94,23 +94,23 @@
 }
 
 // A service of which nothing more is heard, since nobody is let in, must not lock its rules out.
-TEST(SuccessOdds, ALossIsForgottenWhenNothingMoreIsHeard)
+TEST(LossBasedAdmission, ALossIsForgottenWhenNothingMoreIsHeard)
 {
     run(2s, 900);
     CHECK(m_minor < 1);
     m_now += 3s;
-    DOUBLES_EQUAL(1, m_odds->onArrival(m_now, MINOR, EIGHT_CALLS), 0);
+    DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, MINOR, EIGHT_CALLS), 0);
 }
 
-TEST(SuccessOdds, SwitchedOffAllIsBegun)
+TEST(LossBasedAdmission, SwitchedOffAllIsBegun)
 {
     m_options.isOn = false;
-    m_odds = std::make_unique<SuccessOdds>(m_options);
+    m_lossAdmission = std::make_unique<LossBasedAdmission>(m_options);
     run(2s, 450);
     DOUBLES_EQUAL(1, m_minor, 0);
 }
 
-TEST_GROUP(RootAdmissionOdds)
+TEST_GROUP(RootAdmissionWithLoss)
 {
     TimePoint m_now{ 10s };
     const RootTarget m_viewing{ RuleName("view"), ServiceName("wide"), MINOR };
@@ -144,10 +144,10 @@
 
 // What is not begun is no demand either: the load that the service tells concerns the others, and
 // they must not be held back for trees that nobody begins.
-TEST(RootAdmissionOdds, ARuleWhoseTreesCannotEndWholeIsRefusedAndHoldsNobodyBack)
+TEST(RootAdmissionWithLoss, ARuleWhoseTreesCannotEndWholeIsRefusedAndHoldsNobodyBack)
 {
     RootAdmissionOptions options;
-    options.repeatRatio = 0.2;
+    options.retryRatio = 0.2;
     const auto admission = makeRootAdmission(options);
     int viewing = 0;
     int pledging = 0;
