--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -31,7 +31,7 @@
 
 RootAdmission::RootAdmission(const RootAdmissionOptions &options)
     : m_options(options)
-    , m_firstWindow(options.firstWindow)
+    , m_initialWindow(options.initialWindow)
     , m_lossAdmission(lossOptions(options))
 {
 }
@@ -48,13 +48,13 @@
     for (const auto &[name, count] : slots) {
         fewestSlots = fewestSlots == 0 ? count : std::min(fewestSlots, count);
     }
-    const auto daemons = static_cast<double>(std::max(members.size(), m_options.leastDaemons));
-    m_firstWindow = std::max(fewestSlots / daemons, m_options.firstWindow);
+    const auto daemons = static_cast<double>(std::max(members.size(), m_options.minDaemons));
+    m_initialWindow = std::max(fewestSlots / daemons, m_options.initialWindow);
 }
 
 double RootAdmission::windowOf(const Tree &tree) const
 {
-    return tree.window.value_or(m_firstWindow);
+    return tree.window.value_or(m_initialWindow);
 }
 
 RootAdmission::Profile &RootAdmission::profileOf(const RootTarget &target)
@@ -77,14 +77,14 @@
     if (!isWorthwhile(now, target, profile)) {
         return false;
     }
-    profile.arrivals.add(now, 1, m_options.demandMemory);
+    profile.arrivals.add(now, 1, m_options.demandAveragingTime);
     profile.share = shareOf(now, target, profile);
     Tree &tree = *profile.tree;
     const bool isIn =
         isKnown(tree) ? take(now, profile, profile.share) : tree.inFlight + 1 <= windowOf(tree);
     if (isIn) {
         ++tree.inFlight;
-        profile.admitted.add(now, 1, m_options.demandMemory);
+        profile.admitted.add(now, 1, m_options.demandAveragingTime);
     }
     return isIn;
 }
@@ -93,7 +93,7 @@
 {
     m_treeCalls.clear();
     for (const auto &[name, cost] : profile.tree->costs) {
-        if (cost.reached >= m_options.leastReached) {
+        if (cost.reached >= m_options.minReachedShare) {
             m_treeCalls.push_back({ name, cost.calls });
         }
     }
@@ -111,7 +111,7 @@
     double share = AMPLE;
     profile.bottleneck = ServiceName();
     for (const auto &[name, cost] : profile.tree->costs) {
-        if (cost.reached < m_options.leastReached) {
+        if (cost.reached < m_options.minReachedShare) {
             continue;
         }
         Service &service = m_services[name];
@@ -133,7 +133,7 @@
         tree.window = windowOf(tree) + 1;
     }
     if (result == RootResult::Failure) {
-        tree.window = std::max(windowOf(tree) / 2, m_options.leastWindow);
+        tree.window = std::max(windowOf(tree) / 2, m_options.minWindow);
     }
 }
 
@@ -141,9 +141,9 @@
 /// at the usual demand would be overrun by a burst until it could tell.
 bool RootAdmission::take(TimePoint now, Profile &profile, double share) const
 {
-    const double rate = share * profile.arrivals.rate(now, m_options.demandMemory);
+    const double rate = share * profile.arrivals.rate(now, m_options.demandAveragingTime);
     const double passed = std::chrono::duration<double>(now - profile.savedAt).count();
-    const double most = std::max(m_options.leastBurst, rate * toSeconds(m_options.burst));
+    const double most = std::max(m_options.minBurst, rate * toSeconds(m_options.burst));
     profile.saved = std::min(profile.saved + rate * passed, most);
     profile.savedAt = now;
     if (profile.saved < 1 && share < AMPLE) {
@@ -162,8 +162,8 @@
     if (!profile) {
         return WHOLE_DEMAND;
     }
-    const double arrived = profile->arrivals.rate(now, m_options.demandMemory);
-    const double admitted = profile->admitted.rate(now, m_options.demandMemory);
+    const double arrived = profile->arrivals.rate(now, m_options.demandAveragingTime);
+    const double admitted = profile->admitted.rate(now, m_options.demandAveragingTime);
     const double share = arrived > 0 ? std::min(admitted / arrived, 1.0) : 1;
     const auto told = std::lround(share * static_cast<double>(WHOLE_DEMAND.value()));
     return DemandShare(static_cast<std::uint32_t>(std::max(told, LEAST_TOLD)));
@@ -233,7 +233,7 @@
     // An entry among many hears little. By the count of reports alone it would believe a load that
     // is seconds old, and all entries together let in too much and too little in turn.
     const double forgotten =
-        1 - std::exp(-toSeconds(now - service.toldAt) / toSeconds(m_options.loadMemory));
+        1 - std::exp(-toSeconds(now - service.toldAt) / toSeconds(m_options.loadAveragingTime));
     const double weight = std::max({ m_options.loadWeight, 1.0 / service.reports, forgotten });
     service.load = known + weight * (told - known);
     service.toldAt = now;
@@ -249,14 +249,14 @@
         found = all.insert(all.end(), Asked{ &profile, {}, 0 });
     }
     found->cost = cost;
-    found->rate.add(now, cost, m_options.demandMemory);
+    found->rate.add(now, cost, m_options.demandAveragingTime);
 }
 
 double RootAdmission::demandOf(TimePoint now, const std::vector<Asked> &asked) const
 {
     double total = 0;
     for (const Asked &each : asked) {
-        total += each.rate.rate(now, m_options.demandMemory);
+        total += each.rate.rate(now, m_options.demandAveragingTime);
     }
     return total;
 }
@@ -289,7 +289,7 @@
     std::size_t index = 0;
     for (const Asked &each : asked) {
         index = each.profile == &profile ? demands.size() : index;
-        demands.push_back({ each.rate.rate(now, m_options.demandMemory), each.cost });
+        demands.push_back({ each.rate.rate(now, m_options.demandAveragingTime), each.cost });
     }
     return shareOut(demands, room).at(index);
 }
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -86,7 +86,7 @@
     Tree &treeOf(const RootTarget &target) { return m_trees[TreeKey(target.rule, target.service)]; }
     Profile &profileOf(const RootTarget &target);
     const Profile *findProfile(const RootTarget &target) const;
-    bool isKnown(const Tree &tree) const { return tree.samples >= m_options.knownAfter; }
+    bool isKnown(const Tree &tree) const { return tree.samples >= m_options.minTreeSamples; }
     /// Requests of a rule that is not known yet that may be under way.
     double windowOf(const Tree &tree) const;
     /// Of the usual arrivals, the share that the services of the rule's tree can take.
@@ -108,7 +108,7 @@
     void learnLoad(TimePoint now, const ServiceUsage &usage);
 
     RootAdmissionOptions m_options;
-    double m_firstWindow;
+    double m_initialWindow;
     std::map<TreeKey, Tree> m_trees;
     std::map<ProfileKey, Profile> m_profiles;
     std::unordered_map<ServiceName, Service> m_services;
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -75,11 +75,11 @@
 struct RootAdmissionOptions
 {
     /// Time over which the demand is averaged, the same as at the gates.
-    Duration demandMemory = std::chrono::seconds(1);
+    Duration demandAveragingTime = std::chrono::seconds(1);
     /// Time for which requests may be saved up: chance brings some together without more demand.
     Duration burst = std::chrono::milliseconds(200);
     /// Requests of a rule that may be saved up at least.
-    double leastBurst = 2;
+    double minBurst = 2;
     /// A load that a service told is believed for this time …
     Duration loadHold = std::chrono::milliseconds(1000);
     /// … and then falls to nothing within this time.
@@ -88,22 +88,22 @@
     double costWeight = 0.05;
     /// A service that a smaller share of a rule's requests reaches does not hold the others up: a
     /// call may have been booked to the wrong request.
-    double leastReached = 0.25;
+    double minReachedShare = 0.25;
     /// A rule is known after this many whole answers. Until then only a few of its requests are let
     /// in at a time, more with each whole answer and half with each failure: entries that start
     /// together, after a power failure, would otherwise let in all that comes, no tree would
     /// be whole, and nothing would be learnt from them.
-    std::uint32_t knownAfter = 8;
+    std::uint32_t minTreeSamples = 8;
     /// The first window is this entry's part of the slots of the bottleneck service, to which the
     /// rule may lead, and at least this.
-    double firstWindow = 2;
-    double leastWindow = 1;
+    double initialWindow = 2;
+    double minWindow = 1;
     /// An entry that knows of fewer daemons takes no larger part: it may just not know the others.
-    std::size_t leastDaemons = 16;
+    std::size_t minDaemons = 16;
     /// Weight of one report in the load of a service: its servers report in turn.
     double loadWeight = 0.1;
     /// What was told before counts less by a factor of e after this time, however few reports come.
-    Duration loadMemory = std::chrono::milliseconds(250);
+    Duration loadAveragingTime = std::chrono::milliseconds(250);
     /// Off: rules of one priority get equal shares of a service, whatever their requests cost it.
     bool hasFairShares = true;
     /// Off: trees are begun however few of them can end whole.
