--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// With room for this multiple of the usual demand nothing has to be counted.
-constexpr double AMPLE = 3;
+constexpr double UNLIMITED_SHARE = 3;
 /// A request that got through against all lossAdmission must not stand for thousands.
-constexpr long LEAST_TOLD = 20;
+constexpr long MIN_ADMITTED_SHARE_THOUSANDTHS = 20;
 
 LossBasedAdmissionOptions lossOptions(const RootAdmissionOptions &options)
 {
@@ -74,14 +74,14 @@
 {
     Profile &profile = profileOf(target);
     // Before it counts as demand: services must not hold others back for what is not begun.
-    if (!isWorthwhile(now, target, profile)) {
+    if (!passesLossAdmission(now, target, profile)) {
         return false;
     }
     profile.arrivals.add(now, 1, m_options.demandAveragingTime);
     profile.share = shareOf(now, target, profile);
     Tree &tree = *profile.tree;
-    const bool isIn =
-        isKnown(tree) ? take(now, profile, profile.share) : tree.inFlight + 1 <= windowOf(tree);
+    const bool isIn = isKnown(tree) ? takeToken(now, profile, profile.share)
+                                    : tree.inFlight + 1 <= windowOf(tree);
     if (isIn) {
         ++tree.inFlight;
         profile.admitted.add(now, 1, m_options.demandAveragingTime);
@@ -89,34 +89,34 @@
     return isIn;
 }
 
-bool RootAdmission::isWorthwhile(TimePoint now, const RootTarget &target, Profile &profile)
+bool RootAdmission::passesLossAdmission(TimePoint now, const RootTarget &target, Profile &profile)
 {
     m_treeCalls.clear();
     for (const auto &[name, cost] : profile.tree->costs) {
-        if (cost.reached >= m_options.minReachedShare) {
+        if (cost.reachedShare >= m_options.minReachedShare) {
             m_treeCalls.push_back({ name, cost.calls });
         }
     }
     profile.lossAdmittedShare = m_lossAdmission.onArrival(now, target.priority, m_treeCalls);
-    profile.worthwhile += profile.lossAdmittedShare;
-    if (profile.worthwhile < 1) {
+    profile.startCredit += profile.lossAdmittedShare;
+    if (profile.startCredit < 1) {
         return false;
     }
-    profile.worthwhile -= 1;
+    profile.startCredit -= 1;
     return true;
 }
 
 double RootAdmission::shareOf(TimePoint now, const RootTarget &target, Profile &profile)
 {
-    double share = AMPLE;
+    double share = UNLIMITED_SHARE;
     profile.bottleneck = ServiceName();
     for (const auto &[name, cost] : profile.tree->costs) {
-        if (cost.reached < m_options.minReachedShare) {
+        if (cost.reachedShare < m_options.minReachedShare) {
             continue;
         }
         Service &service = m_services[name];
-        noteAsked(now, service, target.priority, profile, cost.busy);
-        const double own = fitting(now, service, target.priority, profile);
+        recordDemand(now, service, target.priority, profile, cost.busy);
+        const double own = fittingShare(now, service, target.priority, profile);
         if (own < share) {
             share = own;
             profile.bottleneck = name;
@@ -139,22 +139,22 @@
 
 /// The share is taken of the usual arrivals and not of those of this moment. A service that is full
 /// at the usual demand would be overrun by a burst until it could tell.
-bool RootAdmission::take(TimePoint now, Profile &profile, double share) const
+bool RootAdmission::takeToken(TimePoint now, Profile &profile, double share) const
 {
     const double rate = share * profile.arrivals.rate(now, m_options.demandAveragingTime);
-    const double passed = std::chrono::duration<double>(now - profile.savedAt).count();
+    const double passed = std::chrono::duration<double>(now - profile.refilledAt).count();
     const double most = std::max(m_options.minBurst, rate * toSeconds(m_options.burst));
-    profile.saved = std::min(profile.saved + rate * passed, most);
-    profile.savedAt = now;
-    if (profile.saved < 1 && share < AMPLE) {
+    profile.tokens = std::min(profile.tokens + rate * passed, most);
+    profile.refilledAt = now;
+    if (profile.tokens < 1 && share < UNLIMITED_SHARE) {
         return false;
     }
-    profile.saved = std::max(profile.saved - 1, 0.0);
+    profile.tokens = std::max(profile.tokens - 1, 0.0);
     return true;
 }
 
-/// What was let in, and not what was meant to be. While the share falls, requests that were saved
-/// up before are let in as well; told with the low share, each would stand for many, the demand
+/// What was let in, and not what was meant to be. While the share falls, requests that were tokens
+/// up before are let in as well; reported with the low share, each would stand for many, the demand
 /// would seem to grow, and the share would fall further.
 DemandShare RootAdmission::admittedShare(TimePoint now, const RootTarget &target) const
 {
@@ -165,8 +165,9 @@
     const double arrived = profile->arrivals.rate(now, m_options.demandAveragingTime);
     const double admitted = profile->admitted.rate(now, m_options.demandAveragingTime);
     const double share = arrived > 0 ? std::min(admitted / arrived, 1.0) : 1;
-    const auto told = std::lround(share * static_cast<double>(WHOLE_DEMAND.value()));
-    return DemandShare(static_cast<std::uint32_t>(std::max(told, LEAST_TOLD)));
+    const auto reported = std::lround(share * static_cast<double>(WHOLE_DEMAND.value()));
+    return DemandShare(
+        static_cast<std::uint32_t>(std::max(reported, MIN_ADMITTED_SHARE_THOUSANDTHS)));
 }
 
 AdmissionBasis RootAdmission::basis(TimePoint now, const RootTarget &target) const
@@ -185,7 +186,7 @@
     const auto service = m_services.find(profile->bottleneck);
     if (service != m_services.end()) {
         basis.load = loadOf(now, service->second);
-        basis.loadAge = std::chrono::duration_cast<Duration>(now - service->second.toldAt);
+        basis.loadAge = std::chrono::duration_cast<Duration>(now - service->second.reportedAt);
     }
     return basis;
 }
@@ -194,38 +195,38 @@
                                  bool isComplete)
 {
     for (const ServiceUsage &each : usage) {
-        learnLoad(now, each);
+        updateLoad(now, each);
         m_lossAdmission.onReport(now, each);
     }
     if (isComplete) {
-        learnCosts(treeOf(target), usage);
+        updateCosts(treeOf(target), usage);
     }
 }
 
-void RootAdmission::learnCosts(Tree &tree, const TreeUsage &usage) const
+void RootAdmission::updateCosts(Tree &tree, const TreeUsage &usage) const
 {
     ++tree.samples;
     const double weight = std::max(m_options.costWeight, 1.0 / tree.samples);
-    // A service that was not reached this time cost nothing.
+    // A service that was not reachedShare this time cost nothing.
     for (auto &[name, cost] : tree.costs) {
         cost.busy *= 1 - weight;
-        cost.reached *= 1 - weight;
+        cost.reachedShare *= 1 - weight;
         cost.calls *= 1 - weight;
     }
     for (const ServiceUsage &each : usage) {
         Cost &cost = tree.costs[each.service];
         cost.busy += weight * static_cast<double>(each.busy.count());
-        cost.reached += weight;
+        cost.reachedShare += weight;
         cost.calls += weight * each.calls;
     }
 }
 
-void RootAdmission::learnLoad(TimePoint now, const ServiceUsage &usage)
+void RootAdmission::updateLoad(TimePoint now, const ServiceUsage &usage)
 {
     Service &service = m_services[usage.service];
-    const double told =
+    const double reported =
         static_cast<double>(usage.load.value()) / static_cast<double>(FULL_LOAD.value());
-    if (now - service.toldAt > m_options.loadHold + m_options.loadDecay) {
+    if (now - service.reportedAt > m_options.loadHold + m_options.loadDecay) {
         service.reports = 0;
     }
     ++service.reports;
@@ -233,61 +234,62 @@
     // An entry among many hears little. By the count of reports alone it would believe a load that
     // is seconds old, and all entries together let in too much and too little in turn.
     const double forgotten =
-        1 - std::exp(-toSeconds(now - service.toldAt) / toSeconds(m_options.loadAveragingTime));
+        1 - std::exp(-toSeconds(now - service.reportedAt) / toSeconds(m_options.loadAveragingTime));
     const double weight = std::max({ m_options.loadWeight, 1.0 / service.reports, forgotten });
-    service.load = known + weight * (told - known);
-    service.toldAt = now;
+    service.load = known + weight * (reported - known);
+    service.reportedAt = now;
 }
 
-void RootAdmission::noteAsked(TimePoint now, Service &service, Priority priority,
-                              const Profile &profile, double cost) const
+void RootAdmission::recordDemand(TimePoint now, Service &service, Priority priority,
+                                 const Profile &profile, double cost) const
 {
-    std::vector<Asked> &all = service.asked[priority];
-    auto found = std::find_if(all.begin(), all.end(),
-                              [&profile](const Asked &asked) { return asked.profile == &profile; });
+    std::vector<ServiceDemand> &all = service.ruleDemands[priority];
+    auto found = std::find_if(all.begin(), all.end(), [&profile](const ServiceDemand &demand) {
+        return demand.profile == &profile;
+    });
     if (found == all.end()) {
-        found = all.insert(all.end(), Asked{ &profile, {}, 0 });
+        found = all.insert(all.end(), ServiceDemand{ &profile, {}, 0 });
     }
     found->cost = cost;
     found->rate.add(now, cost, m_options.demandAveragingTime);
 }
 
-double RootAdmission::demandOf(TimePoint now, const std::vector<Asked> &asked) const
+double RootAdmission::demandOf(TimePoint now, const std::vector<ServiceDemand> &ruleDemands) const
 {
     double total = 0;
-    for (const Asked &each : asked) {
+    for (const ServiceDemand &each : ruleDemands) {
         total += each.rate.rate(now, m_options.demandAveragingTime);
     }
     return total;
 }
 
-double RootAdmission::fitting(TimePoint now, const Service &service, Priority priority,
-                              const Profile &profile) const
+double RootAdmission::fittingShare(TimePoint now, const Service &service, Priority priority,
+                                   const Profile &profile) const
 {
     double above = 0;
     double all = 0;
-    for (const auto &[each, asked] : service.asked) {
-        const double rate = demandOf(now, asked);
+    for (const auto &[each, ruleDemands] : service.ruleDemands) {
+        const double rate = demandOf(now, ruleDemands);
         above += each > priority ? rate : 0;
         all += rate;
     }
-    const double load = std::max(loadOf(now, service), 1 / AMPLE);
-    return shareWithin(now, service.asked.at(priority), profile, all / load - above);
+    const double load = std::max(loadOf(now, service), 1 / UNLIMITED_SHARE);
+    return shareWithin(now, service.ruleDemands.at(priority), profile, all / load - above);
 }
 
-double RootAdmission::shareWithin(TimePoint now, const std::vector<Asked> &asked,
+double RootAdmission::shareWithin(TimePoint now, const std::vector<ServiceDemand> &ruleDemands,
                                   const Profile &profile, double room) const
 {
-    const double own = demandOf(now, asked);
+    const double own = demandOf(now, ruleDemands);
     if (own <= 0) {
-        return AMPLE;
+        return UNLIMITED_SHARE;
     }
-    if (!m_options.hasFairShares || room >= own || asked.size() == 1) {
+    if (!m_options.hasFairShares || room >= own || ruleDemands.size() == 1) {
         return std::max(room / own, 0.0);
     }
     std::vector<RuleDemand> demands;
     std::size_t index = 0;
-    for (const Asked &each : asked) {
+    for (const ServiceDemand &each : ruleDemands) {
         index = each.profile == &profile ? demands.size() : index;
         demands.push_back({ each.rate.rate(now, m_options.demandAveragingTime), each.cost });
     }
@@ -297,7 +299,7 @@
 double RootAdmission::loadOf(TimePoint now, const Service &service) const
 {
     // Where nothing more is heard, nothing may be refused for good.
-    const auto old = static_cast<double>((now - service.toldAt - m_options.loadHold).count());
+    const auto old = static_cast<double>((now - service.reportedAt - m_options.loadHold).count());
     const double forgotten =
         std::clamp(old / static_cast<double>(m_options.loadDecay.count()), 0.0, 1.0);
     return service.load * (1 - forgotten);
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -28,7 +28,7 @@
 private:
     struct Profile;
     /// What callers ask of a service by one rule.
-    struct Asked
+    struct ServiceDemand
     {
         const Profile *profile = nullptr;
         /// In µs of slots a second.
@@ -38,11 +38,11 @@
     };
     struct Service
     {
-        std::map<Priority, std::vector<Asked>> asked;
-        /// The whole demand over what the service can take.
+        std::map<Priority, std::vector<ServiceDemand>> ruleDemands;
+        /// The whole demand over what the service can takeToken.
         double load = 0;
         std::uint32_t reports = 0;
-        TimePoint toldAt;
+        TimePoint reportedAt;
     };
     /// What a request of a rule costs a service.
     struct Cost
@@ -50,7 +50,7 @@
         /// In µs of slots.
         double busy = 0;
         /// Share of the requests that reach the service.
-        double reached = 0;
+        double reachedShare = 0;
         double calls = 0;
     };
     /// What the calls of a rule's requests cost, whoever the callers are.
@@ -73,11 +73,11 @@
         ServiceName bottleneck;
         /// Of the requests, the share that is worth to begin.
         double lossAdmittedShare = 1;
-        /// What is saved up of the next request that is worth it.
-        double worthwhile = 0;
+        /// What is tokens up of the next request that is worth it.
+        double startCredit = 0;
         /// Requests that may be let in at once.
-        double saved = 0;
-        TimePoint savedAt;
+        double tokens = 0;
+        TimePoint refilledAt;
         DemandRate admitted;
     };
     using TreeKey = std::pair<RuleName, ServiceName>;
@@ -89,23 +89,23 @@
     bool isKnown(const Tree &tree) const { return tree.samples >= m_options.minTreeSamples; }
     /// Requests of a rule that is not known yet that may be under way.
     double windowOf(const Tree &tree) const;
-    /// Of the usual arrivals, the share that the services of the rule's tree can take.
+    /// Of the usual arrivals, the share that the services of the rule's tree can takeToken.
     double shareOf(TimePoint now, const RootTarget &target, Profile &profile);
     double loadOf(TimePoint now, const Service &service) const;
-    void noteAsked(TimePoint now, Service &service, Priority priority, const Profile &profile,
-                   double cost) const;
+    void recordDemand(TimePoint now, Service &service, Priority priority, const Profile &profile,
+                      double cost) const;
     /// Of the rule's usual demand, the share that fits; above 1 with room for more.
-    double fitting(TimePoint now, const Service &service, Priority priority,
-                   const Profile &profile) const;
-    double shareWithin(TimePoint now, const std::vector<Asked> &asked, const Profile &profile,
-                       double room) const;
-    double demandOf(TimePoint now, const std::vector<Asked> &asked) const;
+    double fittingShare(TimePoint now, const Service &service, Priority priority,
+                        const Profile &profile) const;
+    double shareWithin(TimePoint now, const std::vector<ServiceDemand> &ruleDemands,
+                       const Profile &profile, double room) const;
+    double demandOf(TimePoint now, const std::vector<ServiceDemand> &ruleDemands) const;
     /// Whether this request is one of the share that is worth to begin.
-    bool isWorthwhile(TimePoint now, const RootTarget &target, Profile &profile);
-    /// Takes one request from what is saved up at `share` of the usual arrivals.
-    bool take(TimePoint now, Profile &profile, double share) const;
-    void learnCosts(Tree &tree, const TreeUsage &usage) const;
-    void learnLoad(TimePoint now, const ServiceUsage &usage);
+    bool passesLossAdmission(TimePoint now, const RootTarget &target, Profile &profile);
+    /// Takes one request from what is tokens up at `share` of the usual arrivals.
+    bool takeToken(TimePoint now, Profile &profile, double share) const;
+    void updateCosts(Tree &tree, const TreeUsage &usage) const;
+    void updateLoad(TimePoint now, const ServiceUsage &usage);
 
     RootAdmissionOptions m_options;
     double m_initialWindow;
