--- a/src/coordination/admission/internal/fairshares.h
+++ b/src/coordination/admission/internal/fairshares.h
@@ -13,8 +13,8 @@
     double cost = 0;
 };
 
-/// Shares a room out between rules of one priority: of each rule's demand, the share that is let
-/// in. Plain function.
+/// Shares a capacity out between rules of one priority: of each rule's demand, the share that is
+/// let in. Plain function.
 ///
 /// With equal shares a request that costs twice as much takes the place of two others. By equal
 /// slot time the dear rule would come down to a quarter of the other's share and starve at a narrow
@@ -23,7 +23,7 @@
 /// served than with equal shares, and none of the rules gets less than two thirds of the other's
 /// share.
 ///
-/// All shares are 1 or more, and equal, if there is room for all.
-std::vector<double> shareOut(const std::vector<RuleDemand> &demands, double room);
+/// All shares are 1 or more, and equal, if there is capacity for all.
+std::vector<double> allocateShares(const std::vector<RuleDemand> &demands, double capacity);
 
 } // namespace ivyspar
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -293,7 +293,7 @@
         index = each.profile == &profile ? demands.size() : index;
         demands.push_back({ each.rate.rate(now, m_options.demandAveragingTime), each.cost });
     }
-    return shareOut(demands, room).at(index);
+    return allocateShares(demands, room).at(index);
 }
 
 double RootAdmission::loadOf(TimePoint now, const Service &service) const
--- a/src/coordination/admission/tests/fairsharestest.cpp
+++ b/src/coordination/admission/tests/fairsharestest.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr double CHEAP = 120e3;
-constexpr double DEAR = 250e3;
+constexpr double EXPENSIVE = 250e3;
 
-double taken(const std::vector<RuleDemand> &demands, const std::vector<double> &shares)
+double usedCapacity(const std::vector<RuleDemand> &demands, const std::vector<double> &shares)
 {
     double sum = 0;
     for (std::size_t i = 0; i < demands.size(); ++i) {
@@ -35,36 +35,37 @@
 TEST_GROUP(FairShares)
 {
     /// 446 cheap requests a second and 101 dear ones.
-    const std::vector<RuleDemand> m_demands{ { 446 * CHEAP, CHEAP }, { 101 * DEAR, DEAR } };
-    const double m_asked = 446 * CHEAP + 101 * DEAR;
+    const std::vector<RuleDemand> m_demands{ { 446 * CHEAP, CHEAP },
+                                             { 101 * EXPENSIVE, EXPENSIVE } };
+    const double m_totalDemand = 446 * CHEAP + 101 * EXPENSIVE;
 };
 
 TEST(FairShares, WithRoomForAllSharesAreEqual)
 {
-    for (const double share : shareOut(m_demands, 1.5 * m_asked)) {
+    for (const double share : allocateShares(m_demands, 1.5 * m_totalDemand)) {
         DOUBLES_EQUAL(1.5, share, 1e-9);
     }
 }
 
 // A narrow service can take two thirds of what two rules ask. More callers are served than with
-// equal shares, all the room is used, and the dear rule gets two thirds of the other's share.
+// equal shares, all the capacity is used, and the dear rule gets two thirds of the other's share.
 TEST(FairShares, CheapRequestsAreNotRefusedForDearOnes)
 {
-    const double room = m_asked * 2 / 3;
-    const auto shares = shareOut(m_demands, room);
-    DOUBLES_EQUAL(room, taken(m_demands, shares), 1);
+    const double capacity = m_totalDemand * 2 / 3;
+    const auto shares = allocateShares(m_demands, capacity);
+    DOUBLES_EQUAL(capacity, usedCapacity(m_demands, shares), 1);
     CHECK(shares[0] > shares[1]);
     CHECK(served(m_demands, shares) > 1.04 * served(m_demands, { 2.0 / 3, 2.0 / 3 }));
-    DOUBLES_EQUAL(std::sqrt(CHEAP / DEAR), shares[1] / shares[0], 1e-9);
+    DOUBLES_EQUAL(std::sqrt(CHEAP / EXPENSIVE), shares[1] / shares[0], 1e-9);
 }
 
-// However little room there is, neither rule is locked out.
+// However little capacity there is, neither rule is locked out.
 TEST(FairShares, NoRuleStarves)
 {
     for (const double part : { 0.5, 0.2, 0.05 }) {
-        const auto shares = shareOut(m_demands, part * m_asked);
+        const auto shares = allocateShares(m_demands, part * m_totalDemand);
         CHECK(shares[1] > 0.6 * part);
-        DOUBLES_EQUAL(part * m_asked, taken(m_demands, shares), 1);
+        DOUBLES_EQUAL(part * m_totalDemand, usedCapacity(m_demands, shares), 1);
     }
 }
 
@@ -72,15 +73,15 @@
 TEST(FairShares, WhatACheapRuleDoesNotNeedGoesToTheOthers)
 {
     const std::vector<RuleDemand> demands{ { 1e6, 1e3 }, { 10e6, 100e3 }, { 10e6, 200e3 } };
-    const auto shares = shareOut(demands, 15e6);
+    const auto shares = allocateShares(demands, 15e6);
     DOUBLES_EQUAL(1, shares[0], 1e-9);
-    DOUBLES_EQUAL(15e6, taken(demands, shares), 1);
+    DOUBLES_EQUAL(15e6, usedCapacity(demands, shares), 1);
     CHECK(shares[1] < 1 && shares[2] < shares[1]);
 }
 
 TEST(FairShares, WithoutRoomNobodyIsLetIn)
 {
-    for (const double share : shareOut(m_demands, -5)) {
+    for (const double share : allocateShares(m_demands, -5)) {
         DOUBLES_EQUAL(0, share, 0);
     }
 }
