--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -148,7 +148,7 @@
     if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
         return Refusal(rejectSuspect(incoming, standing));
     }
-    if (isOfCaller && !m_guard.takes(lag, incoming.rule.priority, m_highest)) {
+    if (isOfCaller && !m_guard.admits(lag, incoming.rule.priority, m_highest)) {
         return Refusal(overrunOf(incoming, lag));
     }
     if (!incoming.ledger) {
--- a/src/coordination/admission/processorguard.h
+++ b/src/coordination/admission/processorguard.h
@@ -5,7 +5,7 @@
 
 namespace ivyspar {
 
-/// Whether a daemon that is behind takes one more request of a caller.
+/// Whether a daemon that is behind admits one more request of a caller.
 ///
 /// A request that is read late has used up the time of its caller, and each one more makes those
 /// behind it later. Refused at once it costs about a tenth of what it costs to serve it, so that
@@ -19,19 +19,19 @@
     {
     }
 
-    /// `highest`: the priority of the most important rule that there is.
-    bool takes(Duration lag, Priority priority, Priority highest) const
+    /// `highest`: the priority of the maxLag important rule that there is.
+    bool admits(Duration lag, Priority priority, Priority highest) const
     {
-        const Duration most = priority < highest ? MOST_LAG : MOST_LAG_OF_IMPORTANT;
-        return !m_isOn || lag <= most;
+        const Duration maxLag = priority < highest ? MAX_LAG : MAX_LAG_HIGHEST_PRIORITY;
+        return !m_isOn || lag <= maxLag;
     }
 
 private:
     /// A tree with ten calls waits that often at daemons that are as busy as this one: with 0.1 s
     /// each, a second.
-    static constexpr Duration MOST_LAG = std::chrono::milliseconds(100);
+    static constexpr Duration MAX_LAG = std::chrono::milliseconds(100);
     /// Three times that: refusing the others frees the processor for these within some ticks.
-    static constexpr Duration MOST_LAG_OF_IMPORTANT = std::chrono::milliseconds(300);
+    static constexpr Duration MAX_LAG_HIGHEST_PRIORITY = std::chrono::milliseconds(300);
 
     bool m_isOn;
 };
--- a/src/coordination/admission/tests/lossbasedadmissiontest.cpp
+++ b/src/coordination/admission/tests/lossbasedadmissiontest.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 const ServiceName NARROW("narrow");
-const Priority IMPORTANT(90);
-const Priority MINOR(10);
+const Priority HIGH_PRIORITY(90);
+const Priority LOW_PRIORITY(10);
 const std::vector<TreeCalls> FOUR_CALLS{ { NARROW, 4 } };
 const std::vector<TreeCalls> EIGHT_CALLS{ { NARROW, 8 } };
 const std::vector<TreeCalls> ONE_CALL{ { NARROW, 1 } };
@@ -40,29 +40,29 @@
         for (const TimePoint end = m_now + time; m_now < end; m_now += 10ms) {
             m_lossAdmission->onReport(m_now, lossOf(thousandths));
             for (int i = 0; i < 2; ++i) {
-                m_important = m_lossAdmission->onArrival(m_now, IMPORTANT, FOUR_CALLS);
-                m_minor = m_lossAdmission->onArrival(m_now, MINOR, EIGHT_CALLS);
-                m_minor = m_lossAdmission->onArrival(m_now, MINOR, EIGHT_CALLS);
+                m_highPriorityShare = m_lossAdmission->onArrival(m_now, HIGH_PRIORITY, FOUR_CALLS);
+                m_lowPriorityShare = m_lossAdmission->onArrival(m_now, LOW_PRIORITY, EIGHT_CALLS);
+                m_lowPriorityShare = m_lossAdmission->onArrival(m_now, LOW_PRIORITY, EIGHT_CALLS);
             }
         }
     }
-    double m_important = 0;
-    double m_minor = 0;
+    double m_highPriorityShare = 0;
+    double m_lowPriorityShare = 0;
 };
 
 TEST(LossBasedAdmission, WithoutLossAllIsBegun)
 {
     run(2s, 10);
-    DOUBLES_EQUAL(1, m_important, 0);
-    DOUBLES_EQUAL(1, m_minor, 0);
+    DOUBLES_EQUAL(1, m_highPriorityShare, 0);
+    DOUBLES_EQUAL(1, m_lowPriorityShare, 0);
 }
 
 // What a fifth of repeats can mend, one call in ten, is no reason to refuse anybody.
 TEST(LossBasedAdmission, ASmallLossIsMendedForAll)
 {
     run(2s, 100);
-    DOUBLES_EQUAL(1, m_important, 0);
-    DOUBLES_EQUAL(1, m_minor, 0);
+    DOUBLES_EQUAL(1, m_highPriorityShare, 0);
+    DOUBLES_EQUAL(1, m_lowPriorityShare, 0);
 }
 
 // 1. A service four hops down turns away 45 % of its calls by chance.
@@ -73,9 +73,9 @@
 TEST(LossBasedAdmission, WhereLittleCanBeMendedTheImportantIsBegun)
 {
     run(2s, 450);
-    DOUBLES_EQUAL(1, m_important, 0);
-    CHECK(m_minor < 0.1);
-    CHECK(m_minor > 0);
+    DOUBLES_EQUAL(1, m_highPriorityShare, 0);
+    CHECK(m_lowPriorityShare < 0.1);
+    CHECK(m_lowPriorityShare > 0);
 }
 
 // A tree with a single call there ends whole more often than not. Callers get more of it than of a
@@ -83,23 +83,23 @@
 TEST(LossBasedAdmission, ATreeThatLikelyEndsWholeIsBegunUnmended)
 {
     run(2s, 450);
-    DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, MINOR, ONE_CALL), 0);
+    DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, LOW_PRIORITY, ONE_CALL), 0);
 }
 
 TEST(LossBasedAdmission, TheEndOfTheTroubleIsFoundWithinASecond)
 {
     run(2s, 450);
     run(1s, 0);
-    DOUBLES_EQUAL(1, m_minor, 0);
+    DOUBLES_EQUAL(1, m_lowPriorityShare, 0);
 }
 
 // A service of which nothing more is heard, since nobody is let in, must not lock its rules out.
 TEST(LossBasedAdmission, ALossIsForgottenWhenNothingMoreIsHeard)
 {
     run(2s, 900);
-    CHECK(m_minor < 1);
+    CHECK(m_lowPriorityShare < 1);
     m_now += 3s;
-    DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, MINOR, EIGHT_CALLS), 0);
+    DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, LOW_PRIORITY, EIGHT_CALLS), 0);
 }
 
 TEST(LossBasedAdmission, SwitchedOffAllIsBegun)
@@ -107,14 +107,14 @@
     m_options.isOn = false;
     m_lossAdmission = std::make_unique<LossBasedAdmission>(m_options);
     run(2s, 450);
-    DOUBLES_EQUAL(1, m_minor, 0);
+    DOUBLES_EQUAL(1, m_lowPriorityShare, 0);
 }
 
 TEST_GROUP(RootAdmissionWithLoss)
 {
     TimePoint m_now{ 10s };
-    const RootTarget m_viewing{ RuleName("view"), ServiceName("wide"), MINOR };
-    const RootTarget m_pledging{ RuleName("pledge"), ServiceName("wide"), IMPORTANT };
+    const RootTarget m_viewing{ RuleName("view"), ServiceName("wide"), LOW_PRIORITY };
+    const RootTarget m_pledging{ RuleName("pledge"), ServiceName("wide"), HIGH_PRIORITY };
 
     /// 300 viewings and 100 pledges a second, for two seconds; of each, those let in.
     void run(IRootAdmission & admission, std::uint32_t thousandths, int &viewing, int &pledging)
--- a/src/coordination/admission/tests/processorguardtest.cpp
+++ b/src/coordination/admission/tests/processorguardtest.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-const Priority IMPORTANT(100);
-const Priority MINOR(98);
+const Priority HIGH_PRIORITY(100);
+const Priority LOW_PRIORITY(98);
 
 } // namespace
 
@@ -19,20 +19,20 @@
 
 TEST(ProcessorGuard, ADaemonThatKeepsUpTakesAll)
 {
-    CHECK(m_guard.takes(0ms, MINOR, IMPORTANT));
-    CHECK(m_guard.takes(50ms, MINOR, IMPORTANT));
+    CHECK(m_guard.admits(0ms, LOW_PRIORITY, HIGH_PRIORITY));
+    CHECK(m_guard.admits(50ms, LOW_PRIORITY, HIGH_PRIORITY));
 }
 
 // A burst brings more than the daemon's part of a processor can serve. Callers of minor rules hear
 // at once when to come back; were all taken, each would be answered when its caller has left.
 TEST(ProcessorGuard, ADaemonThatIsBehindTakesTheImportant)
 {
-    CHECK_FALSE(m_guard.takes(150ms, MINOR, IMPORTANT));
-    CHECK(m_guard.takes(150ms, IMPORTANT, IMPORTANT));
-    CHECK_FALSE(m_guard.takes(400ms, IMPORTANT, IMPORTANT));
+    CHECK_FALSE(m_guard.admits(150ms, LOW_PRIORITY, HIGH_PRIORITY));
+    CHECK(m_guard.admits(150ms, HIGH_PRIORITY, HIGH_PRIORITY));
+    CHECK_FALSE(m_guard.admits(400ms, HIGH_PRIORITY, HIGH_PRIORITY));
 }
 
 TEST(ProcessorGuard, SwitchedOffItTakesAll)
 {
-    CHECK(ProcessorGuard(false).takes(5s, MINOR, IMPORTANT));
+    CHECK(ProcessorGuard(false).admits(5s, LOW_PRIORITY, HIGH_PRIORITY));
 }
