--- a/src/coordination/admission/processorload.h
+++ b/src/coordination/admission/processorload.h
@@ -23,12 +23,12 @@
 
 private:
     /// How many requests one that was let in stands for, in the mean.
-    double m_standsFor = 1;
+    double m_demandPerArrival = 1;
     /// Mean lag, in µs.
     double m_lag = 0;
     TimePoint m_at;
-    TimePoint m_behindAt = TimePoint::min();
-    bool m_isBinding = false;
+    TimePoint m_overloadedAt = TimePoint::min();
+    bool m_isOverloaded = false;
 };
 
 } // namespace ivyspar
