--- a/src/coordination/admission/demandrate.h
+++ b/src/coordination/admission/demandrate.h
@@ -8,9 +8,9 @@
 class DemandRate
 {
 public:
-    void add(TimePoint now, double amount, Duration memory);
+    void add(TimePoint now, double amount, Duration averagingTime);
     /// Per second.
-    double rate(TimePoint now, Duration memory) const;
+    double rate(TimePoint now, Duration averagingTime) const;
 
 private:
     double m_sum = 0;
--- a/src/coordination/admission/internal/demandestimate.cpp
+++ b/src/coordination/admission/internal/demandestimate.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double MICROS_PER_SECOND = 1e6;
-constexpr double LARGEST_LOAD = 100;
+constexpr double MAX_LOAD = 100;
 
 double ratio(Duration a, Duration b)
 {
@@ -34,21 +34,22 @@
         return;
     }
     m_at = now;
-    const double kept = std::exp(-ratio(step, m_options.occupancyMemory));
+    const double kept = std::exp(-ratio(step, m_options.occupancyAveragingTime));
     m_occupancy = m_occupancy * kept + calls / slots * (1 - kept);
-    const double off = std::clamp(m_occupancy - m_options.rightOccupancy, -m_options.mostBelow,
-                                  m_options.mostAbove);
-    const Duration time = off > 0 ? m_options.raise : m_options.lower;
-    m_correction *= std::exp(off * ratio(step, time));
-    m_correction = std::clamp(m_correction, 1.0, m_options.largestCorrection);
+    const double deviation = std::clamp(m_occupancy - m_options.targetOccupancy,
+                                        -m_options.maxDeviationBelow, m_options.maxDeviationAbove);
+    const Duration time = deviation > 0 ? m_options.raiseTime : m_options.lowerTime;
+    m_correction *= std::exp(deviation * ratio(step, time));
+    m_correction = std::clamp(m_correction, 1.0, m_options.maxCorrection);
 }
 
 void DemandEstimate::onArrival(TimePoint now, DemandShare admittedShare, Duration serviceTime)
 {
-    const DemandShare known = admittedShare == DemandShare() ? WHOLE_DEMAND : admittedShare;
-    const double standsFor =
-        static_cast<double>(WHOLE_DEMAND.value()) / static_cast<double>(known.value());
-    m_demand.add(now, standsFor * static_cast<double>(serviceTime.count()), m_options.memory);
+    const DemandShare share = admittedShare == DemandShare() ? WHOLE_DEMAND : admittedShare;
+    const double demandPerArrival =
+        static_cast<double>(WHOLE_DEMAND.value()) / static_cast<double>(share.value());
+    m_demand.add(now, demandPerArrival * static_cast<double>(serviceTime.count()),
+                 m_options.averagingTime);
 }
 
 DemandLoad DemandEstimate::load(TimePoint now, double slots) const
@@ -56,10 +57,10 @@
     if (slots <= 0) {
         return DemandLoad();
     }
-    const double busy = m_demand.rate(now, m_options.memory) / MICROS_PER_SECOND;
-    const double load = m_correction * busy / (m_options.target * slots);
+    const double busy = m_demand.rate(now, m_options.averagingTime) / MICROS_PER_SECOND;
+    const double load = m_correction * busy / (m_options.targetUtilization * slots);
     return DemandLoad(
-        static_cast<std::uint32_t>(std::lround(std::min(load, LARGEST_LOAD) * FULL_LOAD.value())));
+        static_cast<std::uint32_t>(std::lround(std::min(load, MAX_LOAD) * FULL_LOAD.value())));
 }
 
 } // namespace ivyspar
--- a/src/coordination/admission/internal/demandestimate.h
+++ b/src/coordination/admission/internal/demandestimate.h
@@ -9,25 +9,25 @@
 struct DemandEstimateOptions
 {
     /// Share of the slots that is given out: at the very limit each call waits.
-    double target = 0.95;
+    double targetUtilization = 0.95;
     /// Time over which the demand is averaged. Entries average over the same time, so that their
     /// part of the whole is right also while the demand changes.
-    Duration memory = std::chrono::seconds(1);
+    Duration averagingTime = std::chrono::seconds(1);
     /// Time over which the number of calls here is averaged.
-    Duration occupancyMemory = std::chrono::milliseconds(200);
+    Duration occupancyAveragingTime = std::chrono::milliseconds(200);
     /// Calls here over slots, at which the estimate is taken for right. Above 1 it would seek a
     /// queue: there a little more demand doubles the calls here, and the correction swings.
-    double rightOccupancy = 1.0;
+    double targetOccupancy = 1.0;
     /// Occupancies that are further below and above count as these.
-    double mostBelow = 0.5;
-    double mostAbove = 0.5;
+    double maxDeviationBelow = 0.5;
+    double maxDeviationAbove = 0.5;
     /// Time in which the correction changes by a factor of e when the calls here are off by as many
     /// as there are slots; when there are too many, and when there are too few.
     /// What was raised too far, before the entries could follow, must not keep callers out for
     /// long.
-    Duration raise = std::chrono::milliseconds(1400);
-    Duration lower = std::chrono::milliseconds(800);
-    double largestCorrection = 2;
+    Duration raiseTime = std::chrono::milliseconds(1400);
+    Duration lowerTime = std::chrono::milliseconds(800);
+    double maxCorrection = 2;
 };
 
 /// Estimates the whole demand for a gate, that which entries refused included, over what the gate
--- a/src/coordination/admission/internal/demandrate.cpp
+++ b/src/coordination/admission/internal/demandrate.cpp
@@ -8,31 +8,31 @@
 namespace {
 
 /// Younger averages would make a rate of thousands out of two amounts that came together.
-constexpr double SHORTEST_HISTORY = 0.2;
+constexpr double MIN_HISTORY_S = 0.2;
 
 } // namespace
 
-void DemandRate::add(TimePoint now, double amount, Duration memory)
+void DemandRate::add(TimePoint now, double amount, Duration averagingTime)
 {
     if (!m_isStarted) {
         m_isStarted = true;
         m_since = now;
         m_at = now;
     }
-    m_sum = m_sum * std::exp(-toSeconds(now - m_at) / toSeconds(memory)) + amount;
+    m_sum = m_sum * std::exp(-toSeconds(now - m_at) / toSeconds(averagingTime)) + amount;
     m_at = now;
 }
 
-double DemandRate::rate(TimePoint now, Duration memory) const
+double DemandRate::rate(TimePoint now, Duration averagingTime) const
 {
     if (!m_isStarted) {
         return 0;
     }
-    const double life = toSeconds(memory);
-    const double sum = m_sum * std::exp(-toSeconds(now - m_at) / life);
-    // The weights of a history that is shorter than the memory do not add up to the whole.
-    const double age = std::max(toSeconds(now - m_since), SHORTEST_HISTORY);
-    return sum / (life * (1 - std::exp(-age / life)));
+    const double decayTime = toSeconds(averagingTime);
+    const double sum = m_sum * std::exp(-toSeconds(now - m_at) / decayTime);
+    // The weights of a history that is shorter than the averagingTime do not add up to the whole.
+    const double age = std::max(toSeconds(now - m_since), MIN_HISTORY_S);
+    return sum / (decayTime * (1 - std::exp(-age / decayTime)));
 }
 
 } // namespace ivyspar
