--- a/src/coordination/admission/gatefactory.h
+++ b/src/coordination/admission/gatefactory.h
@@ -31,13 +31,13 @@
     /// Share of the announced capacity that a cold gate starts with.
     double initialShare = 0.5;
     /// The limit never falls below this share of the announced capacity.
-    double minimalShare = 0.1;
+    double minShare = 0.1;
 
     QueueOrder order = QueueOrder::Rank;
     /// Longest expected wait, as a multiple of the service time.
     double queueWait = 1.0;
     /// Calls that may wait however small the limit is.
-    std::uint32_t minimalQueue = 4;
+    std::uint32_t minQueue = 4;
     /// No bound on the queue: the plain queue that overload control replaces.
     bool isQueueBounded = true;
 
@@ -58,7 +58,7 @@
     /// As `timedOutHold`, for a call that was cancelled after its start.
     double cancelledHold = 0.25;
     /// Upper bound of both.
-    Duration longestHold = std::chrono::milliseconds(500);
+    Duration maxHold = std::chrono::milliseconds(500);
 
     /// Refused callers are spread over [shortest, 2 × shortest).
     Duration retryAfter = std::chrono::milliseconds(200);
--- a/src/coordination/admission/internal/aimdlimit.cpp
+++ b/src/coordination/admission/internal/aimdlimit.cpp
@@ -10,8 +10,8 @@
 constexpr double USED_SHARE = 0.5;
 } // namespace
 
-AimdLimit::AimdLimit(double initialShare, double minimalShare)
-    : m_range(initialShare, minimalShare)
+AimdLimit::AimdLimit(double initialShare, double minShare)
+    : m_range(initialShare, minShare)
 {
 }
 
--- a/src/coordination/admission/internal/aimdlimit.h
+++ b/src/coordination/admission/internal/aimdlimit.h
@@ -10,7 +10,7 @@
 class AimdLimit : public IConcurrencyLimit
 {
 public:
-    AimdLimit(double initialShare, double minimalShare);
+    AimdLimit(double initialShare, double minShare);
 
     void onSample(TimePoint now, const LimitSample &sample) override;
     void setCeiling(std::uint32_t ceiling) override;
--- a/src/coordination/admission/internal/gate.cpp
+++ b/src/coordination/admission/internal/gate.cpp
@@ -20,11 +20,11 @@
 {
     switch (options.limit) {
     case LimitKind::Aimd:
-        return std::make_unique<AimdLimit>(options.initialShare, options.minimalShare);
+        return std::make_unique<AimdLimit>(options.initialShare, options.minShare);
     case LimitKind::Gradient:
-        return std::make_unique<GradientLimit>(options.initialShare, options.minimalShare);
+        return std::make_unique<GradientLimit>(options.initialShare, options.minShare);
     case LimitKind::Probing:
-        return std::make_unique<ProbingLimit>(options.initialShare, options.minimalShare);
+        return std::make_unique<ProbingLimit>(options.initialShare, options.minShare);
     case LimitKind::Fixed:
         break;
     }
@@ -92,12 +92,12 @@
     if (m_running.erase(id) == 0) {
         return actions;
     }
-    learn(now, result, serviceTime, inFlight);
+    recordResult(now, result, serviceTime, inFlight);
     if (result == CallResult::TimedOut) {
-        hold(now, m_options.timedOutHold);
+        holdSlot(now, m_options.timedOutHold);
     }
     if (result == CallResult::Cancelled) {
-        hold(now, m_options.cancelledHold);
+        holdSlot(now, m_options.cancelledHold);
     }
     advance(now, actions);
     startWaiting(actions);
@@ -108,15 +108,16 @@
 // would queue inside the upstream, where they are neither ordered nor dropped, and time out in
 // turn. One more service time covers the usual rest; the bound keeps a hung upstream from taking
 // all slots for good.
-void Gate::hold(TimePoint now, double share)
+void Gate::holdSlot(TimePoint now, double share)
 {
     const Duration wanted(std::llround(share * m_serviceTime));
     if (wanted.count() > 0) {
-        m_held.push(now + std::min(wanted, m_options.longestHold));
+        m_held.push(now + std::min(wanted, m_options.maxHold));
     }
 }
 
-void Gate::learn(TimePoint now, CallResult result, Duration serviceTime, std::uint32_t inFlight)
+void Gate::recordResult(TimePoint now, CallResult result, Duration serviceTime,
+                        std::uint32_t inFlight)
 {
     m_limit->onSample(now, { result, serviceTime, inFlight });
     // Errors and refusals can be fast and cancelled calls are cut short: neither tells how long
@@ -167,7 +168,7 @@
 
 void Gate::dropExcess(GateActions &actions)
 {
-    while (m_options.isQueueBounded && m_queue.size() > longestQueue()) {
+    while (m_options.isQueueBounded && m_queue.size() > maxQueueLength()) {
         refuse(m_queue.popLast().id, Reason::QueueFull, actions);
         m_floor.onExcess();
     }
@@ -178,7 +179,7 @@
     while (!m_queue.isEmpty() && hasFreeSlot()) {
         start(m_queue.popFirst().id, actions);
     }
-    const double fill = static_cast<double>(m_queue.size()) / static_cast<double>(longestQueue());
+    const double fill = static_cast<double>(m_queue.size()) / static_cast<double>(maxQueueLength());
     m_floor.setQueue(fill, m_queue.isEmpty() && hasFreeSlot());
 }
 
@@ -207,10 +208,10 @@
 }
 
 // A queue of `queueWait × limit` calls is worked off in `queueWait` service times.
-std::size_t Gate::longestQueue() const
+std::size_t Gate::maxQueueLength() const
 {
     const double bound = m_options.queueWait * m_limit->limit();
-    return std::max<std::size_t>(m_options.minimalQueue, std::lround(bound));
+    return std::max<std::size_t>(m_options.minQueue, std::lround(bound));
 }
 
 // The last moment at which a start can still meet the deadline. With nothing running there is no
--- a/src/coordination/admission/internal/gate.h
+++ b/src/coordination/admission/internal/gate.h
@@ -42,10 +42,11 @@
     void refuse(CallId id, Reason reason, GateActions &actions);
     bool hasFreeSlot() const;
     std::uint32_t occupied() const;
-    std::size_t longestQueue() const;
+    std::size_t maxQueueLength() const;
     TimePoint latestStart(TimePoint deadline) const;
-    void hold(TimePoint now, double share);
-    void learn(TimePoint now, CallResult result, Duration serviceTime, std::uint32_t inFlight);
+    void holdSlot(TimePoint now, double share);
+    void recordResult(TimePoint now, CallResult result, Duration serviceTime,
+                      std::uint32_t inFlight);
 
     GateOptions m_options;
     std::unique_ptr<IConcurrencyLimit> m_limit;
--- a/src/coordination/admission/internal/gradientlimit.cpp
+++ b/src/coordination/admission/internal/gradientlimit.cpp
@@ -17,8 +17,8 @@
 constexpr double USED_SHARE = 0.5;
 } // namespace
 
-GradientLimit::GradientLimit(double initialShare, double minimalShare)
-    : m_range(initialShare, minimalShare)
+GradientLimit::GradientLimit(double initialShare, double minShare)
+    : m_range(initialShare, minShare)
 {
 }
 
--- a/src/coordination/admission/internal/gradientlimit.h
+++ b/src/coordination/admission/internal/gradientlimit.h
@@ -10,7 +10,7 @@
 class GradientLimit : public IConcurrencyLimit
 {
 public:
-    GradientLimit(double initialShare, double minimalShare);
+    GradientLimit(double initialShare, double minShare);
 
     void onSample(TimePoint now, const LimitSample &sample) override;
     void setCeiling(std::uint32_t ceiling) override;
--- a/src/coordination/admission/internal/limitrange.h
+++ b/src/coordination/admission/internal/limitrange.h
@@ -9,9 +9,9 @@
 class LimitRange
 {
 public:
-    LimitRange(double initialShare, double minimalShare)
+    LimitRange(double initialShare, double minShare)
         : m_initialShare(initialShare)
-        , m_minimalShare(minimalShare)
+        , m_minShare(minShare)
     {
     }
 
@@ -27,8 +27,7 @@
 
     void set(double value)
     {
-        const double lowest =
-            std::min<double>(m_ceiling, std::max(1.0, m_minimalShare * m_ceiling));
+        const double lowest = std::min<double>(m_ceiling, std::max(1.0, m_minShare * m_ceiling));
         m_value = std::clamp<double>(value, lowest, m_ceiling);
     }
 
@@ -37,7 +36,7 @@
 
 private:
     double m_initialShare;
-    double m_minimalShare;
+    double m_minShare;
     std::uint32_t m_ceiling = 0;
     double m_value = 0;
 };
--- a/src/coordination/admission/internal/probinglimit.cpp
+++ b/src/coordination/admission/internal/probinglimit.cpp
@@ -33,8 +33,8 @@
 constexpr std::uint32_t LONGEST_PAUSE = 32;
 } // namespace
 
-ProbingLimit::ProbingLimit(double initialShare, double minimalShare)
-    : m_range(initialShare, minimalShare)
+ProbingLimit::ProbingLimit(double initialShare, double minShare)
+    : m_range(initialShare, minShare)
 {
 }
 
--- a/src/coordination/admission/internal/probinglimit.h
+++ b/src/coordination/admission/internal/probinglimit.h
@@ -14,7 +14,7 @@
 class ProbingLimit : public IConcurrencyLimit
 {
 public:
-    ProbingLimit(double initialShare, double minimalShare);
+    ProbingLimit(double initialShare, double minShare);
 
     void onSample(TimePoint now, const LimitSample &sample) override;
     void setCeiling(std::uint32_t ceiling) override;
--- a/src/coordination/admission/internal/rankqueue.cpp
+++ b/src/coordination/admission/internal/rankqueue.cpp
@@ -36,7 +36,7 @@
     m_byDeadline.insert(call);
 }
 
-GateRequest RankQueue::take(const Waiting &call)
+GateRequest RankQueue::extract(const Waiting &call)
 {
     const GateRequest request = call.request;
     m_calls.erase(request.id);
@@ -45,17 +45,17 @@
 
 GateRequest RankQueue::popFirst()
 {
-    return take(*m_byOrder.rbegin());
+    return extract(*m_byOrder.rbegin());
 }
 
 GateRequest RankQueue::popLast()
 {
-    return take(*m_byOrder.begin());
+    return extract(*m_byOrder.begin());
 }
 
 GateRequest RankQueue::popEarliest()
 {
-    return take(*m_byDeadline.begin());
+    return extract(*m_byDeadline.begin());
 }
 
 TimePoint RankQueue::earliestDeadline() const
--- a/src/coordination/admission/internal/rankqueue.h
+++ b/src/coordination/admission/internal/rankqueue.h
@@ -67,7 +67,7 @@
                                    boost::intrusive::constant_time_size<false>>;
 
     OrderKey orderOf(const GateRequest &request);
-    GateRequest take(const Waiting &call);
+    GateRequest extract(const Waiting &call);
 
     QueueOrder m_order;
     std::int64_t m_arrivals = 0;
--- a/src/coordination/admission/tests/gatetest.cpp
+++ b/src/coordination/admission/tests/gatetest.cpp
@@ -241,7 +241,7 @@
 TEST(Gate, HigherRankTakesThePlaceOfTheLowestThatWaits)
 {
     GateOptions options = optionsFor(1);
-    options.minimalQueue = 1;
+    options.minQueue = 1;
     options.queueWait = 1;
     const auto gate = makeGate(options);
     const CallId low = fill(*gate, 10);
@@ -292,7 +292,7 @@
     for (const double hold : { 1.0, 0.0 }) {
         GateOptions options = optionsFor(1);
         options.timedOutHold = hold;
-        options.longestHold = 50ms;
+        options.maxHold = 50ms;
         const auto gate = makeGate(options);
         const CallId waiting = fill(*gate, 50);
         const CallId running(waiting.value() - 1);
