--- a/src/coordination/admission/internal/floorcontrol.cpp
+++ b/src/coordination/admission/internal/floorcontrol.cpp
@@ -10,17 +10,17 @@
 constexpr unsigned BUCKET_SHIFT = 16;
 constexpr double BUCKET_WIDTH = 1U << BUCKET_SHIFT;
 /// A bucket that shows less than this share of itself tells nothing of its rate.
-constexpr double SMALLEST_VISIBLE_SHARE = 0.05;
+constexpr double MIN_VISIBLE_SHARE = 0.05;
 /// Weights of a window in the arrivals, and of one service time in the starts.
 constexpr double RATE_WEIGHT = 0.3;
 constexpr double START_WEIGHT = 0.3;
 /// A bucket with fewer arrivals per window is forgotten.
-constexpr double FORGOTTEN_RATE = 0.01;
+constexpr double MIN_TRACKED_RATE = 0.01;
 /// The floor opens by this share of the volume in the first quiet window, twice that in the next.
-constexpr double OPENING = 0.1;
+constexpr double LOWERING_STEP = 0.1;
 /// Outside of these the queue is brought back to its middle.
-constexpr double FULL = 0.75;
-constexpr double EMPTY = 0.25;
+constexpr double HIGH_FILL = 0.75;
+constexpr double LOW_FILL = 0.25;
 constexpr double FILL_GAIN = 0.1;
 } // namespace
 
@@ -76,18 +76,18 @@
 {
     updateRates();
     m_startRate += m_startWeight * (m_started - m_startRate);
-    const bool isExcess = m_excess > margin() * m_started;
-    if (m_wasIdle && !isExcess) {
-        open();
-    } else if (isExcess || m_fill > FULL) {
-        m_quiet = 0;
-        m_floor = std::max(m_floor, floorForVolume(wantedVolume()));
-    } else if (m_fill < EMPTY && m_floor.value() > 0) {
-        m_floor = std::min(m_floor, floorForVolume(wantedVolume()));
+    const bool hasRefusals = m_capacityRefusals > margin() * m_started;
+    if (m_wasIdle && !hasRefusals) {
+        lowerFloor();
+    } else if (hasRefusals || m_queueFill > HIGH_FILL) {
+        m_quietWindows = 0;
+        m_floor = std::max(m_floor, floorForVolume(targetVolume()));
+    } else if (m_queueFill < LOW_FILL && m_floor.value() > 0) {
+        m_floor = std::min(m_floor, floorForVolume(targetVolume()));
     }
     m_wasIdle = m_isIdle;
     m_started = 0;
-    m_excess = 0;
+    m_capacityRefusals = 0;
 }
 
 // The number of arrivals in a window varies by about its root. With a smaller margin a gate with
@@ -97,28 +97,28 @@
     return std::max(m_options.margin, 1 / std::sqrt(std::max(m_startRate, 1.0)));
 }
 
-void FloorControl::open()
+void FloorControl::lowerFloor()
 {
     if (m_floor.value() == 0) {
         return;
     }
-    const double opening = OPENING * std::exp2(m_quiet);
-    ++m_quiet;
-    const double volume = std::max(volumeAboveFloor(), 1.0) * (1 + opening);
-    const bool isOpen = m_quiet >= m_options.quietWindows;
+    const double step = LOWERING_STEP * std::exp2(m_quietWindows);
+    ++m_quietWindows;
+    const double volume = std::max(volumeAboveFloor(), 1.0) * (1 + step);
+    const bool isOpen = m_quietWindows >= m_options.quietWindows;
     m_floor = isOpen ? Rank() : std::min(m_floor, floorForVolume(volume));
 }
 
 // As much as is started, corrected by what the queue is off its middle: so the queue neither runs
 // empty, which would waste slots, nor over, which would waste what the callers' hops did before.
-double FloorControl::wantedVolume() const
+double FloorControl::targetVolume() const
 {
-    return std::max(m_startRate, 1.0) * (1 + FILL_GAIN * (0.5 - m_fill));
+    return std::max(m_startRate, 1.0) * (1 + FILL_GAIN * (0.5 - m_queueFill));
 }
 
 void FloorControl::setQueue(double fill, bool isIdle)
 {
-    m_fill = std::min(fill, 1.0);
+    m_queueFill = std::min(fill, 1.0);
     m_isIdle = isIdle;
     m_wasIdle = m_wasIdle || isIdle;
 }
@@ -128,12 +128,12 @@
     for (auto i = m_buckets.begin(); i != m_buckets.end();) {
         Bucket &bucket = i->second;
         const double visible = visibleShare(i->first);
-        if (visible >= SMALLEST_VISIBLE_SHARE) {
+        if (visible >= MIN_VISIBLE_SHARE) {
             bucket.rate += RATE_WEIGHT * (bucket.arrivals / visible - bucket.rate);
         }
         bucket.arrivals = 0;
-        const bool isGone = visible >= 1 && bucket.rate < FORGOTTEN_RATE;
-        i = isGone ? m_buckets.erase(i) : std::next(i);
+        const bool isNegligible = visible >= 1 && bucket.rate < MIN_TRACKED_RATE;
+        i = isNegligible ? m_buckets.erase(i) : std::next(i);
     }
 }
 
@@ -162,7 +162,7 @@
 
 TimePoint FloorControl::nextChange() const
 {
-    const bool isIdle = m_floor.value() == 0 && m_excess == 0;
+    const bool isIdle = m_floor.value() == 0 && m_capacityRefusals == 0;
     return isIdle ? TimePoint::max() : m_windowEnd;
 }
 
--- a/src/coordination/admission/internal/floorcontrol.h
+++ b/src/coordination/admission/internal/floorcontrol.h
@@ -26,7 +26,7 @@
     void onArrival(Rank rank);
     void onStart() { ++m_started; }
     /// A call was refused for want of capacity.
-    void onExcess() { ++m_excess; }
+    void onCapacityRefusal() { ++m_capacityRefusals; }
 
     /// What waits, as a share of what may wait, and whether a slot is free.
     void setQueue(double fill, bool isIdle);
@@ -48,8 +48,8 @@
     double visibleShare(std::uint32_t bucket) const;
     void endWindow();
     double margin() const;
-    double wantedVolume() const;
-    void open();
+    double targetVolume() const;
+    void lowerFloor();
     void updateRates();
     double volumeAboveFloor() const;
     Rank floorForVolume(double volume) const;
@@ -61,15 +61,15 @@
     TimePoint m_windowEnd;
     bool m_isRunning = false;
     std::uint32_t m_started = 0;
-    std::uint32_t m_excess = 0;
+    std::uint32_t m_capacityRefusals = 0;
     /// Mean of the starts in a window, and the weight of one window in it.
     double m_startRate = 0;
     double m_startWeight = 1;
-    double m_fill = 0;
+    double m_queueFill = 0;
     bool m_isIdle = true;
     bool m_wasIdle = true;
     /// Steps of opening since the last excess.
-    std::uint32_t m_quiet = 0;
+    std::uint32_t m_quietWindows = 0;
 };
 
 } // namespace ivyspar
--- a/src/coordination/admission/internal/gate.cpp
+++ b/src/coordination/admission/internal/gate.cpp
@@ -162,7 +162,7 @@
         const GateRequest doomed = m_queue.popEarliest();
         const bool isOver = doomed.deadline <= now;
         refuse(doomed.id, isOver ? Reason::DeadlineExceeded : Reason::Doomed, actions);
-        m_floor.onExcess();
+        m_floor.onCapacityRefusal();
     }
 }
 
@@ -170,7 +170,7 @@
 {
     while (m_options.isQueueBounded && m_queue.size() > maxQueueLength()) {
         refuse(m_queue.popLast().id, Reason::QueueFull, actions);
-        m_floor.onExcess();
+        m_floor.onCapacityRefusal();
     }
 }
 
