--- a/src/coordination/admission/internal/gradientlimit.cpp
+++ b/src/coordination/admission/internal/gradientlimit.cpp
@@ -10,7 +10,7 @@
 constexpr double LONG_WEIGHT = 0.002;
 /// Service times may vary by this factor before the limit falls.
 constexpr double TOLERANCE = 1.5;
-constexpr double SMALLEST_GRADIENT = 0.5;
+constexpr double MIN_GRADIENT = 0.5;
 /// Weight of one sample in the limit.
 constexpr double LIMIT_WEIGHT = 0.02;
 constexpr double OVERLOADED_SHARE = 0.9;
@@ -45,7 +45,7 @@
     if (sample.inFlight < USED_SHARE * limit || m_short <= 0) {
         return;
     }
-    const double gradient = std::clamp(TOLERANCE * m_long / m_short, SMALLEST_GRADIENT, 1.0);
+    const double gradient = std::clamp(TOLERANCE * m_long / m_short, MIN_GRADIENT, 1.0);
     const double wanted = gradient * limit + std::sqrt(limit);
     m_range.set(limit + LIMIT_WEIGHT * (wanted - limit));
 }
--- a/src/coordination/admission/internal/probinglimit.cpp
+++ b/src/coordination/admission/internal/probinglimit.cpp
@@ -10,8 +10,8 @@
 /// Calls in an epoch: at least this number, and this number of rounds.
 constexpr std::uint32_t EPOCH_CALLS = 100;
 constexpr double EPOCH_ROUNDS = 2;
-constexpr double LOWER = 0.8;
-constexpr double HIGHER = 1.25;
+constexpr double LOWER_FACTOR = 0.8;
+constexpr double HIGHER_FACTOR = 1.25;
 /// A lower limit is kept if at least this share of the throughput is left …
 constexpr double KEPT_THROUGHPUT = 0.97;
 /// … and a higher one if the throughput grows by this factor.
@@ -20,17 +20,17 @@
 constexpr std::uint32_t EARLY_CALLS = 30;
 constexpr double LOST_THROUGHPUT = 0.9;
 /// For how long calls must have been slow before a limit is tried.
-constexpr Duration PATIENCE = std::chrono::seconds(5);
+constexpr Duration MIN_SLOW_TIME = std::chrono::seconds(5);
 /// Service times beyond this multiple of the fastest are long.
-constexpr double SLOW = 1.5;
-constexpr double FORGETTING = 1.005;
+constexpr double SLOW_FACTOR = 1.5;
+constexpr double FASTEST_DECAY = 1.005;
 constexpr double RECENT_WEIGHT = 0.1;
 constexpr double SATURATED_SHARE = 0.8;
 constexpr double USED_SHARE = 0.5;
 constexpr double OVERLOADED_DECREASE = 0.9;
 /// Growth per round of calls, as a share of the limit, once the gate is warm.
 constexpr double INCREASE = 0.25;
-constexpr std::uint32_t LONGEST_PAUSE = 32;
+constexpr std::uint32_t MAX_PAUSE_EPOCHS = 32;
 } // namespace
 
 ProbingLimit::ProbingLimit(double initialShare, double minShare)
@@ -53,8 +53,8 @@
     if (isSuccess && m_phase == Phase::Steady) {
         grow(sample);
     }
-    if (m_settling > 0) {
-        --m_settling;
+    if (m_callsToSettle > 0) {
+        --m_callsToSettle;
         m_epoch = Epoch();
         m_epoch.start = now;
         return;
@@ -80,12 +80,12 @@
     const Duration round(std::llround(m_recent));
     m_nextDecrease = now + std::max(round, sample.serviceTime);
     m_phase = Phase::Steady;
-    changeTo(m_range.value() * OVERLOADED_DECREASE);
+    changeLimit(m_range.value() * OVERLOADED_DECREASE);
 }
 
 bool ProbingLimit::isSlow() const
 {
-    return m_fastest > 0 && m_recent > SLOW * m_fastest;
+    return m_fastest > 0 && m_recent > SLOW_FACTOR * m_fastest;
 }
 
 void ProbingLimit::grow(const LimitSample &sample)
@@ -116,11 +116,11 @@
     const double measured = throughput(now);
     const double mean = m_epoch.serviceTime / m_epoch.ended;
     const bool isSaturated = m_epoch.inFlight >= SATURATED_SHARE * m_range.value() * m_epoch.ended;
-    m_fastest = m_fastest <= 0 ? mean : std::min(m_fastest * FORGETTING, mean);
+    m_fastest = m_fastest <= 0 ? mean : std::min(m_fastest * FASTEST_DECAY, mean);
     m_epoch = Epoch();
     m_epoch.start = now;
     if (m_phase != Phase::Steady) {
-        judge(measured);
+        evaluateTrial(measured);
         return;
     }
     // An epoch in which calls became slow is a mixture and gives no throughput to compare with.
@@ -132,52 +132,52 @@
     m_isCold = false;
     // A trial costs throughput if the work is slow for another reason, as when a service further
     // down is slow. What a trial can find, a server that announces too much, lasts.
-    if (now - m_slowSince < PATIENCE) {
+    if (now - m_slowSince < MIN_SLOW_TIME) {
         return;
     }
-    if (m_pause > 0) {
-        --m_pause;
+    if (m_pauseEpochs > 0) {
+        --m_pauseEpochs;
         return;
     }
-    tryNext(measured);
+    startTrial(measured);
 }
 
-void ProbingLimit::tryNext(double measured)
+void ProbingLimit::startTrial(double measured)
 {
     m_throughputBefore = measured;
     m_limitBefore = m_range.value();
     m_phase = m_isHigherNext ? Phase::Higher : Phase::Lower;
-    changeTo(m_limitBefore * (m_isHigherNext ? HIGHER : LOWER));
+    changeLimit(m_limitBefore * (m_isHigherNext ? HIGHER_FACTOR : LOWER_FACTOR));
     if (m_range.value() == m_limitBefore) {
         m_phase = Phase::Steady;
         m_isHigherNext = !m_isHigherNext;
     }
 }
 
-void ProbingLimit::judge(double measured)
+void ProbingLimit::evaluateTrial(double measured)
 {
     switch (m_phase) {
     case Phase::Lower:
         if (measured >= GAINED_THROUGHPUT * m_throughputBefore) {
-            keep(m_range.value(), measured);
+            acceptTrial(m_range.value(), measured);
             return;
         }
         if (measured >= KEPT_THROUGHPUT * m_throughputBefore) {
             m_throughputOnTrial = measured;
             m_phase = Phase::Verify;
-            changeTo(m_limitBefore);
+            changeLimit(m_limitBefore);
             return;
         }
         break;
     case Phase::Verify:
         if (m_throughputOnTrial >= KEPT_THROUGHPUT * measured) {
-            keep(m_limitBefore * LOWER, m_throughputOnTrial);
+            acceptTrial(m_limitBefore * LOWER_FACTOR, m_throughputOnTrial);
             return;
         }
         break;
     case Phase::Higher:
         if (measured >= GAINED_THROUGHPUT * m_throughputBefore) {
-            keep(m_range.value(), measured);
+            acceptTrial(m_range.value(), measured);
             return;
         }
         break;
@@ -186,22 +186,22 @@
     }
     m_phase = Phase::Steady;
     m_isHigherNext = !m_isHigherNext;
-    m_pause = m_nextPause;
-    m_nextPause = std::min(2 * m_nextPause, LONGEST_PAUSE);
-    changeTo(m_limitBefore);
+    m_pauseEpochs = m_nextPauseEpochs;
+    m_nextPauseEpochs = std::min(2 * m_nextPauseEpochs, MAX_PAUSE_EPOCHS);
+    changeLimit(m_limitBefore);
 }
 
 /// The trial was a success: the next one follows at once.
-void ProbingLimit::keep(double limit, double measured)
+void ProbingLimit::acceptTrial(double limit, double measured)
 {
     m_range.set(limit);
-    m_nextPause = FIRST_PAUSE;
-    tryNext(measured);
+    m_nextPauseEpochs = MIN_PAUSE_EPOCHS;
+    startTrial(measured);
 }
 
-void ProbingLimit::changeTo(double limit)
+void ProbingLimit::changeLimit(double limit)
 {
-    m_settling = m_range.limit();
+    m_callsToSettle = m_range.limit();
     m_range.set(limit);
 }
 
--- a/src/coordination/admission/internal/probinglimit.h
+++ b/src/coordination/admission/internal/probinglimit.h
@@ -21,7 +21,7 @@
     std::uint32_t limit() const override;
 
 private:
-    static constexpr std::uint32_t FIRST_PAUSE = 4;
+    static constexpr std::uint32_t MIN_PAUSE_EPOCHS = 4;
 
     enum class Phase {
         Steady,
@@ -44,17 +44,17 @@
     double throughput(TimePoint now) const;
     bool hasLostThroughput(TimePoint now) const;
     void endEpoch(TimePoint now);
-    void judge(double measured);
-    void keep(double limit, double measured);
-    void tryNext(double measured);
-    void changeTo(double limit);
+    void evaluateTrial(double measured);
+    void acceptTrial(double limit, double measured);
+    void startTrial(double measured);
+    void changeLimit(double limit);
     bool isSlow() const;
 
     LimitRange m_range;
     Phase m_phase = Phase::Steady;
     Epoch m_epoch;
     /// Calls started under the previous limit that are still to end.
-    std::uint32_t m_settling = 0;
+    std::uint32_t m_callsToSettle = 0;
     /// Lowest mean service time of an epoch, in µs; slowly forgotten. 0 while unknown.
     double m_fastest = 0;
     /// Recent service time, in µs.
@@ -67,8 +67,8 @@
     bool m_isCold = true;
     bool m_isHigherNext = false;
     /// Epochs until the next trial, and their number after the next one that fails.
-    std::uint32_t m_pause = 0;
-    std::uint32_t m_nextPause = FIRST_PAUSE;
+    std::uint32_t m_pauseEpochs = 0;
+    std::uint32_t m_nextPauseEpochs = MIN_PAUSE_EPOCHS;
     TimePoint m_nextDecrease;
 };
 
