--- a/src/app/internal/gate/upstreamwatch.cpp
+++ b/src/app/internal/gate/upstreamwatch.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "coordination/upstreams/upstreamregisterfactory.h"
+#include "coordination/upstreams/upstreamregistryfactory.h"
 
 namespace ivyspar {
 
@@ -33,7 +33,7 @@
     , m_dialect(dialect)
     , m_gates(gates)
     , m_observers(observers)
-    , m_register(makeUpstreamRegister(UpstreamRegisterOptions()))
+    , m_register(makeUpstreamRegistry(UpstreamRegistryOptions()))
     , m_timer(loop, [this] { perform(m_register->tick(m_loop.now())); })
 {
     m_gates.setOnDoubt([this](const UpstreamId &instance) {
--- a/src/app/internal/gate/upstreamwatch.h
+++ b/src/app/internal/gate/upstreamwatch.h
@@ -5,7 +5,7 @@
 #include "app/internal/gate/gateservice.h"
 #include "app/internal/logs/observers.h"
 #include "app/internal/waketimer.h"
-#include "coordination/upstreams/iupstreamregister.h"
+#include "coordination/upstreams/iupstreamregistry.h"
 #include "protocol/iupstreamdialect.h"
 #include "state/configuration.h"
 #include "transport/ieventloop.h"
@@ -37,7 +37,7 @@
     const IUpstreamDialect &m_dialect;
     GateService &m_gates;
     Observers m_observers;
-    std::unique_ptr<IUpstreamRegister> m_register;
+    std::unique_ptr<IUpstreamRegistry> m_register;
     WakeTimer m_timer;
     ConfigurationPtr m_configuration;
 };
--- a/src/coordination/upstreams/internal/upstreamregister.cpp
+++ b/src/coordination/upstreams/internal/upstreamregistry.cpp
@@ -1,26 +1,26 @@
-#include "coordination/upstreams/internal/upstreamregister.h"
+#include "coordination/upstreams/internal/upstreamregistry.h"
 
 #include <algorithm>
 
 namespace ivyspar {
 
-std::unique_ptr<IUpstreamRegister> makeUpstreamRegister(const UpstreamRegisterOptions &options)
+std::unique_ptr<IUpstreamRegistry> makeUpstreamRegistry(const UpstreamRegistryOptions &options)
 {
-    return std::make_unique<UpstreamRegister>(options);
+    return std::make_unique<UpstreamRegistry>(options);
 }
 
-UpstreamRegister::UpstreamRegister(const UpstreamRegisterOptions &options)
+UpstreamRegistry::UpstreamRegistry(const UpstreamRegistryOptions &options)
     : m_options(options)
 {
 }
 
-UpstreamActions UpstreamRegister::say(UpstreamVerb verb, const UpstreamReport &report,
+UpstreamActions UpstreamRegistry::say(UpstreamVerb verb, const UpstreamReport &report,
                                       const char *why) const
 {
     return { UpstreamAction{ verb, report, false, why } };
 }
 
-UpstreamActions UpstreamRegister::onReport(TimePoint now, const UpstreamReport &report)
+UpstreamActions UpstreamRegistry::onReport(TimePoint now, const UpstreamReport &report)
 {
     if (isOfThePast(report)) {
         return {};
@@ -55,7 +55,7 @@
 
 /// A late report of a run that has ended must not bring it back: its address may already belong to
 /// another service. Nor may its late goodbye end the run that followed it.
-bool UpstreamRegister::isOfThePast(const UpstreamReport &report) const
+bool UpstreamRegistry::isOfThePast(const UpstreamReport &report) const
 {
     const auto gone = m_gone.find(report.instance);
     if (gone != m_gone.end() && report.start <= gone->second) {
@@ -66,7 +66,7 @@
     return saysStart && found != m_runs.end() && report.start < found->second.report.start;
 }
 
-UpstreamActions UpstreamRegister::begin(TimePoint now, const UpstreamReport &report)
+UpstreamActions UpstreamRegistry::begin(TimePoint now, const UpstreamReport &report)
 {
     Run run;
     run.report = report;
@@ -75,7 +75,7 @@
     return startCheck(added, "new");
 }
 
-UpstreamActions UpstreamRegister::leave(const UpstreamReport &report)
+UpstreamActions UpstreamRegistry::leave(const UpstreamReport &report)
 {
     const auto found = m_runs.find(report.instance);
     if (found == m_runs.end()) {
@@ -92,7 +92,7 @@
     return actions;
 }
 
-UpstreamActions UpstreamRegister::onHealth(TimePoint now, const UpstreamId &instance,
+UpstreamActions UpstreamRegistry::onHealth(TimePoint now, const UpstreamId &instance,
                                            const UpstreamHealth &health)
 {
     const auto found = m_runs.find(instance);
@@ -133,7 +133,7 @@
     return {};
 }
 
-UpstreamActions UpstreamRegister::onDoubt(TimePoint /*now*/, const UpstreamId &instance)
+UpstreamActions UpstreamRegistry::onDoubt(TimePoint /*now*/, const UpstreamId &instance)
 {
     const auto found = m_runs.find(instance);
     if (found == m_runs.end() || found->second.isChecking) {
@@ -142,7 +142,7 @@
     return startCheck(found->second, "doubt");
 }
 
-UpstreamActions UpstreamRegister::tick(TimePoint now)
+UpstreamActions UpstreamRegistry::tick(TimePoint now)
 {
     UpstreamActions actions;
     for (auto &[instance, run] : m_runs) {
@@ -157,7 +157,7 @@
     return actions;
 }
 
-TimePoint UpstreamRegister::nextTick() const
+TimePoint UpstreamRegistry::nextTick() const
 {
     TimePoint next = TimePoint::max();
     for (const auto &[instance, run] : m_runs) {
@@ -171,13 +171,13 @@
     return next;
 }
 
-UpstreamActions UpstreamRegister::startCheck(Run &run, const char *why)
+UpstreamActions UpstreamRegistry::startCheck(Run &run, const char *why)
 {
     run.isChecking = true;
     return say(UpstreamVerb::Check, run.report, why);
 }
 
-UpstreamActions UpstreamRegister::end(Runs::iterator run, const char *why)
+UpstreamActions UpstreamRegistry::end(Runs::iterator run, const char *why)
 {
     UpstreamActions actions;
     if (run->second.isServing) {
@@ -188,7 +188,7 @@
 }
 
 /// A run that has confirmed itself at an address proves that the runs before it there have ended.
-UpstreamActions UpstreamRegister::supersede(const UpstreamReport &report)
+UpstreamActions UpstreamRegistry::supersede(const UpstreamReport &report)
 {
     UpstreamActions actions;
     for (auto run = m_runs.begin(); run != m_runs.end();) {
@@ -204,7 +204,7 @@
     return actions;
 }
 
-void UpstreamRegister::remember(const UpstreamId &instance, UpstreamStart start)
+void UpstreamRegistry::remember(const UpstreamId &instance, UpstreamStart start)
 {
     const auto [gone, isNew] = m_gone.emplace(instance, start);
     if (!isNew) {
--- a/src/coordination/upstreams/internal/upstreamregister.h
+++ b/src/coordination/upstreams/internal/upstreamregistry.h
@@ -3,14 +3,14 @@
 #include <deque>
 #include <map>
 
-#include "coordination/upstreams/upstreamregisterfactory.h"
+#include "coordination/upstreams/upstreamregistryfactory.h"
 
 namespace ivyspar {
 
-class UpstreamRegister : public IUpstreamRegister
+class UpstreamRegistry : public IUpstreamRegistry
 {
 public:
-    explicit UpstreamRegister(const UpstreamRegisterOptions &options);
+    explicit UpstreamRegistry(const UpstreamRegistryOptions &options);
 
     UpstreamActions onReport(TimePoint now, const UpstreamReport &report) override;
     UpstreamActions onHealth(TimePoint now, const UpstreamId &instance,
@@ -44,7 +44,7 @@
     /// The run of that name that began then, and those before it, have ended.
     void remember(const UpstreamId &instance, UpstreamStart start);
 
-    UpstreamRegisterOptions m_options;
+    UpstreamRegistryOptions m_options;
     Runs m_runs;
     std::map<UpstreamId, UpstreamStart> m_gone;
     std::deque<UpstreamId> m_goneOrder;
--- a/src/coordination/upstreams/iupstreamregister.h
+++ b/src/coordination/upstreams/iupstreamregistry.h
@@ -42,10 +42,10 @@
 /// check, that it is this run and is not leaving; a goodbye holds for good, as runs are never
 /// revived. A server may start again under its name: it is another run if it says that it began
 /// later.
-class IUpstreamRegister
+class IUpstreamRegistry
 {
 public:
-    virtual ~IUpstreamRegister() = default;
+    virtual ~IUpstreamRegistry() = default;
 
     virtual UpstreamActions onReport(TimePoint now, const UpstreamReport &report) = 0;
     virtual UpstreamActions onHealth(TimePoint now, const UpstreamId &instance,
--- a/src/coordination/upstreams/upstreamregisterfactory.h
+++ b/src/coordination/upstreams/upstreamregistryfactory.h
@@ -3,11 +3,11 @@
 #include <cstddef>
 #include <memory>
 
-#include "coordination/upstreams/iupstreamregister.h"
+#include "coordination/upstreams/iupstreamregistry.h"
 
 namespace ivyspar {
 
-struct UpstreamRegisterOptions
+struct UpstreamRegistryOptions
 {
     /// A run that has not reported for this long is asked for its health.
     Duration silence = std::chrono::milliseconds(4500);
@@ -19,6 +19,6 @@
     std::size_t maxGone = 256;
 };
 
-std::unique_ptr<IUpstreamRegister> makeUpstreamRegister(const UpstreamRegisterOptions &options);
+std::unique_ptr<IUpstreamRegistry> makeUpstreamRegistry(const UpstreamRegistryOptions &options);
 
 } // namespace ivyspar
