--- a/src/app/internal/gate/upstreamwatch.cpp
+++ b/src/app/internal/gate/upstreamwatch.cpp
@@ -37,7 +37,7 @@
     , m_timer(loop, [this] { perform(m_register->tick(m_loop.now())); })
 {
     m_gates.setOnDoubt([this](const UpstreamId &instance) {
-        perform(m_register->onDoubt(m_loop.now(), instance));
+        perform(m_register->onContactFailure(m_loop.now(), instance));
     });
 }
 
@@ -126,7 +126,7 @@
     decision.service = action.report.service;
     decision.choice = action.report.instance.value();
     decision.outcome = toText(action.verb);
-    decision.reason = action.why;
+    decision.reason = action.reason;
     decision.inputs = { { "sequence", static_cast<double>(action.report.sequence) },
                         { "slots", static_cast<double>(action.report.slots) } };
     m_observers.decisions.write(std::move(decision));
--- a/src/coordination/upstreams/internal/upstreamregistry.cpp
+++ b/src/coordination/upstreams/internal/upstreamregistry.cpp
@@ -14,30 +14,30 @@
 {
 }
 
-UpstreamActions UpstreamRegistry::say(UpstreamVerb verb, const UpstreamReport &report,
-                                      const char *why) const
+UpstreamActions UpstreamRegistry::makeActions(UpstreamVerb verb, const UpstreamReport &report,
+                                              const char *reason) const
 {
-    return { UpstreamAction{ verb, report, false, why } };
+    return { UpstreamAction{ verb, report, false, reason } };
 }
 
 UpstreamActions UpstreamRegistry::onReport(TimePoint now, const UpstreamReport &report)
 {
-    if (isOfThePast(report)) {
+    if (isStale(report)) {
         return {};
     }
     if (report.phase != UpstreamPhase::Ready) {
-        return leave(report);
+        return onLeaving(report);
     }
     const auto found = m_runs.find(report.instance);
     if (found == m_runs.end()) {
-        return begin(now, report);
+        return addRun(now, report);
     }
     Run &run = found->second;
     if (run.report.start < report.start) {
         // It crashed, and started again under its name. Its reports count from the start again:
         // taken for old ones they would leave it without work for good.
-        UpstreamActions actions = end(found, "started-again");
-        const UpstreamActions check = begin(now, report);
+        UpstreamActions actions = endRun(found, "started-again");
+        const UpstreamActions check = addRun(now, report);
         actions.insert(actions.end(), check.begin(), check.end());
         return actions;
     }
@@ -48,17 +48,17 @@
     const bool isChanged =
         run.report.slots != report.slots || run.report.endpoint != report.endpoint;
     run.report = report;
-    run.heardAt = now;
-    return run.isServing && isChanged ? say(UpstreamVerb::Serve, report, "changed")
+    run.lastHeardAt = now;
+    return run.isServing && isChanged ? makeActions(UpstreamVerb::Serve, report, "changed")
                                       : UpstreamActions();
 }
 
 /// A late report of a run that has ended must not bring it back: its address may already belong to
 /// another service. Nor may its late goodbye end the run that followed it.
-bool UpstreamRegistry::isOfThePast(const UpstreamReport &report) const
+bool UpstreamRegistry::isStale(const UpstreamReport &report) const
 {
-    const auto gone = m_gone.find(report.instance);
-    if (gone != m_gone.end() && report.start <= gone->second) {
+    const auto ended = m_endedRuns.find(report.instance);
+    if (ended != m_endedRuns.end() && report.start <= ended->second) {
         return true;
     }
     const auto found = m_runs.find(report.instance);
@@ -66,26 +66,26 @@
     return saysStart && found != m_runs.end() && report.start < found->second.report.start;
 }
 
-UpstreamActions UpstreamRegistry::begin(TimePoint now, const UpstreamReport &report)
+UpstreamActions UpstreamRegistry::addRun(TimePoint now, const UpstreamReport &report)
 {
     Run run;
     run.report = report;
-    run.heardAt = now;
+    run.lastHeardAt = now;
     Run &added = m_runs.emplace(report.instance, std::move(run)).first->second;
-    return startCheck(added, "new");
+    return requestCheck(added, "new");
 }
 
-UpstreamActions UpstreamRegistry::leave(const UpstreamReport &report)
+UpstreamActions UpstreamRegistry::onLeaving(const UpstreamReport &report)
 {
     const auto found = m_runs.find(report.instance);
     if (found == m_runs.end()) {
-        remember(report.instance, report.start);
+        recordEnded(report.instance, report.start);
         return {};
     }
-    // A goodbye may not say which run it is of.
-    remember(report.instance, std::max(report.start, found->second.report.start));
+    // A goodbye may not makeActions which run it is of.
+    recordEnded(report.instance, std::max(report.start, found->second.report.start));
     UpstreamActions actions =
-        end(found, report.phase == UpstreamPhase::Gone ? "goodbye" : "draining");
+        endRun(found, report.phase == UpstreamPhase::Gone ? "goodbye" : "draining");
     for (UpstreamAction &action : actions) {
         action.isPlanned = true;
     }
@@ -104,12 +104,12 @@
     run.nextCheck = now + m_options.checkInterval;
     const bool isOther = !health.instance.value().empty() && health.instance != instance;
     if (isOther) {
-        remember(instance, run.report.start);
-        return end(found, "other-instance");
+        recordEnded(instance, run.report.start);
+        return endRun(found, "other-instance");
     }
     if (health.isHealthy) {
         run.failedChecks = 0;
-        run.heardAt = now;
+        run.lastHeardAt = now;
         if (run.isServing) {
             return {};
         }
@@ -121,36 +121,37 @@
     ++run.failedChecks;
     // A server that answers but is not healthy may be full; one that serves already goes on.
     if (run.isServing && !health.isSilent) {
-        run.heardAt = now;
+        run.lastHeardAt = now;
         return {};
     }
-    if (run.failedChecks >= m_options.failedChecks && run.isServing) {
-        return end(found, "silent");
+    if (run.failedChecks >= m_options.maxFailedChecks && run.isServing) {
+        return endRun(found, "silent");
     }
-    if (run.failedChecks >= m_options.failedChecks && now - run.heardAt >= m_options.silence) {
+    if (run.failedChecks >= m_options.maxFailedChecks
+        && now - run.lastHeardAt >= m_options.silenceTimeout) {
         m_runs.erase(found);
     }
     return {};
 }
 
-UpstreamActions UpstreamRegistry::onDoubt(TimePoint /*now*/, const UpstreamId &instance)
+UpstreamActions UpstreamRegistry::onContactFailure(TimePoint /*now*/, const UpstreamId &instance)
 {
     const auto found = m_runs.find(instance);
     if (found == m_runs.end() || found->second.isChecking) {
         return {};
     }
-    return startCheck(found->second, "doubt");
+    return requestCheck(found->second, "doubt");
 }
 
 UpstreamActions UpstreamRegistry::tick(TimePoint now)
 {
     UpstreamActions actions;
     for (auto &[instance, run] : m_runs) {
-        const bool isSilent = now - run.heardAt >= m_options.silence;
+        const bool isSilent = now - run.lastHeardAt >= m_options.silenceTimeout;
         const bool isDue = !run.isChecking && now >= run.nextCheck;
         const bool isDoubtful = !run.isServing || run.failedChecks > 0 || isSilent;
         if (isDue && isDoubtful) {
-            const UpstreamActions check = startCheck(run, isSilent ? "silent" : "unconfirmed");
+            const UpstreamActions check = requestCheck(run, isSilent ? "silent" : "unconfirmed");
             actions.insert(actions.end(), check.begin(), check.end());
         }
     }
@@ -165,23 +166,23 @@
             continue;
         }
         const bool isDoubtful = !run.isServing || run.failedChecks > 0;
-        const TimePoint silentAt = run.heardAt + m_options.silence;
+        const TimePoint silentAt = run.lastHeardAt + m_options.silenceTimeout;
         next = std::min(next, isDoubtful ? run.nextCheck : std::max(run.nextCheck, silentAt));
     }
     return next;
 }
 
-UpstreamActions UpstreamRegistry::startCheck(Run &run, const char *why)
+UpstreamActions UpstreamRegistry::requestCheck(Run &run, const char *reason)
 {
     run.isChecking = true;
-    return say(UpstreamVerb::Check, run.report, why);
+    return makeActions(UpstreamVerb::Check, run.report, reason);
 }
 
-UpstreamActions UpstreamRegistry::end(Runs::iterator run, const char *why)
+UpstreamActions UpstreamRegistry::endRun(Runs::iterator run, const char *reason)
 {
     UpstreamActions actions;
     if (run->second.isServing) {
-        actions = say(UpstreamVerb::Stop, run->second.report, why);
+        actions = makeActions(UpstreamVerb::Stop, run->second.report, reason);
     }
     m_runs.erase(run);
     return actions;
@@ -196,25 +197,25 @@
         const bool isOlder =
             current->first != report.instance && current->second.report.endpoint == report.endpoint;
         if (isOlder) {
-            remember(current->first, current->second.report.start);
-            const UpstreamActions ended = end(current, "superseded");
+            recordEnded(current->first, current->second.report.start);
+            const UpstreamActions ended = endRun(current, "superseded");
             actions.insert(actions.end(), ended.begin(), ended.end());
         }
     }
     return actions;
 }
 
-void UpstreamRegistry::remember(const UpstreamId &instance, UpstreamStart start)
+void UpstreamRegistry::recordEnded(const UpstreamId &instance, UpstreamStart start)
 {
-    const auto [gone, isNew] = m_gone.emplace(instance, start);
+    const auto [ended, isNew] = m_endedRuns.emplace(instance, start);
     if (!isNew) {
-        gone->second = std::max(gone->second, start);
+        ended->second = std::max(ended->second, start);
         return;
     }
-    m_goneOrder.push_back(instance);
-    if (m_goneOrder.size() > m_options.maxGone) {
-        m_gone.erase(m_goneOrder.front());
-        m_goneOrder.pop_front();
+    m_endedOrder.push_back(instance);
+    if (m_endedOrder.size() > m_options.maxEndedRuns) {
+        m_endedRuns.erase(m_endedOrder.front());
+        m_endedOrder.pop_front();
     }
 }
 
--- a/src/coordination/upstreams/internal/upstreamregistry.h
+++ b/src/coordination/upstreams/internal/upstreamregistry.h
@@ -15,7 +15,7 @@
     UpstreamActions onReport(TimePoint now, const UpstreamReport &report) override;
     UpstreamActions onHealth(TimePoint now, const UpstreamId &instance,
                              const UpstreamHealth &health) override;
-    UpstreamActions onDoubt(TimePoint now, const UpstreamId &instance) override;
+    UpstreamActions onContactFailure(TimePoint now, const UpstreamId &instance) override;
     UpstreamActions tick(TimePoint now) override;
     TimePoint nextTick() const override;
 
@@ -24,7 +24,7 @@
     struct Run
     {
         UpstreamReport report;
-        TimePoint heardAt;
+        TimePoint lastHeardAt;
         /// Confirmed by itself: takes work.
         bool isServing = false;
         bool isChecking = false;
@@ -33,21 +33,22 @@
     };
     using Runs = std::map<UpstreamId, Run>;
 
-    UpstreamActions say(UpstreamVerb verb, const UpstreamReport &report, const char *why) const;
-    UpstreamActions startCheck(Run &run, const char *why);
-    UpstreamActions end(Runs::iterator run, const char *why);
+    UpstreamActions makeActions(UpstreamVerb verb, const UpstreamReport &report,
+                                const char *reason) const;
+    UpstreamActions requestCheck(Run &run, const char *reason);
+    UpstreamActions endRun(Runs::iterator run, const char *reason);
     UpstreamActions supersede(const UpstreamReport &report);
     /// Whether the report is of a run that has ended, or was followed by another.
-    bool isOfThePast(const UpstreamReport &report) const;
-    UpstreamActions begin(TimePoint now, const UpstreamReport &report);
-    UpstreamActions leave(const UpstreamReport &report);
+    bool isStale(const UpstreamReport &report) const;
+    UpstreamActions addRun(TimePoint now, const UpstreamReport &report);
+    UpstreamActions onLeaving(const UpstreamReport &report);
     /// The run of that name that began then, and those before it, have ended.
-    void remember(const UpstreamId &instance, UpstreamStart start);
+    void recordEnded(const UpstreamId &instance, UpstreamStart start);
 
     UpstreamRegistryOptions m_options;
     Runs m_runs;
-    std::map<UpstreamId, UpstreamStart> m_gone;
-    std::deque<UpstreamId> m_goneOrder;
+    std::map<UpstreamId, UpstreamStart> m_endedRuns;
+    std::deque<UpstreamId> m_endedOrder;
 };
 
 } // namespace ivyspar
--- a/src/coordination/upstreams/iupstreamregistry.h
+++ b/src/coordination/upstreams/iupstreamregistry.h
@@ -20,7 +20,7 @@
     /// The server itself has said that it ends.
     bool isPlanned = false;
     /// Why, for the log. Lives as long as the program.
-    const char *why = "";
+    const char *reason = "";
 };
 using UpstreamActions = std::vector<UpstreamAction>;
 
@@ -51,7 +51,7 @@
     virtual UpstreamActions onHealth(TimePoint now, const UpstreamId &instance,
                                      const UpstreamHealth &health) = 0;
     /// A call to the server met another run, or no server at all.
-    virtual UpstreamActions onDoubt(TimePoint now, const UpstreamId &instance) = 0;
+    virtual UpstreamActions onContactFailure(TimePoint now, const UpstreamId &instance) = 0;
     /// To be called at `nextTick` or later.
     virtual UpstreamActions tick(TimePoint now) = 0;
     virtual TimePoint nextTick() const = 0;
--- a/src/coordination/upstreams/tests/upstreamregistrytest.cpp
+++ b/src/coordination/upstreams/tests/upstreamregistrytest.cpp
@@ -122,7 +122,7 @@
     CHECK(actions[1].verb == UpstreamVerb::Serve);
 }
 
-// Reports may be seconds late: silence alone is no proof, and the server answers for itself.
+// Reports may be seconds late: silenceTimeout alone is no proof, and the server answers for itself.
 TEST(UpstreamRegistry, ASilentServerIsAskedAndKeptIfItAnswers)
 {
     serve("a");
@@ -137,7 +137,7 @@
 TEST(UpstreamRegistry, AServerThatAnswersNoCheckIsStopped)
 {
     serve("a");
-    CHECK_EQUAL(1, m_registry->onDoubt(m_now, UpstreamId("a")).size());
+    CHECK_EQUAL(1, m_registry->onContactFailure(m_now, UpstreamId("a")).size());
     const UpstreamHealth silent{ false, true, {} };
     UpstreamActions actions;
     for (int i = 0; i < 3; ++i) {
