--- a/src/coordination/admission/demandrate.h
+++ b/src/coordination/admission/demandrate.h
@@ -4,12 +4,12 @@
 
 namespace ivyspar {
 
-/// Amount per second, averaged with weights that fall exponentially with age.
+/// Exponentially weighted moving average of an amount per second.
 class DemandRate
 {
 public:
     void add(TimePoint now, double amount, Duration averagingTime);
-    /// Per second.
+    /// Amount per second. Pass the same `averagingTime` as to `add`.
     double rate(TimePoint now, Duration averagingTime) const;
 
 private:
--- a/src/coordination/admission/iconcurrencylimit.h
+++ b/src/coordination/admission/iconcurrencylimit.h
@@ -7,26 +7,26 @@
 
 namespace ivyspar {
 
-/// What one ended call says about the upstream's capacity.
+/// One finished call, as a sample of the capacity of the upstream.
 struct LimitSample
 {
     CallResult result = CallResult::Success;
-    /// From the start at the upstream to the end.
+    /// From the start at the upstream to the end of the call.
     Duration serviceTime{ 0 };
-    /// Calls that ran, this one included, when it ended.
+    /// Calls in flight when it ended, including this one.
     std::uint32_t inFlight = 0;
 };
 
-/// Decides how many calls may run at a time. Plain object.
+/// Limits the number of concurrent calls. Holds no clock, socket or thread.
 class IConcurrencyLimit
 {
 public:
     virtual ~IConcurrencyLimit() = default;
 
     virtual void onSample(TimePoint now, const LimitSample &sample) = 0;
-    /// What the upstream announced: the limit never exceeds it.
+    /// Sets the capacity that the upstream announced, the upper bound of the limit.
     virtual void setCeiling(std::uint32_t ceiling) = 0;
-    /// At least 1 unless the ceiling is 0.
+    /// Maximum number of concurrent calls; at least 1 unless the ceiling is 0.
     virtual std::uint32_t limit() const = 0;
 };
 
--- a/src/coordination/admission/igate.h
+++ b/src/coordination/admission/igate.h
@@ -15,23 +15,23 @@
 {
     CallId id;
     Rank rank;
-    /// The moment by which the caller must have its answer.
+    /// Time by which the caller needs its answer.
     TimePoint deadline;
-    /// Of requests like the caller's, which share its entry lets in; 0 in a repeated attempt.
+    /// Share of the root requests of the same kind that their entry daemon admits; 0 in a retry.
     DemandShare admittedShare;
 };
 
 enum class GateVerb {
     Start, ///< Send the call to the upstream now.
-    Refuse, ///< Answer the call: it was not run.
+    Refuse, ///< Answer that the call was not run.
 };
 
-/// What is to be done with a call, now.
+/// Instruction to the owner of the gate, to be carried out immediately.
 struct GateAction
 {
     GateVerb verb = GateVerb::Start;
     CallId id;
-    /// For `Refuse`.
+    /// Set for `Refuse`.
     Verdict verdict;
 };
 using GateActions = std::vector<GateAction>;
@@ -39,39 +39,41 @@
 enum class CallResult {
     Success,
     Failure, ///< The upstream answered with a server error.
-    Overloaded, ///< The upstream refused for want of capacity.
-    TimedOut, ///< Given up after the start: the work may still occupy the upstream.
+    Overloaded, ///< The upstream refused the call for lack of capacity.
+    TimedOut, ///< Abandoned after its start; the upstream may still be working on it.
     Cancelled,
 };
 
 enum class CancelEffect {
-    NotStarted, ///< It was waiting and is now forgotten.
-    Started, ///< It is running; `finish` is still owed.
+    NotStarted, ///< It was queued and has been removed.
+    Started, ///< It is running; `finish` must still be called.
     Unknown, ///< No such call.
 };
 
-/// Admission to one upstream, at its own host: bounds concurrency, orders what waits by rank and
-/// refuses what would not be done in time. Plain object without clock, socket or thread.
+/// Admission control for one upstream, on the host of the upstream: limits concurrency, orders
+/// queued calls by rank and refuses calls that cannot meet their deadline. Holds no clock, socket
+/// or thread.
 class IGate
 {
 public:
     virtual ~IGate() = default;
 
-    /// A call arrives. The actions may concern other calls as well (one of lower rank gives way).
-    /// If none concerns `request.id`, the call waits.
+    /// Submits a new call. The returned actions may concern other calls too, e.g. a queued call of
+    /// lower rank that is displaced. If no action concerns `request.id`, the call is queued.
     virtual GateActions offer(TimePoint now, const GateRequest &request) = 0;
-    /// A started call ended.
+    /// Reports the end of a started call. Unknown ids are ignored.
     virtual GateActions finish(TimePoint now, CallId id, CallResult result,
                                Duration serviceTime) = 0;
     virtual CancelEffect cancel(TimePoint now, CallId id) = 0;
-    /// Drops what became doomed and lets the floor decay. To be called at `nextTick` or later.
+    /// Refuses calls that became doomed, frees expired slots and updates the floor. Call at
+    /// `nextTick` or later.
     virtual GateActions tick(TimePoint now) = 0;
-    /// When the oldest wait is over or the floor changes next; `TimePoint::max()` when idle.
+    /// Time of the next change (doomed call, freed slot or floor); `TimePoint::max()` when idle.
     virtual TimePoint nextTick() const = 0;
-    /// The announced capacity of the upstream changed.
+    /// Updates the capacity that the upstream announced. Capacity 0 refuses all queued calls.
     virtual GateActions setCapacity(TimePoint now, std::uint32_t slots,
                                     std::uint32_t connections) = 0;
-    /// Refuses all new calls from now on, with reason `Draining`; those waiting and running go on.
+    /// While true, refuses new calls with `Reason::Draining`; queued and running calls continue.
     virtual void setDraining(bool draining) = 0;
     virtual LoadReport load(TimePoint now) const = 0;
 };
--- a/src/coordination/admission/internal/aimdlimit.cpp
+++ b/src/coordination/admission/internal/aimdlimit.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 constexpr double DECREASE = 0.9;
-/// Growth per round of calls once the limit was lowered, as a share of the limit.
+/// Increase of the limit per successful call, after the first decrease.
 constexpr double INCREASE = 0.05;
-/// The limit grows only while at least this share of it is used.
+/// The limit grows only while at least this share of it is in use.
 constexpr double USED_SHARE = 0.5;
 } // namespace
 
@@ -36,7 +36,7 @@
     if (sample.inFlight < USED_SHARE * m_range.value()) {
         return;
     }
-    // A cold gate doubles in each round of calls until the first sign of overload.
+    // Slow start: the limit doubles with each round of calls until the first sign of overload.
     const double step = m_isWarm ? INCREASE : 1.0;
     m_range.set(m_range.value() + step);
 }
@@ -44,8 +44,8 @@
 void AimdLimit::shrink(TimePoint now, Duration serviceTime)
 {
     m_isWarm = true;
-    // Calls that failed together tell of one overload: without this pause a burst of timeouts
-    // would take the limit to its lowest value at once.
+    // Calls that fail together indicate a single overload. Without this pause a burst of time-outs
+    // would drop the limit to its minimum.
     if (now < m_nextDecrease) {
         return;
     }
--- a/src/coordination/admission/internal/aimdlimit.h
+++ b/src/coordination/admission/internal/aimdlimit.h
@@ -5,8 +5,8 @@
 
 namespace ivyspar {
 
-/// Additive increase, multiplicative decrease. Only an upstream that refuses for want of capacity
-/// or lets calls time out lowers the limit; a long service time alone does not.
+/// Additive increase, multiplicative decrease. The limit falls only when the upstream refuses calls
+/// for lack of capacity or calls time out; long service times alone do not lower it.
 class AimdLimit : public IConcurrencyLimit
 {
 public:
--- a/src/coordination/admission/internal/demandestimate.h
+++ b/src/coordination/admission/internal/demandestimate.h
@@ -8,52 +8,53 @@
 
 struct DemandEstimateOptions
 {
-    /// Share of the slots that is given out: at the very limit each call waits.
+    /// Share of the slots to allocate: at full utilization every call waits.
     double targetUtilization = 0.95;
-    /// Time over which the demand is averaged. Entries average over the same time, so that their
-    /// part of the whole is right also while the demand changes.
+    /// Time over which the demand is averaged. Entry daemons average over the same time, so that
+    /// the shares they report stay consistent while the demand changes.
     Duration averagingTime = std::chrono::seconds(1);
-    /// Time over which the number of calls here is averaged.
+    /// Time over which the occupancy is averaged.
     Duration occupancyAveragingTime = std::chrono::milliseconds(200);
-    /// Calls here over slots, at which the estimate is taken for right. Above 1 it would seek a
-    /// queue: there a little more demand doubles the calls here, and the correction swings.
+    /// Occupancy, as calls at the gate over slots, at which no correction is needed. Above 1 the
+    /// correction would aim for a queue, where a small increase in demand doubles the occupancy and
+    /// the correction oscillates.
     double targetOccupancy = 1.0;
-    /// Occupancies that are further below and above count as these.
+    /// Bounds of the deviation from `targetOccupancy`.
     double maxDeviationBelow = 0.5;
     double maxDeviationAbove = 0.5;
-    /// Time in which the correction changes by a factor of e when the calls here are off by as many
-    /// as there are slots; when there are too many, and when there are too few.
-    /// What was raised too far, before the entries could follow, must not keep callers out for
-    /// long.
+    /// Time in which the correction changes by a factor of e at a deviation of 1. Lowering is
+    /// faster: a correction that overshot before the entry daemons reacted must not refuse callers
+    /// for long.
     Duration raiseTime = std::chrono::milliseconds(1400);
     Duration lowerTime = std::chrono::milliseconds(800);
     double maxCorrection = 2;
 };
 
-/// Estimates the whole demand for a gate, that which entries refused included, over what the gate
-/// can take.
+/// Estimates the demand for a gate over its capacity, including the demand that entry daemons
+/// refuse.
 ///
-/// Entries say with each call which share of such requests they let in, so each arrival stands for
-/// 1 / share of them, and the demand that is found does not change when the entries let in more or
-/// less. A share that is raised and lowered by the load alone swings: what an entry lets in now is
-/// seen here only when its request has come down the call tree.
+/// Each call carries the share of such requests that its entry daemon admits, so an arrival counts
+/// as 1 / share requests, and the estimate does not depend on how much is admitted. Adjusting the
+/// share by the load alone would oscillate: what an entry daemon admits reaches this gate only
+/// after its request has passed down the call tree.
 ///
-/// A tree that fails half way does not make the rest of its calls, so an overloaded gate sees less
-/// than the demand. This is corrected slowly by how full the gate is.
+/// A call tree that fails early does not make its remaining calls, so an overloaded gate sees less
+/// than the demand. The occupancy of the gate corrects this slowly.
 class DemandEstimate
 {
 public:
     explicit DemandEstimate(const DemandEstimateOptions &options);
 
-    /// `calls` have been here since the last time, `slots` can run at a time.
+    /// `calls` were queued or running since the previous call; `slots` is the capacity.
     void advance(TimePoint now, double calls, double slots);
-    /// The first attempt of a call arrived; it takes a slot for about `serviceTime`.
+    /// The first attempt of a call arrived, which occupies a slot for about `serviceTime`.
     void onArrival(TimePoint now, DemandShare admittedShare, Duration serviceTime);
+    /// Demand over capacity, in thousandths; 0 without slots.
     DemandLoad load(TimePoint now, double slots) const;
 
 private:
     DemandEstimateOptions m_options;
-    /// In µs of slots.
+    /// Slot time, in µs per second.
     DemandRate m_demand;
     TimePoint m_at;
     bool m_isStarted = false;
--- a/src/coordination/admission/internal/demandrate.cpp
+++ b/src/coordination/admission/internal/demandrate.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Younger averages would make a rate of thousands out of two amounts that came together.
+/// A shorter history would turn two amounts that arrive together into a rate of thousands per
+/// second.
 constexpr double MIN_HISTORY_S = 0.2;
 
 } // namespace
@@ -30,7 +31,7 @@
     }
     const double decayTime = toSeconds(averagingTime);
     const double sum = m_sum * std::exp(-toSeconds(now - m_at) / decayTime);
-    // The weights of a history that is shorter than the averagingTime do not add up to the whole.
+    // Normalizes a history that is shorter than the averaging time: its weights sum to less than 1.
     const double age = std::max(toSeconds(now - m_since), MIN_HISTORY_S);
     return sum / (decayTime * (1 - std::exp(-age / decayTime)));
 }
--- a/src/coordination/admission/internal/fairshares.cpp
+++ b/src/coordination/admission/internal/fairshares.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A cost that was not learnt yet must not get a rule all the capacity.
+/// Lower bound of the cost: a rule of unknown cost must not take the whole capacity.
 constexpr double MIN_COST_US = 1000;
 
 double weightOf(const RuleDemand &demand)
@@ -32,8 +32,8 @@
         std::fill(shares.begin(), shares.end(), capacity / totalDemand);
         return shares;
     }
-    // Rules that get all they ask for leave the rest to the others. Each round settles one at
-    // least.
+    // Rules whose demand is fully met leave the rest to the others. Each round settles at least one
+    // rule.
     std::vector<bool> isSatisfied(demands.size(), false);
     bool isSettled = false;
     while (!isSettled) {
--- a/src/coordination/admission/internal/fairshares.h
+++ b/src/coordination/admission/internal/fairshares.h
@@ -4,26 +4,26 @@
 
 namespace ivyspar {
 
-/// What the requests of one rule ask of a service.
+/// Demand of the requests of one rule for a service.
 struct RuleDemand
 {
-    /// Slot time, in µs a second.
+    /// Slot time, in µs per second.
     double rate = 0;
-    /// Slot time of one request, in µs.
+    /// Slot time per request, in µs.
     double cost = 0;
 };
 
-/// Shares a capacity out between rules of one priority: of each rule's demand, the share that is
-/// let in. Plain function.
+/// Allocates the capacity of a service among the rules of one priority. Returns the share of the
+/// demand to admit for each rule, in the order of `demands`. `capacity` is slot time in µs per
+/// second.
 ///
-/// With equal shares a request that costs twice as much takes the place of two others. By equal
-/// slot time the dear rule would come down to a quarter of the other's share and starve at a narrow
-/// service. In between, shares fall with the square root of the cost: where requests of 250 ms and
-/// of 120 ms share a service that can take two thirds of them, a twentieth more callers are
-/// served than with equal shares, and none of the rules gets less than two thirds of the other's
-/// share.
+/// Equal shares let a request that costs twice as much displace two others. Equal slot time would
+/// reduce the expensive rule to a quarter of the other's share and starve it at a bottleneck. As a
+/// compromise, shares fall with the square root of the cost: where requests of 250 ms and of 120 ms
+/// compete for a service that can take two thirds of them, 5 % more callers are served than with
+/// equal shares, and no rule gets less than two thirds of the other's share.
 ///
-/// All shares are 1 or more, and equal, if there is capacity for all.
+/// If the capacity covers the demand, all shares are equal and at least 1.
 std::vector<double> allocateShares(const std::vector<RuleDemand> &demands, double capacity);
 
 } // namespace ivyspar
--- a/src/coordination/admission/internal/fixedlimit.h
+++ b/src/coordination/admission/internal/fixedlimit.h
@@ -4,7 +4,7 @@
 
 namespace ivyspar {
 
-/// The announced capacity itself.
+/// A limit that always equals the announced capacity.
 class FixedLimit : public IConcurrencyLimit
 {
 public:
--- a/src/coordination/admission/internal/floorcontrol.cpp
+++ b/src/coordination/admission/internal/floorcontrol.cpp
@@ -9,16 +9,16 @@
 namespace {
 constexpr unsigned BUCKET_SHIFT = 16;
 constexpr double BUCKET_WIDTH = 1U << BUCKET_SHIFT;
-/// A bucket that shows less than this share of itself tells nothing of its rate.
+/// A bucket with a smaller share above the floor gives no usable estimate of its rate.
 constexpr double MIN_VISIBLE_SHARE = 0.05;
-/// Weights of a window in the arrivals, and of one service time in the starts.
+/// Weight of one window in the arrival rates, and of one service time in the start rate.
 constexpr double RATE_WEIGHT = 0.3;
 constexpr double START_WEIGHT = 0.3;
-/// A bucket with fewer arrivals per window is forgotten.
+/// Buckets with fewer arrivals per window are removed.
 constexpr double MIN_TRACKED_RATE = 0.01;
-/// The floor opens by this share of the volume in the first quiet window, twice that in the next.
+/// Increase of the admitted volume in the first quiet window; doubles with each further one.
 constexpr double LOWERING_STEP = 0.1;
-/// Outside of these the queue is brought back to its middle.
+/// Outside of this range of the queue fill the floor is adjusted toward a half-full queue.
 constexpr double HIGH_FILL = 0.75;
 constexpr double LOW_FILL = 0.25;
 constexpr double FILL_GAIN = 0.1;
@@ -58,11 +58,11 @@
     if (now < m_windowEnd) {
         return;
     }
-    // Starts come in rounds of one service time: a mean over less would swing with them.
+    // Starts come in rounds of one service time; a mean over less time would oscillate with them.
     const double rounds = static_cast<double>(length.count())
         / static_cast<double>(std::max<Duration::rep>(1, serviceTime.count()));
     m_startWeight = std::min(RATE_WEIGHT, START_WEIGHT * rounds);
-    // Windows in which nothing was asked of the gate count as quiet, so that it opens in time.
+    // Missed windows count as quiet, so that the floor falls in time.
     const auto missed =
         std::min<std::int64_t>((now - m_windowEnd) / length, m_options.quietWindows);
     endWindow();
@@ -90,8 +90,8 @@
     m_capacityRefusals = 0;
 }
 
-// The number of arrivals in a window varies by about its root. With a smaller margin a gate with
-// few slots would stand idle in every other window.
+// The standard deviation of the arrivals in a window is about the square root of their number. With
+// a smaller margin a gate with few slots would be idle in every other window.
 double FloorControl::margin() const
 {
     return std::max(m_options.margin, 1 / std::sqrt(std::max(m_startRate, 1.0)));
@@ -109,8 +109,8 @@
     m_floor = isOpen ? Rank() : std::min(m_floor, floorForVolume(volume));
 }
 
-// As much as is started, corrected by what the queue is off its middle: so the queue neither runs
-// empty, which would waste slots, nor over, which would waste what the callers' hops did before.
+// The start rate, corrected by the deviation of the queue from half full. An empty queue wastes
+// slots; an overflowing one wastes the work already done upstream of the gate.
 double FloorControl::targetVolume() const
 {
     return std::max(m_startRate, 1.0) * (1 + FILL_GAIN * (0.5 - m_queueFill));
--- a/src/coordination/admission/internal/floorcontrol.h
+++ b/src/coordination/admission/internal/floorcontrol.h
@@ -10,14 +10,15 @@
 
 struct FloorOptions
 {
+    /// Share of refusals for lack of capacity, relative to starts, that does not raise the floor.
     double margin = 0.1;
     Duration window{ 0 };
     std::uint32_t quietWindows = 1;
 };
 
-/// Finds the rank below which entries are to refuse calls, so that what still arrives is slightly
-/// more than the gate can start. Works on a histogram of arrivals by priority and depth; within one
-/// of these buckets ranks are hashes and thus spread evenly.
+/// Determines the rank below which entry daemons refuse calls, so that arrivals slightly exceed
+/// what the gate can start. Uses a histogram of arrivals by priority and depth; within a bucket
+/// ranks are hashes and thus uniformly distributed.
 class FloorControl
 {
 public:
@@ -25,14 +26,15 @@
 
     void onArrival(Rank rank);
     void onStart() { ++m_started; }
-    /// A call was refused for want of capacity.
+    /// A call was refused for lack of capacity.
     void onCapacityRefusal() { ++m_capacityRefusals; }
 
-    /// What waits, as a share of what may wait, and whether a slot is free.
+    /// `fill`: queue length over its maximum. `isIdle`: a slot is free and the queue is empty.
     void setQueue(double fill, bool isIdle);
     /// Ends the window if it is over.
     void advance(TimePoint now, Duration serviceTime);
-    /// When `advance` may change the floor next; `TimePoint::max()` if it is 0 and nothing came.
+    /// Time of the next change by `advance`; `TimePoint::max()` if the floor is 0 and nothing was
+    /// refused.
     TimePoint nextChange() const;
     Rank floor() const { return m_floor; }
 
@@ -41,7 +43,7 @@
     {
         /// Arrivals at or above the floor in this window.
         std::uint32_t arrivals = 0;
-        /// Arrivals per window, those that entries refused included.
+        /// Estimated arrivals per window, including those that entry daemons refuse.
         double rate = 0;
     };
 
@@ -55,20 +57,20 @@
     Rank floorForVolume(double volume) const;
 
     FloorOptions m_options;
-    /// By the upper bits of the rank.
+    /// Keyed by the upper bits of the rank.
     std::map<std::uint32_t, Bucket> m_buckets;
     Rank m_floor;
     TimePoint m_windowEnd;
     bool m_isRunning = false;
     std::uint32_t m_started = 0;
     std::uint32_t m_capacityRefusals = 0;
-    /// Mean of the starts in a window, and the weight of one window in it.
+    /// Mean number of starts per window, and the weight of one window in it.
     double m_startRate = 0;
     double m_startWeight = 1;
     double m_queueFill = 0;
     bool m_isIdle = true;
     bool m_wasIdle = true;
-    /// Steps of opening since the last excess.
+    /// Consecutive lowering steps since the floor was last raised.
     std::uint32_t m_quietWindows = 0;
 };
 
--- a/src/coordination/admission/internal/gate.cpp
+++ b/src/coordination/admission/internal/gate.cpp
@@ -104,10 +104,10 @@
     return actions;
 }
 
-// The upstream may go on with a call that was given up. If its slot were reused at once, calls
-// would queue inside the upstream, where they are neither ordered nor dropped, and time out in
-// turn. One more service time covers the usual rest; the bound keeps a hung upstream from taking
-// all slots for good.
+// The upstream may continue an abandoned call. If its slot were reused immediately, calls would
+// queue inside the upstream, where they are neither ordered nor dropped, and time out in turn. A
+// share of the mean service time covers the usual remainder; the upper bound keeps a hung upstream
+// from blocking all slots for good.
 void Gate::holdSlot(TimePoint now, double share)
 {
     const Duration wanted(std::llround(share * m_serviceTime));
@@ -120,8 +120,8 @@
                         std::uint32_t inFlight)
 {
     m_limit->onSample(now, { result, serviceTime, inFlight });
-    // Errors and refusals can be fast and cancelled calls are cut short: neither tells how long
-    // the work takes.
+    // Errors and refusals can be fast, and cancelled calls are cut short, so neither is a sample of
+    // the service time.
     if (result == CallResult::Success || result == CallResult::TimedOut) {
         const auto time = static_cast<double>(serviceTime.count());
         m_serviceTime += SERVICE_TIME_WEIGHT * (time - m_serviceTime);
@@ -207,16 +207,16 @@
     return static_cast<std::uint32_t>(m_running.size() + m_held.size());
 }
 
-// A queue of `queueWait × limit` calls is worked off in `queueWait` service times.
+// A queue of `queueWait × limit` calls drains in `queueWait` service times.
 std::size_t Gate::maxQueueLength() const
 {
     const double bound = m_options.queueWait * m_limit->limit();
     return std::max<std::size_t>(m_options.minQueue, std::lround(bound));
 }
 
-// The last moment at which a start can still meet the deadline. With nothing running there is no
-// fresh measurement: the call is then let through whatever the mean says, or a mean that a slow
-// spell left behind would refuse all calls for good.
+// The latest start that can still meet the deadline. With no call running there is no recent
+// sample, so calls are started regardless of the mean; otherwise a mean left over from a slow
+// period would refuse all calls for good.
 TimePoint Gate::latestStart(TimePoint deadline) const
 {
     if (!m_options.isDoomedDropped || m_running.empty()) {
--- a/src/coordination/admission/internal/gate.h
+++ b/src/coordination/admission/internal/gate.h
@@ -31,7 +31,7 @@
     LoadReport load(TimePoint now) const override;
 
 private:
-    /// Times at which slots of abandoned calls become free, earliest first.
+    /// Times at which the slots of abandoned calls become free, earliest first.
     using Releases = std::priority_queue<TimePoint, std::vector<TimePoint>, std::greater<>>;
 
     void advance(TimePoint now, GateActions &actions);
--- a/src/coordination/admission/internal/gradientlimit.cpp
+++ b/src/coordination/admission/internal/gradientlimit.cpp
@@ -5,10 +5,10 @@
 namespace ivyspar {
 
 namespace {
-/// Weights of one sample in the recent and in the long-term mean.
+/// Weight of one sample in the recent and in the long-term mean.
 constexpr double SHORT_WEIGHT = 0.05;
 constexpr double LONG_WEIGHT = 0.002;
-/// Service times may vary by this factor before the limit falls.
+/// Increase of the service time that does not lower the limit.
 constexpr double TOLERANCE = 1.5;
 constexpr double MIN_GRADIENT = 0.5;
 /// Weight of one sample in the limit.
@@ -38,7 +38,7 @@
     }
     m_short += SHORT_WEIGHT * (time - m_short);
     m_long += LONG_WEIGHT * (time - m_long);
-    // After a slow spell the long-term mean is too high and would hide the next one.
+    // After a period of slow calls the long-term mean is too high and would hide the next one.
     if (m_long > 2 * m_short) {
         m_long *= 0.95;
     }
--- a/src/coordination/admission/internal/gradientlimit.h
+++ b/src/coordination/admission/internal/gradientlimit.h
@@ -5,8 +5,8 @@
 
 namespace ivyspar {
 
-/// Compares the recent service time with its long-term mean and lowers the limit by their ratio:
-/// calls that take longer than they used to are taken as a sign of queueing in the upstream.
+/// Adjusts the limit by the ratio of the long-term to the recent mean service time: an increasing
+/// service time is treated as a sign of queueing in the upstream.
 class GradientLimit : public IConcurrencyLimit
 {
 public:
@@ -18,7 +18,7 @@
 
 private:
     LimitRange m_range;
-    /// Means of the service time, in µs.
+    /// Recent and long-term mean service time, in µs.
     double m_short = 0;
     double m_long = 0;
 };
--- a/src/coordination/admission/internal/limitrange.h
+++ b/src/coordination/admission/internal/limitrange.h
@@ -5,7 +5,7 @@
 
 namespace ivyspar {
 
-/// A limit that moves between a share of the announced capacity and all of it.
+/// A limit between a minimum share of the announced capacity and all of it.
 class LimitRange
 {
 public:
@@ -15,7 +15,7 @@
     {
     }
 
-    /// The first ceiling sets the starting value; later ones only bound it.
+    /// The first ceiling sets the initial value; later ones only bound it.
     void setCeiling(std::uint32_t ceiling)
     {
         if (m_ceiling == 0) {
--- a/src/coordination/admission/internal/lossbasedadmission.cpp
+++ b/src/coordination/admission/internal/lossbasedadmission.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Each call may be sent a few times more; with a larger loss that is not enough.
+/// Retries per call are limited; they do not suffice for a larger loss.
 constexpr double MAX_RETRYABLE_LOSS = 0.8;
 
 } // namespace
@@ -43,8 +43,8 @@
         successProbability *= std::pow(1 - loss * (1 - share), each.calls);
         retryable = std::min(retryable, share);
     }
-    // Begun one and all, `successProbability` of them end whole; begun in part, all that are begun
-    // do.
+    // Started in full, `successProbability` of the call trees complete; started in part, all that
+    // are started do.
     if (!m_options.isOn
         || (successProbability >= retryable
             && successProbability >= m_options.minSuccessProbability)) {
--- a/src/coordination/admission/internal/lossbasedadmission.h
+++ b/src/coordination/admission/internal/lossbasedadmission.h
@@ -13,53 +13,54 @@
 
 struct LossBasedAdmissionOptions
 {
-    /// Off: what services lose decides nothing.
+    /// False: the loss of services does not affect admission.
     bool isOn = true;
-    /// Repeats for each call that all daemons together may send to a service; 0 for none.
+    /// Retry budget of all daemons together, as retries per call to a service; 0 for none.
     double retryRatio = 0;
-    /// Where less than this share of a rule's trees would end whole by themselves, only as many
-    /// are begun as can be retryable. Below it a tree costs more work than it is worth: with 13
-    /// calls a tree takes about 5 ms of processor time in the daemons alone.
+    /// If a smaller share of the call trees of a rule would complete, only as many are started as
+    /// retries can complete. Below it a call tree costs more than it is worth: with 13 calls it
+    /// takes about 5 ms of processor time in the daemons alone.
     double minSuccessProbability = 0.25;
-    /// Share of the requests that is let in however bad the odds: they find out that the trouble is
-    /// over where nobody else calls the service.
+    /// Minimum share of the requests to admit at any loss: they detect recovery where nobody else
+    /// calls the service.
     double probeShare = 0.03;
     /// Weight of one report in the loss of a service.
     double reportWeight = 0.1;
-    /// A loss that a service told is believed for this time. It covers the gaps between the calls
-    /// of a service that is asked by few.
+    /// How long a reported loss is kept. Covers the gaps between the calls to a rarely called
+    /// service.
     Duration reportHold = std::chrono::seconds(2);
     /// Time over which the calls to a service are averaged.
     Duration averagingTime = std::chrono::seconds(1);
-    /// A smaller loss is noise: it fails fewer than one in ten trees of eight calls, and repeats
-    /// mend it.
+    /// A smaller loss is ignored: it fails fewer than one in ten call trees of eight calls, and
+    /// retries compensate for it.
     double minLoss = 0.02;
 };
 
-/// Calls that a request of a rule makes to a service, in the mean.
+/// Mean number of calls to one service in the call tree of a request.
 struct TreeCalls
 {
     ServiceName service;
     double calls = 0;
 };
 
-/// With which share of a rule's requests it is worth to begin, by the chance that their trees end
-/// whole. Plain object.
+/// Limits the requests of a rule by the probability that their call trees complete. Holds no clock,
+/// socket or thread.
 ///
-/// A service that turns away calls by chance, or loses their answers, with a share p fails a tree
-/// with n calls there with a chance of 1 - (1 - p)ⁿ, after the services above it have worked.
-/// Repeats mend it, p / (1 - p) for each call, but all daemons together may send few of them. Dealt
-/// to all trees they mend none; so the trees of the most important rules come first, and of the
-/// rest as many are begun as can still be retryable.
+/// If a service refuses calls at random, or loses their answers, with probability p, a call tree
+/// with n calls to it fails with probability 1 - (1 - p)ⁿ, after the services above have done their
+/// work. Retries compensate for this at p / (1 - p) per call, but the retry budget of all daemons
+/// together is small. Spread over all call trees it completes none of them; so rules of high
+/// priority get it first, and of the remaining call trees only as many are started as it still
+/// covers.
 class LossBasedAdmission
 {
 public:
     explicit LossBasedAdmission(const LossBasedAdmissionOptions &options);
 
-    /// A service told what it loses, with an answer.
+    /// A report of the loss of a service, received with an answer.
     void onReport(TimePoint now, const ServiceUsage &usage);
-    /// A request of this priority arrived, whose tree makes these calls. Returns the share of such
-    /// requests that is worth to begin.
+    /// A request of this priority arrived, whose call tree makes these calls. Returns the share of
+    /// such requests to admit.
     double onArrival(TimePoint now, Priority priority, const std::vector<TreeCalls> &tree);
 
 private:
@@ -67,12 +68,12 @@
     {
         double loss = 0;
         TimePoint reportedAt;
-        /// Calls a second that arriving requests would make, by priority.
+        /// Calls per second that arriving requests would make, by priority.
         std::map<Priority, DemandRate> calls;
     };
 
     double lossOf(TimePoint now, const Service &service) const;
-    /// Of the lost calls of this priority, the share that repeats can mend.
+    /// Share of the lost calls of this priority that the retry budget covers.
     double retryableShare(TimePoint now, const Service &service, double loss,
                           Priority priority) const;
 
--- a/src/coordination/admission/internal/probinglimit.cpp
+++ b/src/coordination/admission/internal/probinglimit.cpp
@@ -7,28 +7,28 @@
 namespace ivyspar {
 
 namespace {
-/// Calls in an epoch: at least this number, and this number of rounds.
+/// Minimum length of an epoch, in calls and in rounds of the current limit.
 constexpr std::uint32_t EPOCH_CALLS = 100;
 constexpr double EPOCH_ROUNDS = 2;
 constexpr double LOWER_FACTOR = 0.8;
 constexpr double HIGHER_FACTOR = 1.25;
-/// A lower limit is kept if at least this share of the throughput is left …
+/// A lower limit is kept if at least this share of the throughput remains …
 constexpr double KEPT_THROUGHPUT = 0.97;
-/// … and a higher one if the throughput grows by this factor.
+/// … and a higher limit if the throughput grows by this factor.
 constexpr double GAINED_THROUGHPUT = 1.05;
-/// A trial ends early when after this number of calls clearly less than the throughput is left.
+/// After this number of calls a trial ends early if the throughput falls below this share.
 constexpr std::uint32_t EARLY_CALLS = 30;
 constexpr double LOST_THROUGHPUT = 0.9;
-/// For how long calls must have been slow before a limit is tried.
+/// Time for which calls must have been slow before a trial.
 constexpr Duration MIN_SLOW_TIME = std::chrono::seconds(5);
-/// Service times beyond this multiple of the fastest are long.
+/// Service times above this multiple of the fastest are slow.
 constexpr double SLOW_FACTOR = 1.5;
 constexpr double FASTEST_DECAY = 1.005;
 constexpr double RECENT_WEIGHT = 0.1;
 constexpr double SATURATED_SHARE = 0.8;
 constexpr double USED_SHARE = 0.5;
 constexpr double OVERLOADED_DECREASE = 0.9;
-/// Growth per round of calls, as a share of the limit, once the gate is warm.
+/// Increase of the limit per successful call, after the slow start.
 constexpr double INCREASE = 0.25;
 constexpr std::uint32_t MAX_PAUSE_EPOCHS = 32;
 } // namespace
@@ -72,8 +72,8 @@
 void ProbingLimit::onOverloaded(TimePoint now, const LimitSample &sample)
 {
     m_isCold = false;
-    // Refusals of one moment tell of one overload: without this pause they would take the limit
-    // to its lowest value at once.
+    // Refusals that arrive together indicate a single overload. Without this pause they would drop
+    // the limit to its minimum.
     if (now < m_nextDecrease) {
         return;
     }
@@ -93,7 +93,7 @@
     if (isSlow() || sample.inFlight < USED_SHARE * m_range.value()) {
         return;
     }
-    // A cold gate doubles in each round of calls until the first sign of overload.
+    // Slow start: the limit doubles with each round of calls until the first sign of overload.
     m_range.set(m_range.value() + (m_isCold ? 1.0 : INCREASE));
 }
 
@@ -104,7 +104,7 @@
     return m_epoch.succeeded / static_cast<double>(length);
 }
 
-// With few slots or slow work an epoch takes seconds: a trial that fails must not cost them all.
+// With few slots or slow calls an epoch takes seconds; a failing trial ends before that.
 bool ProbingLimit::hasLostThroughput(TimePoint now) const
 {
     return m_phase == Phase::Lower && m_epoch.ended >= EARLY_CALLS
@@ -123,15 +123,16 @@
         evaluateTrial(measured);
         return;
     }
-    // An epoch in which calls became slow is a mixture and gives no throughput to compare with.
+    // An epoch in which calls became slow mixes both states and gives no throughput to compare
+    // with.
     const bool wasSlow = std::exchange(m_wasSlow, isSlow());
     if (!isSaturated || !wasSlow || !isSlow()) {
         m_slowSince = now;
         return;
     }
     m_isCold = false;
-    // A trial costs throughput if the work is slow for another reason, as when a service further
-    // down is slow. What a trial can find, a server that announces too much, lasts.
+    // A trial costs throughput if calls are slow for another reason, such as a slow downstream
+    // service. The cause that a trial can detect, a server that announces too many slots, persists.
     if (now - m_slowSince < MIN_SLOW_TIME) {
         return;
     }
@@ -191,7 +192,7 @@
     changeLimit(m_limitBefore);
 }
 
-/// The trial was a success: the next one follows at once.
+/// Keeps the limit of a successful trial and starts the next trial immediately.
 void ProbingLimit::acceptTrial(double limit, double measured)
 {
     m_range.set(limit);
--- a/src/coordination/admission/internal/probinglimit.h
+++ b/src/coordination/admission/internal/probinglimit.h
@@ -7,10 +7,11 @@
 
 namespace ivyspar {
 
-/// Lowers the limit only where this costs no throughput. Long service times alone do not tell
-/// whether calls slow each other down or whether the work became slower for another reason; in the
-/// second case a lower limit only loses throughput. So while service times are long, a lower limit
-/// is tried for some rounds of calls, and kept if as many succeed as before and after.
+/// Lowers the limit only where this costs no throughput. Long service times do not tell whether
+/// calls slow each other down or whether the work became slower for another reason; in the second
+/// case a lower limit only loses throughput. While service times are long, a lower limit is
+/// therefore tried for some rounds of calls, and kept if the throughput on trial matches that
+/// before and after.
 class ProbingLimit : public IConcurrencyLimit
 {
 public:
@@ -25,17 +26,19 @@
 
     enum class Phase {
         Steady,
-        Lower, ///< A lower limit is on trial.
-        Verify, ///< Back at the former limit, as the throughput may have changed by itself.
-        Higher, ///< A higher limit is on trial.
+        Lower, ///< A lower limit is being tried.
+        Verify, ///< Back at the previous limit, in case the throughput changed for another reason.
+        Higher, ///< A higher limit is being tried.
     };
-    /// Calls that ended under one limit.
+    /// Totals of the calls that ended under one limit.
     struct Epoch
     {
         TimePoint start;
         std::uint32_t ended = 0;
         std::uint32_t succeeded = 0;
+        /// Sum over the calls, in µs.
         double serviceTime = 0;
+        /// Sum over the calls.
         double inFlight = 0;
     };
 
@@ -53,11 +56,12 @@
     LimitRange m_range;
     Phase m_phase = Phase::Steady;
     Epoch m_epoch;
-    /// Calls started under the previous limit that are still to end.
+    /// Calls started under the previous limit that have not ended; they are not sampled.
     std::uint32_t m_callsToSettle = 0;
-    /// Lowest mean service time of an epoch, in µs; slowly forgotten. 0 while unknown.
+    /// Lowest mean service time of an epoch, in µs, raised slowly to adapt to slower work. 0 if
+    /// unknown.
     double m_fastest = 0;
-    /// Recent service time, in µs.
+    /// Moving average of the service time, in µs.
     double m_recent = 0;
     TimePoint m_slowSince;
     double m_throughputBefore = 0;
@@ -66,7 +70,7 @@
     bool m_wasSlow = false;
     bool m_isCold = true;
     bool m_isHigherNext = false;
-    /// Epochs until the next trial, and their number after the next one that fails.
+    /// Epochs until the next trial, and after the next trial that fails.
     std::uint32_t m_pauseEpochs = 0;
     std::uint32_t m_nextPauseEpochs = MIN_PAUSE_EPOCHS;
     TimePoint m_nextDecrease;
--- a/src/coordination/admission/internal/processorload.cpp
+++ b/src/coordination/admission/internal/processorload.cpp
@@ -7,22 +7,24 @@
 
 namespace {
 
-/// Lag at which as much is let in as can be read. Below it entries open, above it they close. A
-/// process that has used up its part of a tenth of a second runs on after up to 0.06 s.
+/// Lag at which admission matches what can be read. Below it entry daemons admit more, above it
+/// less. A process that has used up its processor quota for a period of 100 ms is resumed after up
+/// to 60 ms.
 constexpr Duration TARGET_LAG = std::chrono::milliseconds(80);
-/// A daemon whose mean lag was not larger for some time keeps up, whatever entries refuse: for want
-/// of room elsewhere, or while they know no rule yet. Told as load here, what they refuse for that
-/// would keep them closed, and they would open by a quarter a second.
+/// A daemon whose mean lag stayed below this for `OVERLOAD_HOLD` keeps up, whatever entry daemons
+/// refuse because of other services or because a rule is still unknown to them. Reporting those
+/// refusals as load here would keep them refusing; their admission would recover by only a quarter
+/// per second.
 constexpr Duration OVERLOAD_LAG = std::chrono::milliseconds(40);
 constexpr Duration OVERLOAD_HOLD = std::chrono::milliseconds(2000);
-/// Entries open by a quarter in the time that a tree takes while there is no lag …
+/// Without lag, admission grows by a quarter in the time that a call tree takes …
 constexpr double MIN_PRESSURE = 0.8;
-/// … and close by half at most, or one pause of the process would close them.
+/// … and it at most halves; otherwise a single pause of the process would stop admission.
 constexpr double MAX_PRESSURE = 2;
 /// Time over which the lag is averaged.
 constexpr Duration LAG_AVERAGING_TIME = std::chrono::milliseconds(100);
-/// Time over which is averaged what entries let in: longer than a tree takes, or entries would
-/// close further before it shows here that they have closed.
+/// Time over which the admitted share is averaged. Longer than a call tree takes; otherwise entry
+/// daemons would reduce admission further before an earlier reduction takes effect here.
 constexpr Duration SHARE_AVERAGING_TIME = std::chrono::milliseconds(1000);
 constexpr double MAX_LOAD = 100;
 
--- a/src/coordination/admission/internal/rankqueue.h
+++ b/src/coordination/admission/internal/rankqueue.h
@@ -12,7 +12,8 @@
 
 namespace ivyspar {
 
-/// Calls that wait for a slot, in order of admission and of deadline. All operations are O(log n).
+/// Queue of calls that wait for a slot, ordered by admission and by deadline. Operations are O(log
+/// n).
 class RankQueue
 {
 public:
@@ -22,15 +23,15 @@
     std::size_t size() const { return m_calls.size(); }
 
     void push(const GateRequest &request);
-    /// Removes the call to be started next. The queue must not be empty.
+    /// Removes the call to start next. The queue must not be empty.
     GateRequest popFirst();
-    /// Removes the call that gives way when the queue is too long. The queue must not be empty.
+    /// Removes the call to refuse when the queue is too long. The queue must not be empty.
     GateRequest popLast();
     /// Removes the call with the earliest deadline. The queue must not be empty.
     GateRequest popEarliest();
     /// `TimePoint::max()` when the queue is empty.
     TimePoint earliestDeadline() const;
-    /// False if the call does not wait.
+    /// Returns false if the call is not queued.
     bool remove(CallId id);
 
 private:
@@ -39,10 +40,10 @@
         boost::intrusive::set_base_hook<boost::intrusive::tag<struct ByOrder>, Unlinking>;
     using DeadlineHook =
         boost::intrusive::set_base_hook<boost::intrusive::tag<struct ByDeadline>, Unlinking>;
-    /// Importance and order of arrival; the largest is started first.
+    /// Rank or priority, then order of arrival; the largest key is started first.
     using OrderKey = std::tuple<std::uint32_t, std::int64_t>;
 
-    /// Leaves both orders when it is destroyed.
+    /// A queued call; unlinks itself from both sets on destruction.
     struct Waiting : OrderHook, DeadlineHook
     {
         GateRequest request;
@@ -50,12 +51,14 @@
     };
     struct OrderOf
     {
-        using type = OrderKey; // NOLINT(readability-identifier-naming): asked for by the library.
+        using type =
+            OrderKey; // NOLINT(readability-identifier-naming): required by Boost.Intrusive.
         type operator()(const Waiting &call) const { return call.order; }
     };
     struct DeadlineOf
     {
-        using type = TimePoint; // NOLINT(readability-identifier-naming): asked for by the library.
+        using type =
+            TimePoint; // NOLINT(readability-identifier-naming): required by Boost.Intrusive.
         type operator()(const Waiting &call) const { return call.request.deadline; }
     };
     using OrderSet = boost::intrusive::multiset<Waiting, boost::intrusive::base_hook<OrderHook>,
@@ -71,7 +74,7 @@
 
     QueueOrder m_order;
     std::int64_t m_arrivals = 0;
-    // Destroyed after the calls, which unlink themselves.
+    // Destroyed after `m_calls`, whose elements unlink themselves.
     OrderSet m_byOrder;
     DeadlineSet m_byDeadline;
     std::unordered_map<CallId, Waiting> m_calls;
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// With room for this multiple of the usual demand nothing has to be counted.
+/// With capacity for this multiple of the usual demand, requests are admitted without tokens.
 constexpr double UNLIMITED_SHARE = 3;
-/// A request that got through against all lossAdmission must not stand for thousands.
+/// Lower bound of the reported share: a single admitted request must not represent thousands.
 constexpr long MIN_ADMITTED_SHARE_THOUSANDTHS = 20;
 
 LossBasedAdmissionOptions lossOptions(const RootAdmissionOptions &options)
@@ -73,7 +73,8 @@
 bool RootAdmission::admit(TimePoint now, const RootTarget &target)
 {
     Profile &profile = profileOf(target);
-    // Before it counts as demand: services must not hold others back for what is not begun.
+    // Checked before the request counts as demand: services must not limit other requests because
+    // of requests that are not started.
     if (!passesLossAdmission(now, target, profile)) {
         return false;
     }
@@ -137,8 +138,8 @@
     }
 }
 
-/// The share is taken of the usual arrivals and not of those of this moment. A service that is full
-/// at the usual demand would be overrun by a burst until it could tell.
+/// The share refers to the usual arrivals and not to those of the moment: a service that is full at
+/// the usual demand would be overloaded by a burst before it could report it.
 bool RootAdmission::takeToken(TimePoint now, Profile &profile, double share) const
 {
     const double rate = share * profile.arrivals.rate(now, m_options.demandAveragingTime);
@@ -153,9 +154,9 @@
     return true;
 }
 
-/// What was let in, and not what was meant to be. While the share falls, requests that were tokens
-/// up before are let in as well; reported with the low share, each would stand for many, the demand
-/// would seem to grow, and the share would fall further.
+/// The share actually admitted rather than the target share. While the target falls, requests are
+/// still admitted by earlier tokens; with the low target each of them would represent many
+/// requests, the demand would appear to grow, and the target would fall further.
 DemandShare RootAdmission::admittedShare(TimePoint now, const RootTarget &target) const
 {
     const Profile *profile = findProfile(target);
@@ -207,7 +208,7 @@
 {
     ++tree.samples;
     const double weight = std::max(m_options.costWeight, 1.0 / tree.samples);
-    // A service that was not reachedShare this time cost nothing.
+    // A service that the request did not reach cost nothing.
     for (auto &[name, cost] : tree.costs) {
         cost.busy *= 1 - weight;
         cost.reachedShare *= 1 - weight;
@@ -231,8 +232,9 @@
     }
     ++service.reports;
     const double known = loadOf(now, service);
-    // An entry among many hears little. By the count of reports alone it would believe a load that
-    // is seconds old, and all entries together let in too much and too little in turn.
+    // One of many entry daemons gets few reports. Weighted by their number alone, its load would be
+    // seconds old, and all entry daemons together would alternate between admitting too much and
+    // too little.
     const double forgotten =
         1 - std::exp(-toSeconds(now - service.reportedAt) / toSeconds(m_options.loadAveragingTime));
     const double weight = std::max({ m_options.loadWeight, 1.0 / service.reports, forgotten });
@@ -298,7 +300,7 @@
 
 double RootAdmission::loadOf(TimePoint now, const Service &service) const
 {
-    // Where nothing more is heard, nothing may be refused for good.
+    // Without new reports the load decays, so that no request is refused for good.
     const auto old = static_cast<double>((now - service.reportedAt - m_options.loadHold).count());
     const double forgotten =
         std::clamp(old / static_cast<double>(m_options.loadDecay.count()), 0.0, 1.0);
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -27,55 +27,56 @@
 
 private:
     struct Profile;
-    /// What callers ask of a service by one rule.
+    /// Demand of the requests of one rule for a service.
     struct ServiceDemand
     {
         const Profile *profile = nullptr;
-        /// In µs of slots a second.
+        /// Slot time, in µs per second.
         DemandRate rate;
-        /// Of one request, in µs of slots.
+        /// Slot time per request, in µs.
         double cost = 0;
     };
     struct Service
     {
         std::map<Priority, std::vector<ServiceDemand>> ruleDemands;
-        /// The whole demand over what the service can takeToken.
+        /// Demand over capacity.
         double load = 0;
         std::uint32_t reports = 0;
         TimePoint reportedAt;
     };
-    /// What a request of a rule costs a service.
+    /// Mean cost of a request of a rule at one service.
     struct Cost
     {
-        /// In µs of slots.
+        /// Slot time, in µs.
         double busy = 0;
         /// Share of the requests that reach the service.
         double reachedShare = 0;
         double calls = 0;
     };
-    /// What the calls of a rule's requests cost, whoever the callers are.
+    /// Costs of the call tree of a rule, for requests of any priority.
     struct Tree
     {
         std::unordered_map<ServiceName, Cost> costs;
         std::uint32_t samples = 0;
-        /// While the tree is not known yet: requests that may be under way, once one has ended.
+        /// Maximum number of requests in flight while the cost is unknown; set once a request has
+        /// ended.
         std::optional<double> window;
         std::uint32_t inFlight = 0;
     };
-    /// Requests of a rule of one priority.
+    /// State of the requests of one rule and priority.
     struct Profile
     {
         Tree *tree = nullptr;
         DemandRate arrivals;
-        /// Of the usual arrivals, what fits.
+        /// Share of the usual arrivals that fits.
         double share = 1;
-        /// The service that leaves least room; empty while none is known.
+        /// The service with the least capacity left; empty if none is known.
         ServiceName bottleneck;
-        /// Of the requests, the share that is worth to begin.
+        /// Share of the requests worth starting, given the loss at the services.
         double lossAdmittedShare = 1;
-        /// What is tokens up of the next request that is worth it.
+        /// Accumulated `lossAdmittedShare`; each started request takes 1.
         double startCredit = 0;
-        /// Requests that may be let in at once.
+        /// Requests that may be admitted at once.
         double tokens = 0;
         TimePoint refilledAt;
         DemandRate admitted;
@@ -87,22 +88,22 @@
     Profile &profileOf(const RootTarget &target);
     const Profile *findProfile(const RootTarget &target) const;
     bool isKnown(const Tree &tree) const { return tree.samples >= m_options.minTreeSamples; }
-    /// Requests of a rule that is not known yet that may be under way.
+    /// Maximum number of requests in flight of a rule whose cost is unknown.
     double windowOf(const Tree &tree) const;
-    /// Of the usual arrivals, the share that the services of the rule's tree can takeToken.
+    /// Share of the usual arrivals that the services of the call tree can take.
     double shareOf(TimePoint now, const RootTarget &target, Profile &profile);
     double loadOf(TimePoint now, const Service &service) const;
     void recordDemand(TimePoint now, Service &service, Priority priority, const Profile &profile,
                       double cost) const;
-    /// Of the rule's usual demand, the share that fits; above 1 with room for more.
+    /// Share of the usual demand of the rule that fits; above 1 with spare capacity.
     double fittingShare(TimePoint now, const Service &service, Priority priority,
                         const Profile &profile) const;
     double shareWithin(TimePoint now, const std::vector<ServiceDemand> &ruleDemands,
                        const Profile &profile, double room) const;
     double demandOf(TimePoint now, const std::vector<ServiceDemand> &ruleDemands) const;
-    /// Whether this request is one of the share that is worth to begin.
+    /// Whether the request belongs to the share worth starting.
     bool passesLossAdmission(TimePoint now, const RootTarget &target, Profile &profile);
-    /// Takes one request from what is tokens up at `share` of the usual arrivals.
+    /// Takes one token; tokens refill at `share` of the rate of the usual arrivals.
     bool takeToken(TimePoint now, Profile &profile, double share) const;
     void updateCosts(Tree &tree, const TreeUsage &usage) const;
     void updateLoad(TimePoint now, const ServiceUsage &usage);
@@ -113,7 +114,7 @@
     std::map<ProfileKey, Profile> m_profiles;
     std::unordered_map<ServiceName, Service> m_services;
     LossBasedAdmission m_lossAdmission;
-    /// Kept to save an allocation for each request.
+    /// Reused to avoid an allocation per request.
     std::vector<TreeCalls> m_treeCalls;
 };
 
--- a/src/coordination/admission/internal/rootresult.cpp
+++ b/src/coordination/admission/internal/rootresult.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// 1. All hosts come back at the same moment, and each daemon learns of the others and their
-///    servers within a second or two. Until then requests end for want of a server.
-/// 2. Taken for overload, each of them halves the window of its rule, and at the end one request at
-///    a time is let in though all servers are there and idle.
+/// Whether the request ended because no server was reached. After a power failure all hosts start
+/// at once, and daemons take 1 to 2 s to discover each other and their servers. If requests that
+/// end in that time counted as overload, each would halve the window of its rule, until one request
+/// at a time is admitted to idle servers.
 bool hasMetNoServer(const Verdict &verdict)
 {
     if (verdict.outcome != Outcome::NotRun) {
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -12,7 +12,7 @@
 
 namespace ivyspar {
 
-/// Where a caller's request leads.
+/// Rule, first service and priority of a root request, i.e. a request of a caller.
 struct RootTarget
 {
     RuleName rule;
@@ -20,55 +20,59 @@
     Priority priority;
 };
 
-/// How a request that was let in ended.
+/// How an admitted request ended.
 enum class RootResult {
-    Success, ///< Answered, with all its calls.
+    Success, ///< Answered without a server error.
     Failure,
-    Ignored, ///< It tells nothing of the services: its caller left, or no server was reached.
+    Ignored, ///< Not caused by the services: the caller left, or no server was reached.
 };
 
-/// What the end of a request tells. `status` counts if it was answered.
+/// Classifies the end of a request. `status` is the HTTP status and counts only if it was answered.
 RootResult rootResultOf(const Verdict &verdict, std::uint16_t status);
 
-/// What a decision was based on, for the logs.
+/// Inputs of an admission decision, for the decision log.
 struct AdmissionBasis
 {
-    /// Whether the rule's tree is known; if not, `window` decides, else `share`.
+    /// Whether the cost of the call tree is known: `share` decides if so, otherwise `window` does.
     bool isKnown = false;
     std::uint32_t inFlight = 0;
+    /// Maximum number of requests in flight.
     double window = 0;
-    /// Of the usual arrivals, the share that fits into `bottleneck`; empty if no service is known.
+    /// Share of the usual arrivals that fits into `bottleneck`, which is empty if no service is
+    /// known.
     double share = 0;
     ServiceName bottleneck;
-    /// Of the requests, the share that is worth to begin by what the services of the tree lose.
+    /// Share of the requests worth starting, given the loss at the services of the call tree.
     double lossAdmittedShare = 1;
-    /// Its whole demand over what it can take, and how long ago that was told.
+    /// Demand over capacity of the bottleneck, and the age of its last report.
     double load = 0;
     Duration loadAge{ 0 };
 };
 
-/// Decides at the entry whether a caller's request is let in, by what its whole call tree costs
-/// each service and by what these services can take. Plain object.
+/// Decides at the entry daemon whether to admit a root request, from the cost of its call tree at
+/// each service and the capacity of these services. Holds no clock, socket or thread.
 ///
-/// A request that will lose one of its calls four hops down costs all the services above before it
-/// fails. What a tree costs is learnt from the answers, which carry it up.
+/// A request that loses one of its calls four hops down has cost all services above before it
+/// fails. The cost of a call tree is learned from the answers, which carry it back.
 class IRootAdmission
 {
 public:
     virtual ~IRootAdmission() = default;
 
-    /// Which daemons work, and with which servers.
+    /// Sets the current daemons with their servers.
     virtual void setMembers(const std::vector<Member> &members) = 0;
-    /// A request arrived. False: it is to be refused before anything is spent.
+    /// Returns false if an arriving request must be refused before any work is spent on it.
     virtual bool admit(TimePoint now, const RootTarget &target) = 0;
-    /// Which share of such requests is let in here now. Goes with the request, so that the services
-    /// of its tree know what demand it stands for.
+    /// Share of such requests that this daemon currently admits. It is sent with the request, so
+    /// that the services of the call tree can compute the demand behind it.
     virtual DemandShare admittedShare(TimePoint now, const RootTarget &target) const = 0;
+    /// Inputs of the last decision about such requests.
     virtual AdmissionBasis basis(TimePoint now, const RootTarget &target) const = 0;
-    /// An attempt of a request ended; `isComplete` when all its calls were made.
+    /// An attempt of a request ended. `isComplete`: all calls of its tree were made, so `usage` is
+    /// a sample of the cost.
     virtual void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
                               bool isComplete) = 0;
-    /// A request that was let in is over. To be called once for each.
+    /// An admitted request ended. Call exactly once for each.
     virtual void onRequestEnd(const RootTarget &target, RootResult result) = 0;
 };
 
@@ -76,39 +80,41 @@
 {
     /// Time over which the demand is averaged, the same as at the gates.
     Duration demandAveragingTime = std::chrono::seconds(1);
-    /// Time for which requests may be saved up: chance brings some together without more demand.
+    /// Size of the token bucket, in time at the admitted rate: arrivals cluster by chance without
+    /// more demand.
     Duration burst = std::chrono::milliseconds(200);
-    /// Requests of a rule that may be saved up at least.
+    /// Minimum size of the token bucket, in requests.
     double minBurst = 2;
-    /// A load that a service told is believed for this time …
+    /// A reported load is kept for this time …
     Duration loadHold = std::chrono::milliseconds(1000);
-    /// … and then falls to nothing within this time.
+    /// … and then decays to 0 within this time.
     Duration loadDecay = std::chrono::seconds(1);
-    /// Weight of one answer in the cost of a rule's tree.
+    /// Weight of one answer in the cost of a call tree.
     double costWeight = 0.05;
-    /// A service that a smaller share of a rule's requests reaches does not hold the others up: a
-    /// call may have been booked to the wrong request.
+    /// Services reached by a smaller share of the requests of a rule do not limit it: a call may
+    /// have been attributed to the wrong request.
     double minReachedShare = 0.25;
-    /// A rule is known after this many whole answers. Until then only a few of its requests are let
-    /// in at a time, more with each whole answer and half with each failure: entries that start
-    /// together, after a power failure, would otherwise let in all that comes, no tree would
-    /// be whole, and nothing would be learnt from them.
+    /// Complete answers after which the cost of a call tree is known. Until then a window limits
+    /// the requests in flight; it grows with each success and halves with each failure. Otherwise
+    /// entry daemons that restart together, as after a power failure, would admit everything, no
+    /// call tree would complete, and no cost would be learned.
     std::uint32_t minTreeSamples = 8;
-    /// The first window is this entry's part of the slots of the bottleneck service, to which the
-    /// rule may lead, and at least this.
+    /// Lower bound of the initial window, which is the share of this daemon in the slots of the
+    /// service with the fewest slots, since the rule may lead there.
     double initialWindow = 2;
     double minWindow = 1;
-    /// An entry that knows of fewer daemons takes no larger part: it may just not know the others.
+    /// Minimum number of daemons among which those slots are divided: a daemon that knows fewer may
+    /// just not have discovered the others.
     std::size_t minDaemons = 16;
-    /// Weight of one report in the load of a service: its servers report in turn.
+    /// Weight of one report in the load of a service; the reports come from different servers.
     double loadWeight = 0.1;
-    /// What was told before counts less by a factor of e after this time, however few reports come.
+    /// Earlier reports also decay by a factor of e in this time, however few reports arrive.
     Duration loadAveragingTime = std::chrono::milliseconds(250);
-    /// Off: rules of one priority get equal shares of a service, whatever their requests cost it.
+    /// False: rules of one priority get equal shares of a service, regardless of their cost.
     bool hasFairShares = true;
-    /// Off: trees are begun however few of them can end whole.
+    /// False: call trees are started however few of them can complete.
     bool hasLossBasedAdmission = true;
-    /// Repeats for each call that all daemons together may send to a service.
+    /// Retry budget of all daemons together, as retries per call to a service.
     double retryRatio = 0;
 };
 
--- a/src/coordination/admission/lossestimate.h
+++ b/src/coordination/admission/lossestimate.h
@@ -7,7 +7,7 @@
 
 namespace ivyspar {
 
-/// Share of the sends to one server that brought no answer though there was a slot for them.
+/// Moving average of the share of sends to one server that got no answer although a slot was free.
 class LossEstimate
 {
 public:
@@ -19,8 +19,8 @@
     }
 
 private:
-    /// Of one send: a server with 300 calls a second is found out in 0.2 s, and a share of 2 %
-    /// among 50 sends is told apart from none.
+    /// Weight of one send: detects a failed server with 300 calls per second within 0.2 s, and
+    /// distinguishes a loss of 2 % among 50 sends from none.
     static constexpr double WEIGHT = 0.02;
 
     double m_share = 0;
--- a/src/coordination/admission/processorguard.h
+++ b/src/coordination/admission/processorguard.h
@@ -5,21 +5,21 @@
 
 namespace ivyspar {
 
-/// Whether a daemon that is behind admits one more request of a caller.
+/// Decides whether a daemon whose event loop lags admits another request of a caller.
 ///
-/// A request that is read late has used up the time of its caller, and each one more makes those
-/// behind it later. Refused at once it costs about a tenth of what it costs to serve it, so that
-/// the loop catches up and callers hear when to come back.
+/// A request that is read late has used up part of its caller's deadline, and each further request
+/// delays those behind it. Refusing it immediately costs about a tenth of serving it, so the event
+/// loop catches up and callers learn when to retry.
 class ProcessorGuard
 {
 public:
-    /// Off: whatever the lag is, all are taken.
+    /// If not on, requests are admitted at any lag.
     explicit ProcessorGuard(bool isOn)
         : m_isOn(isOn)
     {
     }
 
-    /// `highest`: the priority of the maxLag important rule that there is.
+    /// `lag`: how late the request was read. `highest`: the highest priority of any rule.
     bool admits(Duration lag, Priority priority, Priority highest) const
     {
         const Duration maxLag = priority < highest ? MAX_LAG : MAX_LAG_HIGHEST_PRIORITY;
@@ -27,10 +27,11 @@
     }
 
 private:
-    /// A tree with ten calls waits that often at daemons that are as busy as this one: with 0.1 s
-    /// each, a second.
+    /// A call tree with ten calls incurs this lag at each daemon that is as busy as this one: 0.1 s
+    /// each add up to 1 s.
     static constexpr Duration MAX_LAG = std::chrono::milliseconds(100);
-    /// Three times that: refusing the others frees the processor for these within some ticks.
+    /// Refusing the other requests frees the processor for these within a few iterations of the
+    /// event loop.
     static constexpr Duration MAX_LAG_HIGHEST_PRIORITY = std::chrono::milliseconds(300);
 
     bool m_isOn;
--- a/src/coordination/admission/processorload.h
+++ b/src/coordination/admission/processorload.h
@@ -5,26 +5,27 @@
 
 namespace ivyspar {
 
-/// What the processor of a host can take, told as the load of its service.
+/// Load of the processor of a host, reported as the load of its service.
 ///
-/// A daemon beside a service that makes many calls passes all of these on, and gets a part of a
-/// processor for it. When that is used up, calls wait unread, trees take seconds, their callers
-/// come back, and the daemon stays overrun while each server has free slots. Entries know the load
-/// of services alone; so a daemon that is behind tells a full one, and they begin fewer trees that
-/// lead here. Plain object.
+/// A daemon next to a service that makes many calls forwards all of them and gets only a part of a
+/// processor for it. Once that part is used up, calls wait unread, call trees take seconds, callers
+/// retry, and the daemon stays overloaded while every server has free slots. Entry daemons know
+/// only the load of services; an overloaded daemon therefore reports a load above its capacity, and
+/// they admit fewer requests that lead here. Holds no clock, socket or thread.
 class ProcessorLoad
 {
 public:
-    /// A call arrived; entries let in this share of such requests. `lag`: how late it was read.
+    /// A call arrived. `admittedShare`: share of such requests that its entry daemon admits. `lag`:
+    /// how late the call was read.
     void onArrival(TimePoint now, DemandShare admittedShare, Duration lag);
-    /// The whole demand, that which entries refused included, over what can be taken. Zero while
-    /// the daemon keeps up.
+    /// Demand over capacity, including the demand that entry daemons refuse. 0 while the daemon
+    /// keeps up.
     DemandLoad load() const;
 
 private:
-    /// How many requests one that was let in stands for, in the mean.
+    /// Mean number of requests that one admitted request represents.
     double m_demandPerArrival = 1;
-    /// Mean lag, in µs.
+    /// Moving average of the lag, in µs.
     double m_lag = 0;
     TimePoint m_at;
     TimePoint m_overloadedAt = TimePoint::min();
--- a/src/coordination/upstreams/internal/upstreamregistry.cpp
+++ b/src/coordination/upstreams/internal/upstreamregistry.cpp
@@ -34,14 +34,14 @@
     }
     Run &run = found->second;
     if (run.report.start < report.start) {
-        // It crashed, and started again under its name. Its reports count from the start again:
-        // taken for old ones they would leave it without work for good.
+        // The server restarted under the same instance id, and its sequence numbers start again. If
+        // they were considered stale, the server would never receive calls.
         UpstreamActions actions = endRun(found, "started-again");
         const UpstreamActions check = addRun(now, report);
         actions.insert(actions.end(), check.begin(), check.end());
         return actions;
     }
-    // A run serves one service as long as it lives: another one is said by another writer.
+    // A run never changes its service; a report with another service comes from another sender.
     if (report.sequence <= run.report.sequence || report.service != run.report.service) {
         return {};
     }
@@ -53,8 +53,8 @@
                                       : UpstreamActions();
 }
 
-/// A late report of a run that has ended must not bring it back: its address may already belong to
-/// another service. Nor may its late goodbye end the run that followed it.
+/// A delayed report must not reactivate a run that has ended: its address may belong to another
+/// service by now. A delayed goodbye must not end the run that followed it.
 bool UpstreamRegistry::isStale(const UpstreamReport &report) const
 {
     const auto ended = m_endedRuns.find(report.instance);
@@ -82,7 +82,7 @@
         recordEnded(report.instance, report.start);
         return {};
     }
-    // A goodbye may not makeActions which run it is of.
+    // A goodbye may lack the start time of its run.
     recordEnded(report.instance, std::max(report.start, found->second.report.start));
     UpstreamActions actions =
         endRun(found, report.phase == UpstreamPhase::Gone ? "goodbye" : "draining");
@@ -119,7 +119,8 @@
         return actions;
     }
     ++run.failedChecks;
-    // A server that answers but is not healthy may be full; one that serves already goes on.
+    // A server that answers but is unhealthy may be at capacity; a confirmed one keeps receiving
+    // calls.
     if (run.isServing && !health.isSilent) {
         run.lastHeardAt = now;
         return {};
@@ -188,7 +189,7 @@
     return actions;
 }
 
-/// A run that has confirmed itself at an address proves that the runs before it there have ended.
+/// A run that is confirmed at an address proves that the earlier runs at that address have ended.
 UpstreamActions UpstreamRegistry::supersede(const UpstreamReport &report)
 {
     UpstreamActions actions;
--- a/src/coordination/upstreams/internal/upstreamregistry.h
+++ b/src/coordination/upstreams/internal/upstreamregistry.h
@@ -20,12 +20,12 @@
     TimePoint nextTick() const override;
 
 private:
-    /// A run that has not said goodbye.
+    /// A run that has not ended.
     struct Run
     {
         UpstreamReport report;
         TimePoint lastHeardAt;
-        /// Confirmed by itself: takes work.
+        /// Confirmed by a health check; receives calls.
         bool isServing = false;
         bool isChecking = false;
         std::uint32_t failedChecks = 0;
@@ -38,11 +38,11 @@
     UpstreamActions requestCheck(Run &run, const char *reason);
     UpstreamActions endRun(Runs::iterator run, const char *reason);
     UpstreamActions supersede(const UpstreamReport &report);
-    /// Whether the report is of a run that has ended, or was followed by another.
+    /// Whether the report belongs to a run that has ended or was replaced by a later one.
     bool isStale(const UpstreamReport &report) const;
     UpstreamActions addRun(TimePoint now, const UpstreamReport &report);
     UpstreamActions onLeaving(const UpstreamReport &report);
-    /// The run of that name that began then, and those before it, have ended.
+    /// Records that the run with this start time, and all earlier ones of the instance, have ended.
     void recordEnded(const UpstreamId &instance, UpstreamStart start);
 
     UpstreamRegistryOptions m_options;
--- a/src/coordination/upstreams/iupstreamregistry.h
+++ b/src/coordination/upstreams/iupstreamregistry.h
@@ -8,52 +8,55 @@
 namespace ivyspar {
 
 enum class UpstreamVerb {
-    Serve, ///< Calls may go to the reported server from now on.
-    Stop, ///< No call may be started at the server any more.
-    Check, ///< Ask the server for its health; the result is given back with `onHealth`.
+    Serve, ///< Start sending calls to the reported server, or apply its changed report.
+    Stop, ///< Start no more calls at the server.
+    Check, ///< Run a health check and pass its result to `onHealth`.
 };
 
 struct UpstreamAction
 {
     UpstreamVerb verb = UpstreamVerb::Serve;
     UpstreamReport report;
-    /// The server itself has said that it ends.
+    /// Set for `Stop` if the server announced its shutdown.
     bool isPlanned = false;
-    /// Why, for the log. Lives as long as the program.
+    /// Reason for the decision log; a string literal.
     const char *reason = "";
 };
 using UpstreamActions = std::vector<UpstreamAction>;
 
-/// The answer to a health check.
+/// Result of a health check.
 struct UpstreamHealth
 {
     bool isHealthy = false;
-    /// No server answered at all.
+    /// No server answered.
     bool isSilent = false;
-    /// The run that answered; empty if it did not say.
+    /// Instance id of the run that answered; empty if the answer contains none.
     UpstreamId instance;
 };
 
-/// Which servers of this host may be sent calls. Plain object.
+/// Decides which servers of this host receive calls. Holds no clock, socket or thread.
 ///
-/// A report is only a claim: it may be seconds old, its sender may have crashed and another server
-/// may have its address. And a daemon that was killed right after it acknowledged a goodbye knows
-/// nothing of it. So a run of a server takes work only after it has itself confirmed, by a health
-/// check, that it is this run and is not leaving; a goodbye holds for good, as runs are never
-/// revived. A server may start again under its name: it is another run if it says that it began
-/// later.
+/// A run is one process of a server, from its start to its end. A report is not proof of a live
+/// run: it may be seconds old, its sender may have crashed, and another server may have taken over
+/// the address. A daemon that is killed right after acknowledging a goodbye no longer knows of it.
+/// A run therefore receives calls only after a health check has confirmed its identity and that it
+/// is not shutting down. A goodbye is final, as a run never resumes. A server may restart under the
+/// same instance id; a later start time identifies the new run.
 class IUpstreamRegistry
 {
 public:
     virtual ~IUpstreamRegistry() = default;
 
+    /// A server reported its state; stale reports are ignored.
     virtual UpstreamActions onReport(TimePoint now, const UpstreamReport &report) = 0;
+    /// A health check of the run ended.
     virtual UpstreamActions onHealth(TimePoint now, const UpstreamId &instance,
                                      const UpstreamHealth &health) = 0;
-    /// A call to the server met another run, or no server at all.
+    /// A call reached another run or no server at all; requests a health check.
     virtual UpstreamActions onContactFailure(TimePoint now, const UpstreamId &instance) = 0;
-    /// To be called at `nextTick` or later.
+    /// Requests the health checks that are due. Call at `nextTick` or later.
     virtual UpstreamActions tick(TimePoint now) = 0;
+    /// Time of the next health check; `TimePoint::max()` if none is due.
     virtual TimePoint nextTick() const = 0;
 };
 
--- a/src/coordination/upstreams/upstreamregistryfactory.h
+++ b/src/coordination/upstreams/upstreamregistryfactory.h
@@ -9,13 +9,14 @@
 
 struct UpstreamRegistryOptions
 {
-    /// A run that has not reported for this long is asked for its health.
+    /// A run without a report for this time gets a health check.
     Duration silenceTimeout = std::chrono::milliseconds(4500);
-    /// Time between two checks of a run that has not confirmed itself, and of a silent one.
+    /// Interval of the health checks of an unconfirmed or silent run.
     Duration checkInterval = std::chrono::milliseconds(500);
-    /// A run in doubt that does not answer this many checks in a row is gone until it reports anew.
+    /// A run that fails this many health checks in a row without an answer is removed until its
+    /// next report.
     std::uint32_t maxFailedChecks = 3;
-    /// Runs that said goodbye and are remembered.
+    /// Maximum number of ended runs to remember.
     std::size_t maxEndedRuns = 256;
 };
 
--- a/src/coordination/upstreams/upstreamreport.h
+++ b/src/coordination/upstreams/upstreamreport.h
@@ -11,27 +11,28 @@
 
 enum class UpstreamPhase {
     Ready,
-    Draining, ///< Takes no new work and will end.
-    Gone, ///< Has said goodbye.
+    Draining, ///< Accepts no new calls and will shut down.
+    Gone, ///< Has sent its goodbye.
 };
 
-/// What a server says of itself to the daemon on its host.
+/// State that a server reports to the daemon on its host.
 struct UpstreamReport
 {
-    /// Empty when servers of this deployment do not name their runs.
+    /// Instance id; empty where servers of the deployment do not have one.
     UpstreamId instance;
-    /// Tells apart runs that follow each other under one name.
+    /// Distinguishes consecutive runs with the same instance id.
     UpstreamStart start;
     ServiceName service;
     UpstreamVersion version;
     Endpoint endpoint;
+    /// Maximum number of concurrent calls.
     std::uint32_t slots = 0;
-    /// Connections that the server accepts; 0 if it does not say.
+    /// Maximum number of connections; 0 if not reported.
     std::uint32_t connections = 0;
     UpstreamPhase phase = UpstreamPhase::Ready;
-    /// Grows with each report of one run. Without meaning when `instance` is empty.
+    /// Increases with each report of a run. Not set if `instance` is empty.
     std::uint64_t sequence = 0;
-    /// How much longer the server is slow after its start; nothing if it does not say.
+    /// Remaining time for which the server is slow after its start; empty if not reported.
     std::optional<Duration> coldLeft;
 };
 
