--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -81,13 +81,13 @@
     profile.arrivals.add(now, 1, m_options.demandAveragingTime);
     profile.share = shareOf(now, target, profile);
     Tree &tree = *profile.tree;
-    const bool isIn = isKnown(tree) ? takeToken(now, profile, profile.share)
-                                    : tree.inFlight + 1 <= windowOf(tree);
-    if (isIn) {
+    const bool isAdmitted = isKnown(tree) ? takeToken(now, profile, profile.share)
+                                          : tree.inFlight + 1 <= windowOf(tree);
+    if (isAdmitted) {
         ++tree.inFlight;
         profile.admitted.add(now, 1, m_options.demandAveragingTime);
     }
-    return isIn;
+    return isAdmitted;
 }
 
 bool RootAdmission::passesLossAdmission(TimePoint now, const RootTarget &target, Profile &profile)
@@ -280,14 +280,14 @@
 }
 
 double RootAdmission::shareWithin(TimePoint now, const std::vector<ServiceDemand> &ruleDemands,
-                                  const Profile &profile, double room) const
+                                  const Profile &profile, double capacity) const
 {
     const double own = demandOf(now, ruleDemands);
     if (own <= 0) {
         return UNLIMITED_SHARE;
     }
-    if (!m_options.hasFairShares || room >= own || ruleDemands.size() == 1) {
-        return std::max(room / own, 0.0);
+    if (!m_options.hasFairShares || capacity >= own || ruleDemands.size() == 1) {
+        return std::max(capacity / own, 0.0);
     }
     std::vector<RuleDemand> demands;
     std::size_t index = 0;
@@ -295,7 +295,7 @@
         index = each.profile == &profile ? demands.size() : index;
         demands.push_back({ each.rate.rate(now, m_options.demandAveragingTime), each.cost });
     }
-    return allocateShares(demands, room).at(index);
+    return allocateShares(demands, capacity).at(index);
 }
 
 double RootAdmission::loadOf(TimePoint now, const Service &service) const
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -99,7 +99,7 @@
     double fittingShare(TimePoint now, const Service &service, Priority priority,
                         const Profile &profile) const;
     double shareWithin(TimePoint now, const std::vector<ServiceDemand> &ruleDemands,
-                       const Profile &profile, double room) const;
+                       const Profile &profile, double capacity) const;
     double demandOf(TimePoint now, const std::vector<ServiceDemand> &ruleDemands) const;
     /// Whether the request belongs to the share worth starting.
     bool passesLossAdmission(TimePoint now, const RootTarget &target, Profile &profile);
--- a/src/coordination/admission/tests/rootadmissiontest.cpp
+++ b/src/coordination/admission/tests/rootadmissiontest.cpp
@@ -37,9 +37,9 @@
             asked += isCounted ? 1 : 0;
             const RootTarget *targets[2] = { &BROWSING, &BOOKING };
             for (int i = 0; i < 2; ++i) {
-                const bool isIn = m_admission->admit(m_now, *targets[i]);
-                let[i] += isIn && isCounted ? 1 : 0;
-                if (isIn) {
+                const bool isAdmitted = m_admission->admit(m_now, *targets[i]);
+                let[i] += isAdmitted && isCounted ? 1 : 0;
+                if (isAdmitted) {
                     m_admission->onAttemptEnd(m_now, *targets[i], makeUsage(narrowLoad), true);
                     m_admission->onRequestEnd(*targets[i], RootResult::Success);
                 }
