--- a/src/coordination/admission/tests/concurrencylimittest.cpp
+++ b/src/coordination/admission/tests/concurrencylimittest.cpp
@@ -52,7 +52,7 @@
     TimePoint now{ 1s };
 };
 
-TEST(ConcurrencyLimit, ProbingStaysWhereALowerLimitWouldLoseThroughput)
+TEST(ConcurrencyLimit, ProbingKeepsTheLimitIfALowerOneCostsThroughput)
 {
     auto probing = makeWarm<ProbingLimit>(now);
     CHECK(saturate(probing, now, 0, 5, 20000) > 0.95 * CEILING);
@@ -62,13 +62,13 @@
     CHECK(saturate(gradient, now, 0, 5, 400) < 0.8 * CEILING);
 }
 
-TEST(ConcurrencyLimit, ProbingTriesNothingInAShortSlowSpell)
+TEST(ConcurrencyLimit, ProbingStartsNoTrialInAShortSlowPeriod)
 {
     auto probing = makeWarm<ProbingLimit>(now);
     DOUBLES_EQUAL(CEILING, saturate(probing, now, 0, 5, 3000), 0.1); // 4 s
 }
 
-TEST(ConcurrencyLimit, ProbingFallsWhereCallsSlowEachOtherDown)
+TEST(ConcurrencyLimit, ProbingLowersTheLimitIfCallsSlowEachOtherDown)
 {
     auto probing = makeWarm<ProbingLimit>(now);
     const double limit = saturate(probing, now, 30, 1, 20000);
@@ -76,7 +76,7 @@
     CHECK(limit < 45);
 }
 
-TEST(ConcurrencyLimit, ProbingReturnsToTheCeilingAfterwards)
+TEST(ConcurrencyLimit, ProbingReturnsToTheCeilingAfterRecovery)
 {
     auto probing = makeWarm<ProbingLimit>(now);
     saturate(probing, now, 30, 1, 5000);
@@ -85,7 +85,7 @@
     LONGS_EQUAL(CEILING, probing.limit());
 }
 
-TEST(ConcurrencyLimit, RefusalsOfTheUpstreamLowerItOncePerRound)
+TEST(ConcurrencyLimit, UpstreamRefusalsLowerTheLimitOncePerRound)
 {
     auto probing = makeWarm<ProbingLimit>(now);
     for (int i = 0; i < 50; ++i) {
@@ -97,7 +97,7 @@
     LONGS_EQUAL(64, probing.limit());
 }
 
-TEST(ConcurrencyLimit, NeverBelowOneNorAboveTheCeiling)
+TEST(ConcurrencyLimit, LimitStaysBetweenOneAndTheCeiling)
 {
     ProbingLimit limit(0.5, 0.1);
     LONGS_EQUAL(0, limit.limit());
--- a/src/coordination/admission/tests/fairsharestest.cpp
+++ b/src/coordination/admission/tests/fairsharestest.cpp
@@ -40,7 +40,7 @@
     const double m_totalDemand = 446 * CHEAP + 101 * EXPENSIVE;
 };
 
-TEST(FairShares, WithRoomForAllSharesAreEqual)
+TEST(FairShares, SharesAreEqualIfTheCapacityCoversTheDemand)
 {
     for (const double share : allocateShares(m_demands, 1.5 * m_totalDemand)) {
         DOUBLES_EQUAL(1.5, share, 1e-9);
@@ -49,7 +49,7 @@
 
 // A narrow service can take two thirds of what two rules ask. More callers are served than with
 // equal shares, all the capacity is used, and the dear rule gets two thirds of the other's share.
-TEST(FairShares, CheapRequestsAreNotRefusedForDearOnes)
+TEST(FairShares, CheapRequestsGetLargerSharesThanExpensiveOnes)
 {
     const double capacity = m_totalDemand * 2 / 3;
     const auto shares = allocateShares(m_demands, capacity);
@@ -60,7 +60,7 @@
 }
 
 // However little capacity there is, neither rule is locked out.
-TEST(FairShares, NoRuleStarves)
+TEST(FairShares, NoRuleIsStarved)
 {
     for (const double part : { 0.5, 0.2, 0.05 }) {
         const auto shares = allocateShares(m_demands, part * m_totalDemand);
@@ -70,7 +70,7 @@
 }
 
 // A rule that gets all it asks for leaves the rest to the others.
-TEST(FairShares, WhatACheapRuleDoesNotNeedGoesToTheOthers)
+TEST(FairShares, UnusedShareOfACheapRuleGoesToTheOthers)
 {
     const std::vector<RuleDemand> demands{ { 1e6, 1e3 }, { 10e6, 100e3 }, { 10e6, 200e3 } };
     const auto shares = allocateShares(demands, 15e6);
@@ -79,7 +79,7 @@
     CHECK(shares[1] < 1 && shares[2] < shares[1]);
 }
 
-TEST(FairShares, WithoutRoomNobodyIsLetIn)
+TEST(FairShares, AllSharesAreZeroWithoutCapacity)
 {
     for (const double share : allocateShares(m_demands, -5)) {
         DOUBLES_EQUAL(0, share, 0);
--- a/src/coordination/admission/tests/gatetest.cpp
+++ b/src/coordination/admission/tests/gatetest.cpp
@@ -56,10 +56,10 @@
         }
     }
 
-    bool isOverCeiling = false;
-    bool isInverted = false;
-    bool isTwice = false;
-    std::size_t waiting() const { return m_waiting.size(); }
+    bool exceedsCeiling = false;
+    bool hasPriorityInversion = false;
+    bool hasDuplicateAction = false;
+    std::size_t queued() const { return m_queued.size(); }
     std::uint32_t started = 0;
 
 private:
@@ -84,7 +84,7 @@
     {
         const std::uint64_t id = ++m_lastId;
         const Rank rank = rankOf(static_cast<int>(m_random.below(3)) * 40, m_random.next());
-        m_waiting[id] = rank;
+        m_queued[id] = rank;
         const Duration wait(5000 + m_random.below(200000));
         apply(m_gate->offer(m_now, { CallId(id), rank, m_now + wait }));
     }
@@ -100,23 +100,26 @@
     {
         const std::uint64_t id = 1 + m_random.below(m_lastId + 1);
         const CancelEffect effect = m_gate->cancel(m_now, CallId(id));
-        isTwice = isTwice || (effect == CancelEffect::NotStarted) != (m_waiting.erase(id) > 0);
-        isTwice = isTwice || (effect == CancelEffect::Started) != (m_running.count(id) > 0);
+        hasDuplicateAction =
+            hasDuplicateAction || (effect == CancelEffect::NotStarted) != (m_queued.erase(id) > 0);
+        hasDuplicateAction =
+            hasDuplicateAction || (effect == CancelEffect::Started) != (m_running.count(id) > 0);
     }
 
     void apply(const GateActions &actions)
     {
         for (const GateAction &action : actions) {
             const std::uint64_t id = action.id.value();
-            const Rank rank = m_waiting[id];
-            isTwice = isTwice || m_waiting.erase(id) == 0;
+            const Rank rank = m_queued[id];
+            hasDuplicateAction = hasDuplicateAction || m_queued.erase(id) == 0;
             if (action.verb == GateVerb::Start) {
                 m_running.insert(id);
                 ++started;
-                isOverCeiling = isOverCeiling || m_running.size() > m_ceiling;
+                exceedsCeiling = exceedsCeiling || m_running.size() > m_ceiling;
             } else if (action.verdict.reason == Reason::QueueFull) {
-                for (const auto &[other, lower] : m_waiting) {
-                    isInverted = isInverted || priorityOf(lower) < priorityOf(rank);
+                for (const auto &[other, lower] : m_queued) {
+                    hasPriorityInversion =
+                        hasPriorityInversion || priorityOf(lower) < priorityOf(rank);
                 }
             }
         }
@@ -132,7 +135,7 @@
     TimePoint m_now{ 1s };
     std::uint32_t m_ceiling;
     std::uint64_t m_lastId = 0;
-    std::map<std::uint64_t, Rank> m_waiting;
+    std::map<std::uint64_t, Rank> m_queued;
     std::set<std::uint64_t> m_running;
 };
 
@@ -212,21 +215,21 @@
             options.limit = limit;
             RandomRun run(options, seed);
             run.run(400);
-            RC_ASSERT(!run.isOverCeiling);
-            RC_ASSERT(!run.isTwice);
-            RC_ASSERT(run.waiting() == 0U);
+            RC_ASSERT(!run.exceedsCeiling);
+            RC_ASSERT(!run.hasDuplicateAction);
+            RC_ASSERT(run.queued() == 0U);
             RC_ASSERT(run.started > 0U);
         }
     });
     CHECK(holds);
 }
 
-TEST(Gate, RefusesNoCallForWantOfSpaceWhileOneOfLowerPriorityWaits)
+TEST(Gate, FullQueueRefusesNoCallWhileOneOfLowerPriorityIsQueued)
 {
     const bool holds = rc::check([](std::uint64_t seed) {
         RandomRun run(optionsFor(8), seed);
         run.run(400);
-        RC_ASSERT(!run.isInverted);
+        RC_ASSERT(!run.hasPriorityInversion);
     });
     CHECK(holds);
 
@@ -235,19 +238,19 @@
     fifo.order = QueueOrder::Fifo;
     RandomRun run(fifo, 1);
     run.run(2000);
-    CHECK(run.isInverted);
+    CHECK(run.hasPriorityInversion);
 }
 
-TEST(Gate, HigherRankTakesThePlaceOfTheLowestThatWaits)
+TEST(Gate, CallOfHigherRankDisplacesTheLowestQueuedCall)
 {
     GateOptions options = optionsFor(1);
     options.minQueue = 1;
     options.queueWait = 1;
     const auto gate = makeGate(options);
-    const CallId low = fill(*gate, 10);
+    const CallId lowest = fill(*gate, 10);
     const GateActions actions = offer(*gate, 90);
     LONGS_EQUAL(1, actions.size());
-    CHECK(has(actions, GateVerb::Refuse, low));
+    CHECK(has(actions, GateVerb::Refuse, lowest));
     CHECK(actions[0].verdict.outcome == Outcome::NotRun);
     CHECK(isRefused(*gate, 10));
 }
@@ -255,7 +258,7 @@
 // The caller gets its refusal at once instead of an answer that comes too late. The call waits
 // behind others; when its remaining time falls below the usual service time it leaves the queue,
 // so that the slot goes to a call that can still be answered.
-TEST(Gate, CallThatCannotBeDoneInTimeLeavesTheQueue)
+TEST(Gate, DoomedCallIsRemovedFromTheQueue)
 {
     for (const bool isDropped : { true, false }) {
         GateOptions options = optionsFor(1);
@@ -264,17 +267,17 @@
         fill(*gate, 50);
         const CallId running(lastId - 1);
         offer(*gate, 50, 30ms);
-        const CallId hasty(lastId);
+        const CallId urgent(lastId);
         CHECK((gate->nextTick() <= now + 11ms) == isDropped);
         now += 11ms;
-        CHECK_EQUAL(isDropped, has(gate->tick(now), GateVerb::Refuse, hasty));
+        CHECK_EQUAL(isDropped, has(gate->tick(now), GateVerb::Refuse, urgent));
         gate->finish(now, running, CallResult::Success, SERVICE_TIME);
     }
 }
 
 // After a slow spell the mean service time is longer than any caller waits. If it alone decided,
 // all calls would be refused as doomed, none would run, and the mean would never fall again.
-TEST(Gate, IdleGateAdmitsWhateverItsServiceTimeWas)
+TEST(Gate, IdleGateAdmitsCallsRegardlessOfItsMeanServiceTime)
 {
     const auto gate = makeGate(optionsFor(4));
     for (int i = 0; i < 200; ++i) {
@@ -294,46 +297,46 @@
         options.timedOutHold = hold;
         options.maxHold = 50ms;
         const auto gate = makeGate(options);
-        const CallId waiting = fill(*gate, 50);
-        const CallId running(waiting.value() - 1);
+        const CallId queued = fill(*gate, 50);
+        const CallId running(queued.value() - 1);
         const GateActions atOnce = gate->finish(now, running, CallResult::TimedOut, 10s);
-        CHECK_EQUAL(hold == 0.0, has(atOnce, GateVerb::Start, waiting));
+        CHECK_EQUAL(hold == 0.0, has(atOnce, GateVerb::Start, queued));
         if (hold > 0) {
             CHECK(gate->nextTick() <= now + 50ms);
             now += 50ms;
-            CHECK(has(gate->tick(now), GateVerb::Start, waiting));
+            CHECK(has(gate->tick(now), GateVerb::Start, queued));
         }
     }
 }
 
-TEST(Gate, CancelledCallIsForgottenWhileItWaits)
+TEST(Gate, CancelledCallIsRemovedFromTheQueue)
 {
     const auto gate = makeGate(optionsFor(1));
-    const CallId waiting = fill(*gate, 50);
-    const CallId running(waiting.value() - 1);
-    CHECK(gate->cancel(now, waiting) == CancelEffect::NotStarted);
-    CHECK(gate->cancel(now, waiting) == CancelEffect::Unknown);
+    const CallId queued = fill(*gate, 50);
+    const CallId running(queued.value() - 1);
+    CHECK(gate->cancel(now, queued) == CancelEffect::NotStarted);
+    CHECK(gate->cancel(now, queued) == CancelEffect::Unknown);
     CHECK(gate->cancel(now, running) == CancelEffect::Started);
     CHECK(gate->finish(now, running, CallResult::Success, SERVICE_TIME).empty());
     LONGS_EQUAL(0, gate->load(now).inFlight);
 }
 
-TEST(Gate, DrainingRefusesNewCallsAndLetsTheOthersEnd)
+TEST(Gate, DrainingRefusesNewCallsAndCompletesTheOthers)
 {
     const auto gate = makeGate(optionsFor(1));
-    const CallId waiting = fill(*gate, 50);
+    const CallId queued = fill(*gate, 50);
     gate->setDraining(true);
     const GateActions refused = offer(*gate, 100);
     CHECK(refused.at(0).verdict.reason == Reason::Draining);
     CHECK(gate->load(now).draining);
-    const CallId running(waiting.value() - 1);
+    const CallId running(queued.value() - 1);
     CHECK(has(gate->finish(now, running, CallResult::Success, SERVICE_TIME), GateVerb::Start,
-              waiting));
+              queued));
 }
 
 // Under overload entries refuse all calls below the floor, so the gate sees no more of them. It
 // must open by itself when the overload is over, or these callers would be refused for good.
-TEST(Gate, FloorFallsToZeroSoonAfterAnOverload)
+TEST(Gate, FloorReturnsToZeroAfterAnOverload)
 {
     const auto gate = makeGate(optionsFor(8));
     overload(*gate);
@@ -352,7 +355,7 @@
     CHECK(isStarted(*gate, 0));
 }
 
-TEST(Gate, FloorIsNeverRaisedWhenSwitchedOff)
+TEST(Gate, FloorIsNeverRaisedIfDisabled)
 {
     GateOptions options = optionsFor(8);
     options.hasFloor = false;
@@ -361,7 +364,7 @@
     CHECK(gate->load(now).floor == Rank());
 }
 
-TEST(Gate, ColdGateStartsWithAShareAndGrows)
+TEST(Gate, LimitStartsAtTheInitialShareAndGrows)
 {
     GateOptions options = optionsFor(80);
     options.initialShare = 0.5;
@@ -376,7 +379,7 @@
     LONGS_EQUAL(80, gate->load(now).limit);
 }
 
-TEST(Gate, RefusedCallersComeBackAtDifferentTimes)
+TEST(Gate, RetryDelaysAreSpread)
 {
     const auto gate = makeGate(optionsFor(0));
     std::set<Duration> delays;
--- a/src/coordination/admission/tests/lossbasedadmissiontest.cpp
+++ b/src/coordination/admission/tests/lossbasedadmissiontest.cpp
@@ -50,7 +50,7 @@
     double m_lowPriorityShare = 0;
 };
 
-TEST(LossBasedAdmission, WithoutLossAllIsBegun)
+TEST(LossBasedAdmission, AdmitsAllRequestsWithoutLoss)
 {
     run(2s, 10);
     DOUBLES_EQUAL(1, m_highPriorityShare, 0);
@@ -58,7 +58,7 @@
 }
 
 // What a fifth of repeats can mend, one call in ten, is no reason to refuse anybody.
-TEST(LossBasedAdmission, ASmallLossIsMendedForAll)
+TEST(LossBasedAdmission, AdmitsAllRequestsIfRetriesCoverTheLoss)
 {
     run(2s, 100);
     DOUBLES_EQUAL(1, m_highPriorityShare, 0);
@@ -70,7 +70,7 @@
 //    and there is a fifth of one for each call.
 // 3. The important trees, with four calls, are mended; of the minor ones hardly any is begun, and
 //    their callers hear so at once.
-TEST(LossBasedAdmission, WhereLittleCanBeMendedTheImportantIsBegun)
+TEST(LossBasedAdmission, PrefersHighPriorityIfRetriesCannotCoverTheLoss)
 {
     run(2s, 450);
     DOUBLES_EQUAL(1, m_highPriorityShare, 0);
@@ -80,13 +80,13 @@
 
 // A tree with a single call there ends whole more often than not. Callers get more of it than of a
 // refusal.
-TEST(LossBasedAdmission, ATreeThatLikelyEndsWholeIsBegunUnmended)
+TEST(LossBasedAdmission, AdmitsTreesThatLikelyCompleteWithoutRetries)
 {
     run(2s, 450);
     DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, LOW_PRIORITY, ONE_CALL), 0);
 }
 
-TEST(LossBasedAdmission, TheEndOfTheTroubleIsFoundWithinASecond)
+TEST(LossBasedAdmission, DetectsRecoveryWithinASecond)
 {
     run(2s, 450);
     run(1s, 0);
@@ -94,7 +94,7 @@
 }
 
 // A service of which nothing more is heard, since nobody is let in, must not lock its rules out.
-TEST(LossBasedAdmission, ALossIsForgottenWhenNothingMoreIsHeard)
+TEST(LossBasedAdmission, LossWithoutNewReportsExpires)
 {
     run(2s, 900);
     CHECK(m_lowPriorityShare < 1);
@@ -102,7 +102,7 @@
     DOUBLES_EQUAL(1, m_lossAdmission->onArrival(m_now, LOW_PRIORITY, EIGHT_CALLS), 0);
 }
 
-TEST(LossBasedAdmission, SwitchedOffAllIsBegun)
+TEST(LossBasedAdmission, AdmitsAllRequestsIfDisabled)
 {
     m_options.isOn = false;
     m_lossAdmission = std::make_unique<LossBasedAdmission>(m_options);
@@ -144,7 +144,7 @@
 
 // What is not begun is no demand either: the load that the service tells concerns the others, and
 // they must not be held back for trees that nobody begins.
-TEST(RootAdmissionWithLoss, ARuleWhoseTreesCannotEndWholeIsRefusedAndHoldsNobodyBack)
+TEST(RootAdmissionWithLoss, RefusesRulesWhoseTreesCannotCompleteWithoutLimitingOthers)
 {
     RootAdmissionOptions options;
     options.retryRatio = 0.2;
--- a/src/coordination/admission/tests/manyentriestest.cpp
+++ b/src/coordination/admission/tests/manyentriestest.cpp
@@ -27,7 +27,7 @@
 constexpr Duration CALL_TIME = milliseconds(61);
 /// What a tree does before, between and after its calls of the narrow service.
 constexpr Duration OTHER_WORK = milliseconds(150);
-constexpr Duration CALL_LIMIT = milliseconds(700);
+constexpr Duration CALL_TIMEOUT = milliseconds(700);
 constexpr Duration WINDOW = seconds(2);
 
 /// Trees that lead to a narrow service with a few gates, from entries that each see but a part of
@@ -62,20 +62,20 @@
     /// Returns the whole trees of the next window, as a share of what fits.
     double runWindow()
     {
-        m_whole = 0;
+        m_completed = 0;
         m_time.run(WINDOW);
-        return static_cast<double>(m_whole) / (capacity() * toSeconds(WINDOW));
+        return static_cast<double>(m_completed) / (capacity() * toSeconds(WINDOW));
     }
 
 private:
     struct Tree
     {
         std::size_t entry = 0;
-        bool isReturn = false;
+        bool isRetry = false;
         DemandShare admittedShare;
         std::uint32_t batch = 0;
         std::uint32_t open = 0;
-        bool isBroken = false;
+        bool isFailed = false;
         ServiceUsage usage;
         double loads = 0;
     };
@@ -89,11 +89,11 @@
         });
     }
 
-    void arrive(std::size_t entry, bool isReturn)
+    void arrive(std::size_t entry, bool isRetry)
     {
         IRootAdmission &admission = *m_entries[entry];
         if (!admission.admit(m_time.now(), TRAY)) {
-            if (!isReturn) {
+            if (!isRetry) {
                 m_time.schedule(milliseconds(400 + m_random.below(400)),
                                 [this] { arrive(m_random.below(m_entries.size()), true); });
             }
@@ -117,7 +117,7 @@
             perform(gate,
                     m_gates[gate]->offer(
                         m_time.now(),
-                        { id, Rank(1000), m_time.now() + CALL_LIMIT, tree->admittedShare }));
+                        { id, Rank(1000), m_time.now() + CALL_TIMEOUT, tree->admittedShare }));
         }
     }
 
@@ -139,17 +139,17 @@
         }
     }
 
-    void endCall(std::size_t gate, CallId id, bool isWhole)
+    void endCall(std::size_t gate, CallId id, bool isSuccess)
     {
         const TreePtr tree = m_calls[id];
         m_calls.erase(id);
         ++tree->usage.calls;
         tree->loads += m_gates[gate]->load(m_time.now()).demand.value();
-        tree->isBroken = tree->isBroken || !isWhole;
+        tree->isFailed = tree->isFailed || !isSuccess;
         if (--tree->open > 0) {
             return;
         }
-        if (!tree->isBroken && ++tree->batch < BATCHES) {
+        if (!tree->isFailed && ++tree->batch < BATCHES) {
             m_time.schedule(OTHER_WORK, [this, tree] { startBatch(tree); });
             return;
         }
@@ -160,9 +160,9 @@
     {
         tree.usage.load = DemandLoad(static_cast<std::uint32_t>(tree.loads / tree.usage.calls));
         IRootAdmission &admission = *m_entries[tree.entry];
-        admission.onAttemptEnd(m_time.now(), TRAY, { tree.usage }, !tree.isBroken);
-        admission.onRequestEnd(TRAY, tree.isBroken ? RootResult::Failure : RootResult::Success);
-        m_whole += tree.isBroken ? 0 : 1;
+        admission.onAttemptEnd(m_time.now(), TRAY, { tree.usage }, !tree.isFailed);
+        admission.onRequestEnd(TRAY, tree.isFailed ? RootResult::Failure : RootResult::Success);
+        m_completed += tree.isFailed ? 0 : 1;
     }
 
     SeededRandom m_random{ 8 };
@@ -172,7 +172,7 @@
     std::vector<std::unique_ptr<IGate>> m_gates;
     std::map<CallId, TreePtr> m_calls;
     std::uint64_t m_lastCall = 0;
-    std::size_t m_whole = 0;
+    std::size_t m_completed = 0;
 };
 
 } // namespace
@@ -186,25 +186,25 @@
 // 3. For eight seconds callers get a quarter less than the service can give: 0.72 of it in the
 // worst
 //    two seconds with loads by the count of reports, 0.86 with loads by their age.
-TEST(ManyEntries, KeepANarrowServiceEvenlyFull)
+TEST(ManyEntries, KeepABottleneckServiceSteadilyUtilized)
 {
-    constexpr int RAMP = 3;
+    constexpr int WARM_UP_WINDOWS = 3;
     constexpr int WINDOWS = 20;
-    constexpr double LEAST = 0.8;
+    constexpr double MIN_SHARE = 0.8;
     for (const double load : { 1.15, 1.5, 3.0 }) {
         Model model(95, load);
-        for (int i = 0; i < RAMP; ++i) {
+        for (int i = 0; i < WARM_UP_WINDOWS; ++i) {
             model.runWindow();
         }
-        for (int i = RAMP; i < WINDOWS; ++i) {
-            CHECK(model.runWindow() >= LEAST);
+        for (int i = WARM_UP_WINDOWS; i < WINDOWS; ++i) {
+            CHECK(model.runWindow() >= MIN_SHARE);
         }
     }
 }
 
-TEST(ManyEntries, AreNoWorseThanAFew)
+TEST(ManyEntries, ReachTheThroughputOfFewEntries)
 {
-    constexpr int RAMP = 5;
+    constexpr int WARM_UP_WINDOWS = 5;
     constexpr int WINDOWS = 20;
     constexpr double TOLERANCE = 0.03;
     Model few(16, 2);
@@ -214,8 +214,8 @@
     for (int i = 0; i < WINDOWS; ++i) {
         const double a = few.runWindow();
         const double b = many.runWindow();
-        ofFew += i < RAMP ? 0 : a;
-        ofMany += i < RAMP ? 0 : b;
+        ofFew += i < WARM_UP_WINDOWS ? 0 : a;
+        ofMany += i < WARM_UP_WINDOWS ? 0 : b;
     }
     CHECK(ofMany / ofFew > 1 - TOLERANCE);
 }
--- a/src/coordination/admission/tests/processorguardtest.cpp
+++ b/src/coordination/admission/tests/processorguardtest.cpp
@@ -17,7 +17,7 @@
     ProcessorGuard m_guard{ true };
 };
 
-TEST(ProcessorGuard, ADaemonThatKeepsUpTakesAll)
+TEST(ProcessorGuard, AdmitsAllRequestsAtALowLag)
 {
     CHECK(m_guard.admits(0ms, LOW_PRIORITY, HIGH_PRIORITY));
     CHECK(m_guard.admits(50ms, LOW_PRIORITY, HIGH_PRIORITY));
@@ -25,14 +25,14 @@
 
 // A burst brings more than the daemon's part of a processor can serve. Callers of minor rules hear
 // at once when to come back; were all taken, each would be answered when its caller has left.
-TEST(ProcessorGuard, ADaemonThatIsBehindTakesTheImportant)
+TEST(ProcessorGuard, AdmitsOnlyTheHighestPriorityAtAHighLag)
 {
     CHECK_FALSE(m_guard.admits(150ms, LOW_PRIORITY, HIGH_PRIORITY));
     CHECK(m_guard.admits(150ms, HIGH_PRIORITY, HIGH_PRIORITY));
     CHECK_FALSE(m_guard.admits(400ms, HIGH_PRIORITY, HIGH_PRIORITY));
 }
 
-TEST(ProcessorGuard, SwitchedOffItTakesAll)
+TEST(ProcessorGuard, AdmitsAllRequestsIfDisabled)
 {
     CHECK(ProcessorGuard(false).admits(5s, LOW_PRIORITY, HIGH_PRIORITY));
 }
--- a/src/coordination/admission/tests/processorloadtest.cpp
+++ b/src/coordination/admission/tests/processorloadtest.cpp
@@ -21,19 +21,19 @@
     }
 };
 
-TEST(ProcessorLoad, ADaemonThatKeepsUpHoldsNobodyBack)
+TEST(ProcessorLoad, LoadIsBelowCapacityWithoutLag)
 {
     CHECK(run(1000, 1, 0ms) < 1);
 }
 
-TEST(ProcessorLoad, ADaemonThatIsBehindIsFull)
+TEST(ProcessorLoad, LoadExceedsCapacityAtAHighLag)
 {
     CHECK(run(1000, 1, 300ms) > 1.4);
 }
 
 // What entries refuse counts as demand, or the load would fall as soon as they refuse, and they
 // would open again at once.
-TEST(ProcessorLoad, TheDemandThatEntriesRefuseCounts)
+TEST(ProcessorLoad, LoadIncludesTheDemandThatEntriesRefuse)
 {
     DOUBLES_EQUAL(4, run(1000, 0.25, 80ms), 0.2);
 }
@@ -44,13 +44,13 @@
 // 2. The daemon keeps up. Told as its own load, what was refused would hold back all rules that
 // lead
 //    here, for seconds after there was room again.
-TEST(ProcessorLoad, WhatIsRefusedForOthersIsNoLoadHere)
+TEST(ProcessorLoad, DemandRefusedForOtherServicesIsNoLoad)
 {
     CHECK(run(2000, 0.1, 0ms) < 1);
     CHECK(run(2000, 0.02, 25ms) < 1);
 }
 
-TEST(ProcessorLoad, ALoadIsForgottenWhenTheDaemonKeepsUpAgain)
+TEST(ProcessorLoad, LoadEndsAfterTheLagEnds)
 {
     CHECK(run(1000, 0.25, 200ms) > 4);
     CHECK(run(3000, 0.25, 0ms) < 1);
@@ -59,27 +59,28 @@
 // 1. A daemon can pass on 600 calls a second and is asked for 1,000: calls lie unread ever longer.
 // 2. Entries let in 1/load of what is asked. Within some seconds it is as much as can be passed on,
 //    with a lag of a tenth of a second and not of seconds, and nothing swings.
-TEST(ProcessorLoad, EntriesLetInWhatCanBePassedOn)
+TEST(ProcessorLoad, AdmissionConvergesToTheForwardingCapacity)
 {
-    constexpr double ASKED = 10;
-    constexpr double PASSED_ON = 6;
-    double waiting = 0;
+    constexpr double DEMAND_PER_STEP = 10;
+    constexpr double FORWARDED_PER_STEP = 6;
+    double unread = 0;
     double share = 1;
-    double least = 1;
-    double most = 0;
+    double minShare = 1;
+    double maxShare = 0;
     for (int i = 0; i < 2000; ++i, m_now += 10ms) {
-        waiting = std::max(0.0, waiting + ASKED * share - PASSED_ON);
-        const auto lag = std::chrono::microseconds(static_cast<int>(waiting / PASSED_ON * 10000));
+        unread = std::max(0.0, unread + DEMAND_PER_STEP * share - FORWARDED_PER_STEP);
+        const auto lag =
+            std::chrono::microseconds(static_cast<int>(unread / FORWARDED_PER_STEP * 10000));
         for (int call = 0; call < 6; ++call) {
             m_load.onArrival(m_now, DemandShare(static_cast<std::uint32_t>(share * 1000)), lag);
         }
         share = std::min(1.0, 1000.0 / m_load.load().value());
         if (i > 1000) {
-            least = std::min(least, share);
-            most = std::max(most, share);
+            minShare = std::min(minShare, share);
+            maxShare = std::max(maxShare, share);
         }
     }
-    CHECK(least > 0.45);
-    CHECK(most < 0.75);
-    CHECK(waiting / PASSED_ON * 10 < 300);
+    CHECK(minShare > 0.45);
+    CHECK(maxShare < 0.75);
+    CHECK(unread / FORWARDED_PER_STEP * 10 < 300);
 }
--- a/src/coordination/admission/tests/rootadmissiontest.cpp
+++ b/src/coordination/admission/tests/rootadmissiontest.cpp
@@ -50,7 +50,7 @@
     }
 };
 
-TEST(RootAdmission, WhatFitsIsAllLetIn)
+TEST(RootAdmission, AdmitsAllRequestsWithinCapacity)
 {
     double browsing = 0;
     double booking = 0;
@@ -62,7 +62,7 @@
 // 1. A service four hops down can take half of what is asked of it.
 // 2. The entry lets in that half: of the unimportant requests none, of the important ones all.
 //    Let in anyway, trees of both would fail there, after all services above had worked for them.
-TEST(RootAdmission, TheNarrowestServiceOfTheTreeDecidesAndTheImportantComeFirst)
+TEST(RootAdmission, BottleneckLimitsAdmissionInOrderOfPriority)
 {
     double browsing = 0;
     double booking = 0;
@@ -71,7 +71,7 @@
     CHECK(browsing < 0.1);
 }
 
-TEST(RootAdmission, WhatRemainsGoesToTheNextImportant)
+TEST(RootAdmission, RemainingCapacityGoesToTheNextPriority)
 {
     double browsing = 0;
     double booking = 0;
@@ -81,7 +81,7 @@
 }
 
 // No threshold may lock a route out: with nothing let in, nothing more is heard of the service.
-TEST(RootAdmission, AServiceOfWhichNothingIsHeardHoldsNobodyBack)
+TEST(RootAdmission, LoadWithoutNewReportsExpires)
 {
     double browsing = 0;
     double booking = 0;
@@ -95,27 +95,27 @@
 // 2. With each request goes the share that is let in, and the service works out from it what is
 //    wanted. If the requests let in stood for more than arrived, the demand would seem to grow the
 //    more the less is let in, and entries and service would swing.
-TEST(RootAdmission, WhatIsLetInStandsForWhatArrivedAlsoWhileTheShareFalls)
+TEST(RootAdmission, AdmittedRequestsRepresentTheArrivalsWhileTheShareFalls)
 {
     constexpr Duration GAP = std::chrono::milliseconds(100);
     double arrived = 0;
-    double stoodFor = 0;
+    double represented = 0;
     for (int i = 0; i < 2000; ++i, m_now += GAP) {
         // Full for two seconds, then without a load for three.
         const std::uint32_t load = i % 50 < 20 ? 5000 : 300;
         ++arrived;
         if (m_admission->admit(m_now, BROWSING)) {
-            stoodFor += 1000.0 / m_admission->admittedShare(m_now, BROWSING).value();
+            represented += 1000.0 / m_admission->admittedShare(m_now, BROWSING).value();
             m_admission->onAttemptEnd(m_now, BROWSING, makeUsage(load), true);
             m_admission->onRequestEnd(BROWSING, RootResult::Success);
         }
     }
-    CHECK(stoodFor / arrived > 0.85);
-    CHECK(stoodFor / arrived < 1.15);
+    CHECK(represented / arrived > 0.85);
+    CHECK(represented / arrived < 1.15);
 }
 
 // An inner call that was booked to the wrong request must not make its rule depend on a service.
-TEST(RootAdmission, AServiceThatIsRarelyReachedDoesNotHoldTheRuleBack)
+TEST(RootAdmission, RarelyReachedServiceDoesNotLimitTheRule)
 {
     const TreeUsage usual{ { WIDE, std::chrono::milliseconds(100), DemandLoad(300) } };
     for (int i = 0; i < 100; ++i) {
@@ -132,7 +132,7 @@
 // 2. Let in at once, the requests of all entries overrun the narrow service: no tree is whole, so
 //    nothing is learnt, and each new request meets the same.
 // 3. A few at a time are whole, and the rest hears at once when to come back.
-TEST(RootAdmission, AnUnknownRuleIsLetInAFewAtATime)
+TEST(RootAdmission, WindowLimitsRequestsOfAnUnknownRule)
 {
     int admitted = 0;
     for (int i = 0; i < 100; ++i) {
@@ -148,7 +148,7 @@
 
 // 20 daemons share a wide and a narrow service. Of a rule that is not known yet, each lets in its
 // part of the narrow one: it may lead there.
-TEST(RootAdmission, TheFirstWindowIsThePartOfTheNarrowestService)
+TEST(RootAdmission, InitialWindowIsTheShareOfTheSmallestService)
 {
     std::vector<Member> members(20);
     for (std::size_t i = 0; i < members.size(); ++i) {
@@ -164,7 +164,7 @@
 
 // A daemon that has just started knows of itself alone. It must not take all slots of its server
 // for its own part: the others, which it does not know yet, do the same.
-TEST(RootAdmission, ADaemonThatKnowsNoOthersTakesNoLargerPart)
+TEST(RootAdmission, InitialWindowAssumesAMinimumNumberOfDaemons)
 {
     std::vector<Member> members(1);
     members[0].upstreams = { UpstreamInfo{ WIDE, 160, 1000, false } };
@@ -178,7 +178,7 @@
 
 // A rule whose trees all fail is tried by one request at a time: never by none, or it would be
 // locked out for good.
-TEST(RootAdmission, AnUnknownRuleThatFailsIsStillTried)
+TEST(RootAdmission, FailingUnknownRuleKeepsAWindowOfOne)
 {
     for (int i = 0; i < 50; ++i) {
         CHECK(m_admission->admit(m_now, BROWSING));
@@ -191,7 +191,7 @@
 }
 
 // Callers who leave say nothing of the services: their leaving must not close the window.
-TEST(RootAdmission, CallersThatLeaveDoNotNarrowAnUnknownRule)
+TEST(RootAdmission, CallersThatLeaveDoNotReduceTheWindow)
 {
     for (int i = 0; i < 50; ++i) {
         CHECK(m_admission->admit(m_now, BROWSING));
@@ -204,7 +204,7 @@
 // 1. All hosts come back at once. For a second no daemon knows a server of the others.
 // 2. Requests that end for want of one must not close the window: when the servers are found, all
 //    are idle, and one request at a time would be let in.
-TEST(RootAdmission, WhatMetNoServerDoesNotNarrowAnUnknownRule)
+TEST(RootAdmission, MissingServersDoNotReduceTheWindow)
 {
     const Verdict noServer{ Outcome::NotRun, Reason::NoServer, Duration(0) };
     const Verdict notReached{ Outcome::NotRun, Reason::ConnectFailed, Duration(0) };
@@ -216,7 +216,7 @@
     CHECK(m_admission->admit(m_now, BROWSING));
 }
 
-TEST(RootAdmission, TheEndOfARequestTellsOfTheServicesOnlyIfTheyWereAsked)
+TEST(RootAdmission, ResultCountsOnlyIfAServerWasReached)
 {
     const auto endOf = [](Outcome outcome, Reason reason, std::uint16_t status) {
         return rootResultOf(Verdict{ outcome, reason, Duration(0) }, status);
@@ -253,7 +253,7 @@
 
 // If entries that refuse more made the demand look smaller, they would open again at once, and the
 // gate would be overrun and empty by turns.
-TEST(DemandEstimate, IsTheSameWhateverEntriesLetIn)
+TEST(DemandEstimate, IsIndependentOfTheAdmittedShare)
 {
     const double whole = run(1000).value();
     DOUBLES_EQUAL(10 / 19.0 * 1000, whole, 60);
@@ -262,7 +262,7 @@
 }
 
 // Trees that fail half way make fewer calls: a gate that is full sees less than the demand.
-TEST(DemandEstimate, AGateThatStaysFullAsksForLess)
+TEST(DemandEstimate, OccupiedGateReportsAHigherLoad)
 {
     for (int i = 0; i < 400; ++i) {
         m_now += std::chrono::milliseconds(5);
@@ -276,7 +276,7 @@
 // 2. One clump fills its queue for a moment. What entries let in must not fall to half for it:
 // calls
 //    that were refused come back together and make the next clump.
-TEST(DemandEstimate, AShortQueueRaisesTheDemandALittle)
+TEST(DemandEstimate, ShortQueueRaisesTheEstimateSlightly)
 {
     const double before = run(1000).value();
     for (int i = 0; i < 100; ++i) {
@@ -290,7 +290,7 @@
 
 // A gate that works at just what it can take is right: the demand is not raised until a queue
 // stands there.
-TEST(DemandEstimate, AGateAtItsLimitWithoutQueueIsRight)
+TEST(DemandEstimate, FullGateWithoutQueueIsNotCorrected)
 {
     run(1000);
     const double before = m_estimate.load(m_now, 20).value();
--- a/src/coordination/upstreams/tests/upstreamregistrytest.cpp
+++ b/src/coordination/upstreams/tests/upstreamregistrytest.cpp
@@ -49,7 +49,7 @@
     }
 };
 
-TEST(UpstreamRegistry, ANewRunIsCheckedBeforeItTakesWork)
+TEST(UpstreamRegistry, NewRunIsCheckedBeforeItReceivesCalls)
 {
     const UpstreamActions actions = m_registry->onReport(m_now, makeReport("a", 1));
     CHECK_EQUAL(1, actions.size());
@@ -62,7 +62,7 @@
 // 1. A daemon acknowledges that its server drains, and is killed at once.
 // 2. A late report from before, `ready`, reaches the restarted daemon, which knows nothing.
 // 3. The server itself says that it leaves. Without the check callers would be sent to it again.
-TEST(UpstreamRegistry, ALateReportDoesNotReviveADrainingServerAfterARestart)
+TEST(UpstreamRegistry, DelayedReportDoesNotReactivateADrainingServerAfterARestart)
 {
     m_registry->onReport(m_now, makeReport("a", 1));
     const UpstreamHealth leaving{ false, false, UpstreamId("a") };
@@ -73,14 +73,14 @@
 // 1. A server crashes, and its address is given to another one.
 // 2. A report of the first, delayed by a partition, arrives. The other answers the health check.
 // 3. Nothing may be sent there under the first one's name, then or later.
-TEST(UpstreamRegistry, AReportWhoseAddressHasAnotherServerIsNotBelieved)
+TEST(UpstreamRegistry, ReportIsRejectedIfAnotherServerHasItsAddress)
 {
     m_registry->onReport(m_now, makeReport("a", 1));
     CHECK(m_registry->onHealth(m_now, UpstreamId("a"), healthy("b")).empty());
     CHECK(m_registry->onReport(m_now, makeReport("a", 2)).empty());
 }
 
-TEST(UpstreamRegistry, DrainingStopsAtOnceAndForGood)
+TEST(UpstreamRegistry, DrainingStopsImmediatelyAndPermanently)
 {
     serve("a");
     const auto stopped = m_registry->onReport(m_now, makeReport("a", 2, UpstreamPhase::Draining));
@@ -90,7 +90,7 @@
 }
 
 // A server that is taken away without notice says goodbye first and serves on for a while.
-TEST(UpstreamRegistry, AGoodbyeWithoutDrainingStopsToo)
+TEST(UpstreamRegistry, GoodbyeWithoutDrainingStopsTheRun)
 {
     serve("a");
     const auto stopped = m_registry->onReport(m_now, makeReport("a", 0, UpstreamPhase::Gone));
@@ -99,7 +99,7 @@
     CHECK(m_registry->onReport(m_now, makeReport("a", 9)).empty());
 }
 
-TEST(UpstreamRegistry, AnOlderReportChangesNothing)
+TEST(UpstreamRegistry, StaleReportIsIgnored)
 {
     serve("a");
     UpstreamReport late = makeReport("a", 1);
@@ -111,7 +111,7 @@
     CHECK_EQUAL(99, changed[0].report.slots);
 }
 
-TEST(UpstreamRegistry, ARunThatConfirmedItselfEndsTheOneBeforeItAtItsAddress)
+TEST(UpstreamRegistry, ConfirmedRunEndsTheEarlierOneAtItsAddress)
 {
     serve("a");
     m_registry->onReport(m_now, makeReport("b", 1));
@@ -123,7 +123,7 @@
 }
 
 // Reports may be seconds late: silenceTimeout alone is no proof, and the server answers for itself.
-TEST(UpstreamRegistry, ASilentServerIsAskedAndKeptIfItAnswers)
+TEST(UpstreamRegistry, SilentServerIsCheckedAndKeptIfItAnswers)
 {
     serve("a");
     m_now = m_registry->nextTick();
@@ -134,7 +134,7 @@
     CHECK(m_registry->nextTick() > m_now + std::chrono::seconds(1));
 }
 
-TEST(UpstreamRegistry, AServerThatAnswersNoCheckIsStopped)
+TEST(UpstreamRegistry, ServerThatAnswersNoCheckIsStopped)
 {
     serve("a");
     CHECK_EQUAL(1, m_registry->onContactFailure(m_now, UpstreamId("a")).size());
@@ -153,7 +153,7 @@
 //    from one again.
 // 2. Taken for old ones, they would leave it without work for good, and callers of a narrow service
 //    would miss its slots.
-TEST(UpstreamRegistry, AServerThatStartedAgainUnderItsNameGetsWork)
+TEST(UpstreamRegistry, RestartedServerWithTheSameIdReceivesCalls)
 {
     m_registry->onReport(m_now, startedAt(1000, makeReport("a", 100)));
     m_registry->onHealth(m_now, UpstreamId("a"), healthy("a"));
@@ -166,7 +166,7 @@
     CHECK(confirmed.back().verb == UpstreamVerb::Serve);
 }
 
-TEST(UpstreamRegistry, AServerThatSaidGoodbyeMayStartAgainUnderItsName)
+TEST(UpstreamRegistry, ServerMayRestartWithTheSameIdAfterAGoodbye)
 {
     m_registry->onReport(m_now, startedAt(1000, makeReport("a", 100)));
     m_registry->onHealth(m_now, UpstreamId("a"), healthy("a"));
@@ -179,7 +179,7 @@
 
 // A report that a partition kept back, `ready`, `draining` or a goodbye, says nothing of the run
 // that followed: it must neither revive the old one nor end the new one.
-TEST(UpstreamRegistry, LateReportsOfTheRunBeforeChangeNothing)
+TEST(UpstreamRegistry, DelayedReportsOfAnEarlierRunAreIgnored)
 {
     m_registry->onReport(m_now, startedAt(2000, makeReport("a", 1)));
     m_registry->onHealth(m_now, UpstreamId("a"), healthy("a"));
@@ -197,13 +197,13 @@
 
 // A report of another writer names a sound server under a service that it does not run. Its calls
 // must not go there.
-TEST(UpstreamRegistry, ARunDoesNotChangeItsService)
+TEST(UpstreamRegistry, ReportWithAnotherServiceIsIgnored)
 {
     serve("a");
-    UpstreamReport odd = makeReport("a", 2);
-    odd.service = ServiceName("elsewhere");
-    odd.slots = 11;
-    CHECK(m_registry->onReport(m_now, odd).empty());
+    UpstreamReport foreign = makeReport("a", 2);
+    foreign.service = ServiceName("elsewhere");
+    foreign.slots = 11;
+    CHECK(m_registry->onReport(m_now, foreign).empty());
     CHECK(m_registry->onReport(m_now, makeReport("a", 3)).empty());
     UpstreamReport larger = makeReport("a", 4);
     larger.slots = 12;
