--- a/src/coordination/admission/tests/concurrencylimittest.cpp
+++ b/src/coordination/admission/tests/concurrencylimittest.cpp
@@ -11,15 +11,17 @@
 namespace {
 
 constexpr std::uint32_t CEILING = 80;
+/// In µs.
 constexpr double SERVICE_TIME = 20000;
 
-/// A saturated upstream. Calls slow each other down beyond `knee`, unless it is 0.
+/// Service time of a saturated upstream, in µs. Calls slow each other down beyond `knee`, unless it
+/// is 0.
 double serviceTimeAt(double concurrency, double knee)
 {
     return knee > 0 ? SERVICE_TIME * (1 + std::pow(concurrency / knee, 2)) : SERVICE_TIME;
 }
 
-/// Keeps the limit saturated for a number of calls; returns the mean limit over the last half.
+/// Keeps the limit saturated for a number of calls; returns the mean limit over the second half.
 double saturate(IConcurrencyLimit &limit, TimePoint &now, double knee, double slowdown, int calls)
 {
     const int warmUp = calls / 2;
@@ -33,7 +35,7 @@
     return sum / (calls - warmUp);
 }
 
-/// A gate that ran at low load, so that it knows how fast the upstream can be.
+/// Returns a limit after a phase of low load, so that it knows the fastest service time.
 template <typename Limit> Limit makeWarm(TimePoint &now)
 {
     Limit limit(1.0, 0.1);
@@ -57,7 +59,7 @@
     auto probing = makeWarm<ProbingLimit>(now);
     CHECK(saturate(probing, now, 0, 5, 20000) > 0.95 * CEILING);
 
-    // The gradient alone takes a slower upstream for one with a queue inside.
+    // The gradient limit takes a slower upstream for one that queues internally.
     auto gradient = makeWarm<GradientLimit>(now);
     CHECK(saturate(gradient, now, 0, 5, 400) < 0.8 * CEILING);
 }
--- a/src/coordination/admission/tests/fairsharestest.cpp
+++ b/src/coordination/admission/tests/fairsharestest.cpp
@@ -20,7 +20,7 @@
     return sum;
 }
 
-/// Requests served a second.
+/// Requests served per second.
 double served(const std::vector<RuleDemand> &demands, const std::vector<double> &shares)
 {
     double sum = 0;
@@ -34,7 +34,7 @@
 
 TEST_GROUP(FairShares)
 {
-    /// 446 cheap requests a second and 101 dear ones.
+    /// 446 cheap and 101 expensive requests per second.
     const std::vector<RuleDemand> m_demands{ { 446 * CHEAP, CHEAP },
                                              { 101 * EXPENSIVE, EXPENSIVE } };
     const double m_totalDemand = 446 * CHEAP + 101 * EXPENSIVE;
@@ -47,8 +47,9 @@
     }
 }
 
-// A narrow service can take two thirds of what two rules ask. More callers are served than with
-// equal shares, all the capacity is used, and the dear rule gets two thirds of the other's share.
+// A bottleneck can take two thirds of the demand of two rules. More callers are served than with
+// equal shares, the whole capacity is used, and the expensive rule gets two thirds of the other's
+// share.
 TEST(FairShares, CheapRequestsGetLargerSharesThanExpensiveOnes)
 {
     const double capacity = m_totalDemand * 2 / 3;
@@ -59,7 +60,7 @@
     DOUBLES_EQUAL(std::sqrt(CHEAP / EXPENSIVE), shares[1] / shares[0], 1e-9);
 }
 
-// However little capacity there is, neither rule is locked out.
+// No rule is locked out, however small the capacity.
 TEST(FairShares, NoRuleIsStarved)
 {
     for (const double part : { 0.5, 0.2, 0.05 }) {
@@ -69,7 +70,7 @@
     }
 }
 
-// A rule that gets all it asks for leaves the rest to the others.
+// A rule whose demand is fully met leaves the rest of the capacity to the others.
 TEST(FairShares, UnusedShareOfACheapRuleGoesToTheOthers)
 {
     const std::vector<RuleDemand> demands{ { 1e6, 1e3 }, { 10e6, 100e3 }, { 10e6, 200e3 } };
--- a/src/coordination/admission/tests/gatetest.cpp
+++ b/src/coordination/admission/tests/gatetest.cpp
@@ -31,7 +31,7 @@
     return makeRank(Priority(static_cast<std::uint8_t>(priority)), Depth(0), RootId(root));
 }
 
-/// Drives a gate with random events and keeps a model of what it may do.
+/// Drives a gate with random events and checks its actions against a model.
 class RandomRun
 {
 public:
@@ -48,7 +48,7 @@
             m_now += Duration(m_random.below(4000));
             step();
         }
-        // All that still waits ends at the latest with its deadline.
+        // Queued calls end with their deadline at the latest.
         m_now += 1h;
         apply(m_gate->tick(m_now));
         while (!m_running.empty()) {
@@ -152,7 +152,7 @@
         return gate.offer(now, { CallId(lastId), rankOf(priority, lastId), now + wait });
     }
 
-    /// Offers calls until the last one waits, and returns its id.
+    /// Offers calls until the last one is queued, and returns its id.
     CallId fill(IGate & gate, int priority, Duration wait = 10s)
     {
         while (!offer(gate, priority, wait).empty()) { }
@@ -178,7 +178,7 @@
         return has(actions, GateVerb::Refuse, CallId(lastId));
     }
 
-    /// Offers 25 times what the gate can do, for two seconds.
+    /// Offers 25 times the capacity of the gate for two seconds.
     void overload(IGate & gate)
     {
         std::map<TimePoint, CallId> ends;
@@ -233,7 +233,7 @@
     });
     CHECK(holds);
 
-    // The same check fails without the order by rank.
+    // The same check fails if the queue is not ordered by rank.
     GateOptions fifo = optionsFor(8);
     fifo.order = QueueOrder::Fifo;
     RandomRun run(fifo, 1);
@@ -255,9 +255,9 @@
     CHECK(isRefused(*gate, 10));
 }
 
-// The caller gets its refusal at once instead of an answer that comes too late. The call waits
-// behind others; when its remaining time falls below the usual service time it leaves the queue,
-// so that the slot goes to a call that can still be answered.
+// A queued call leaves the queue when its remaining time falls below the mean service time: its
+// caller is refused immediately instead of getting a late answer, and the slot goes to a call that
+// can still complete in time.
 TEST(Gate, DoomedCallIsRemovedFromTheQueue)
 {
     for (const bool isDropped : { true, false }) {
@@ -275,8 +275,8 @@
     }
 }
 
-// After a slow spell the mean service time is longer than any caller waits. If it alone decided,
-// all calls would be refused as doomed, none would run, and the mean would never fall again.
+// After a period of slow calls the mean service time exceeds every deadline. If it alone decided,
+// all calls would be refused as doomed, none would run, and the mean would never recover.
 TEST(Gate, IdleGateAdmitsCallsRegardlessOfItsMeanServiceTime)
 {
     const auto gate = makeGate(optionsFor(4));
@@ -288,8 +288,8 @@
     CHECK(isRefused(*gate, 10, 100ms));
 }
 
-// A caller's call timed out, but the upstream may still work on it. Were the slot reused at once,
-// calls would queue up inside of the upstream.
+// The upstream may still work on a call that timed out. If its slot were reused immediately, calls
+// would queue inside the upstream.
 TEST(Gate, TimedOutCallKeepsItsSlotForABoundedTime)
 {
     for (const double hold : { 1.0, 0.0 }) {
@@ -334,8 +334,8 @@
               queued));
 }
 
-// Under overload entries refuse all calls below the floor, so the gate sees no more of them. It
-// must open by itself when the overload is over, or these callers would be refused for good.
+// During an overload entry daemons refuse all calls below the floor, so the gate does not see them.
+// Unless the floor falls by itself afterwards, these calls are refused for good.
 TEST(Gate, FloorReturnsToZeroAfterAnOverload)
 {
     const auto gate = makeGate(optionsFor(8));
@@ -344,7 +344,7 @@
 
     const GateOptions defaults;
     const TimePoint bound = now + (defaults.floorQuietWindows + 2) * defaults.floorWindow;
-    // Without ticks it stays: the check below would fail.
+    // Without ticks the floor stays, so the check below is not trivially true.
     CHECK(gate->load(bound).floor > Rank());
     while (gate->nextTick() < bound) {
         now = std::max(now, gate->nextTick());
--- a/src/coordination/admission/tests/lossbasedadmissiontest.cpp
+++ b/src/coordination/admission/tests/lossbasedadmissiontest.cpp
@@ -34,7 +34,8 @@
         m_lossAdmission = std::make_unique<LossBasedAdmission>(m_options);
     }
 
-    /// Two important requests with four calls and four minor ones with eight arrive every 10 ms.
+    /// Every 10 ms two requests of high priority with four calls and four of low priority with
+    /// eight calls arrive.
     void run(Duration time, std::uint32_t thousandths)
     {
         for (const TimePoint end = m_now + time; m_now < end; m_now += 10ms) {
@@ -57,7 +58,7 @@
     DOUBLES_EQUAL(1, m_lowPriorityShare, 0);
 }
 
-// What a fifth of repeats can mend, one call in ten, is no reason to refuse anybody.
+// A retry budget of 20 % covers a loss of one call in ten, so no request is refused.
 TEST(LossBasedAdmission, AdmitsAllRequestsIfRetriesCoverTheLoss)
 {
     run(2s, 100);
@@ -65,11 +66,11 @@
     DOUBLES_EQUAL(1, m_lowPriorityShare, 0);
 }
 
-// 1. A service four hops down turns away 45 % of its calls by chance.
-// 2. Of the trees with eight calls there one in a hundred would end whole; each needs six repeats,
-//    and there is a fifth of one for each call.
-// 3. The important trees, with four calls, are mended; of the minor ones hardly any is begun, and
-//    their callers hear so at once.
+// 1. A service four hops down refuses 45 % of its calls at random.
+// 2. Of the call trees with eight calls to it one in a hundred would complete; each needs six
+//    retries, and the budget is 0.2 per call.
+// 3. Retries complete the call trees of high priority, with four calls; of those of low priority
+//    hardly any is started, and their callers are refused immediately.
 TEST(LossBasedAdmission, PrefersHighPriorityIfRetriesCannotCoverTheLoss)
 {
     run(2s, 450);
@@ -78,8 +79,8 @@
     CHECK(m_lowPriorityShare > 0);
 }
 
-// A tree with a single call there ends whole more often than not. Callers get more of it than of a
-// refusal.
+// A call tree with a single call to the service completes in more than half of the cases, which is
+// better for its caller than a refusal.
 TEST(LossBasedAdmission, AdmitsTreesThatLikelyCompleteWithoutRetries)
 {
     run(2s, 450);
@@ -93,7 +94,8 @@
     DOUBLES_EQUAL(1, m_lowPriorityShare, 0);
 }
 
-// A service of which nothing more is heard, since nobody is let in, must not lock its rules out.
+// Without admitted requests no new reports arrive; the loss must expire, or the rule would be
+// locked out.
 TEST(LossBasedAdmission, LossWithoutNewReportsExpires)
 {
     run(2s, 900);
@@ -116,7 +118,8 @@
     const RootTarget m_viewing{ RuleName("view"), ServiceName("wide"), LOW_PRIORITY };
     const RootTarget m_pledging{ RuleName("pledge"), ServiceName("wide"), HIGH_PRIORITY };
 
-    /// 300 viewings and 100 pledges a second, for two seconds; of each, those let in.
+    /// Sends 300 viewings and 100 pledges per second for two seconds; returns the number of each
+    /// that is admitted.
     void run(IRootAdmission & admission, std::uint32_t thousandths, int &viewing, int &pledging)
     {
         viewing = 0;
@@ -142,8 +145,8 @@
     }
 };
 
-// What is not begun is no demand either: the load that the service tells concerns the others, and
-// they must not be held back for trees that nobody begins.
+// Requests that are not started must not count as demand: the load that the service reports is
+// caused by the other rules, which must not be limited because of them.
 TEST(RootAdmissionWithLoss, RefusesRulesWhoseTreesCannotCompleteWithoutLimitingOthers)
 {
     RootAdmissionOptions options;
--- a/src/coordination/admission/tests/manyentriestest.cpp
+++ b/src/coordination/admission/tests/manyentriestest.cpp
@@ -25,13 +25,13 @@
 constexpr std::uint32_t CALLS_IN_BATCH = 4;
 constexpr std::uint32_t BATCHES = 2;
 constexpr Duration CALL_TIME = milliseconds(61);
-/// What a tree does before, between and after its calls of the narrow service.
+/// Work of a call tree before, between and after its calls to the bottleneck service.
 constexpr Duration OTHER_WORK = milliseconds(150);
 constexpr Duration CALL_TIMEOUT = milliseconds(700);
 constexpr Duration WINDOW = seconds(2);
 
-/// Trees that lead to a narrow service with a few gates, from entries that each see but a part of
-/// them. A caller that is refused comes back once.
+/// Call trees with calls to a bottleneck service behind a few gates, admitted by entry daemons that
+/// each see only a part of the requests. A refused caller retries once.
 class Model
 {
 public:
@@ -52,14 +52,14 @@
         scheduleArrival();
     }
 
-    /// Trees a second.
+    /// Call trees per second.
     static double capacity()
     {
         const double calls = GATES * SLOTS / toSeconds(CALL_TIME);
         return calls / (BATCHES * CALLS_IN_BATCH);
     }
 
-    /// Returns the whole trees of the next window, as a share of what fits.
+    /// Returns the call trees that completed in the next window, as a share of the capacity.
     double runWindow()
     {
         m_completed = 0;
@@ -179,13 +179,13 @@
 
 TEST_GROUP(ManyEntries){};
 
-// 1. Callers ask for one and a half times, then for three times, of what a narrow service can take.
-//    Their requests come to 95 entries, of which each sees a few in a second.
-// 2. An entry that counts reports believes a load that is seconds old. All let in too much, and
-//    trees fail half way; then all let in too little, long after there is room again.
-// 3. For eight seconds callers get a quarter less than the service can give: 0.72 of it in the
-// worst
-//    two seconds with loads by the count of reports, 0.86 with loads by their age.
+// 1. The demand is up to three times the capacity of a bottleneck service. The requests arrive at
+//    95 entry daemons, each of which sees a few per second.
+// 2. An entry daemon that weights reports only by their number uses a load that is seconds old. All
+//    admit too much, and call trees fail; then all admit too little, long after there is capacity
+//    again.
+// 3. For eight seconds callers get a quarter less than the capacity: 0.72 of it in the worst two
+//    seconds if loads are weighted by the number of reports, 0.86 if weighted by their age.
 TEST(ManyEntries, KeepABottleneckServiceSteadilyUtilized)
 {
     constexpr int WARM_UP_WINDOWS = 3;
--- a/src/coordination/admission/tests/processorguardtest.cpp
+++ b/src/coordination/admission/tests/processorguardtest.cpp
@@ -23,8 +23,8 @@
     CHECK(m_guard.admits(50ms, LOW_PRIORITY, HIGH_PRIORITY));
 }
 
-// A burst brings more than the daemon's part of a processor can serve. Callers of minor rules hear
-// at once when to come back; were all taken, each would be answered when its caller has left.
+// During a burst callers of low-priority rules learn immediately when to retry. If all requests
+// were admitted, each would be answered after its caller has left.
 TEST(ProcessorGuard, AdmitsOnlyTheHighestPriorityAtAHighLag)
 {
     CHECK_FALSE(m_guard.admits(150ms, LOW_PRIORITY, HIGH_PRIORITY));
--- a/src/coordination/admission/tests/processorloadtest.cpp
+++ b/src/coordination/admission/tests/processorloadtest.cpp
@@ -31,19 +31,17 @@
     CHECK(run(1000, 1, 300ms) > 1.4);
 }
 
-// What entries refuse counts as demand, or the load would fall as soon as they refuse, and they
-// would open again at once.
+// Demand that entry daemons refuse counts; otherwise the load would fall as soon as they refuse,
+// and they would immediately admit more again.
 TEST(ProcessorLoad, LoadIncludesTheDemandThatEntriesRefuse)
 {
     DOUBLES_EQUAL(4, run(1000, 0.25, 80ms), 0.2);
 }
 
-// 1. A narrow service elsewhere has room for a tenth, and entries refuse the rest, or they have
-// just
-//    started and let in a few requests at a time.
-// 2. The daemon keeps up. Told as its own load, what was refused would hold back all rules that
-// lead
-//    here, for seconds after there was room again.
+// 1. A bottleneck service elsewhere has capacity for a tenth of the demand, or entry daemons have
+//    just started and admit a few requests at a time; they refuse the rest.
+// 2. The daemon keeps up. If it reported the refused demand as its own load, all rules that lead
+//    here would be limited for seconds after there is capacity again.
 TEST(ProcessorLoad, DemandRefusedForOtherServicesIsNoLoad)
 {
     CHECK(run(2000, 0.1, 0ms) < 1);
@@ -56,9 +54,9 @@
     CHECK(run(3000, 0.25, 0ms) < 1);
 }
 
-// 1. A daemon can pass on 600 calls a second and is asked for 1,000: calls lie unread ever longer.
-// 2. Entries let in 1/load of what is asked. Within some seconds it is as much as can be passed on,
-//    with a lag of a tenth of a second and not of seconds, and nothing swings.
+// 1. A daemon that can forward 600 calls per second gets 1,000; the backlog of unread calls grows.
+// 2. Entry daemons admit 1 / load of the demand. Within seconds this matches the forwarding
+//    capacity, with a lag of about 0.1 s and without oscillation.
 TEST(ProcessorLoad, AdmissionConvergesToTheForwardingCapacity)
 {
     constexpr double DEMAND_PER_STEP = 10;
--- a/src/coordination/admission/tests/rootadmissiontest.cpp
+++ b/src/coordination/admission/tests/rootadmissiontest.cpp
@@ -26,7 +26,8 @@
     TimePoint m_now{ std::chrono::seconds(10) };
     std::unique_ptr<IRootAdmission> m_admission = makeRootAdmission();
 
-    /// Both rules ask equally often for `seconds`; the share of each that is let in at the end.
+    /// Both rules send requests at the same rate for `seconds`; returns the admitted share of each
+    /// in the last second.
     void run(int seconds, std::uint32_t narrowLoad, double &browsing, double &booking)
     {
         int let[2] = { 0, 0 };
@@ -59,9 +60,9 @@
     CHECK(booking > 0.95);
 }
 
-// 1. A service four hops down can take half of what is asked of it.
-// 2. The entry lets in that half: of the unimportant requests none, of the important ones all.
-//    Let in anyway, trees of both would fail there, after all services above had worked for them.
+// 1. A service four hops down can take half of the demand.
+// 2. The entry daemon admits that half: all requests of high priority and none of low priority.
+//    Otherwise call trees of both would fail there, after all services above have worked for them.
 TEST(RootAdmission, BottleneckLimitsAdmissionInOrderOfPriority)
 {
     double browsing = 0;
@@ -80,7 +81,7 @@
     DOUBLES_EQUAL(0.5, browsing, 0.1);
 }
 
-// No threshold may lock a route out: with nothing let in, nothing more is heard of the service.
+// A rule must not be locked out for good: while nothing is admitted, no new load is reported.
 TEST(RootAdmission, LoadWithoutNewReportsExpires)
 {
     double browsing = 0;
@@ -91,17 +92,17 @@
     CHECK(m_admission->admit(m_now, BROWSING));
 }
 
-// 1. A service is full for two seconds and has room for three, again and again.
-// 2. With each request goes the share that is let in, and the service works out from it what is
-//    wanted. If the requests let in stood for more than arrived, the demand would seem to grow the
-//    more the less is let in, and entries and service would swing.
+// 1. A service is full for two seconds and idle for three, repeatedly.
+// 2. Each request carries the admitted share, from which the service computes the demand. If
+//    admitted requests represented more than arrived, the demand would appear to grow while less is
+//    admitted, and entry daemons and service would oscillate.
 TEST(RootAdmission, AdmittedRequestsRepresentTheArrivalsWhileTheShareFalls)
 {
     constexpr Duration GAP = std::chrono::milliseconds(100);
     double arrived = 0;
     double represented = 0;
     for (int i = 0; i < 2000; ++i, m_now += GAP) {
-        // Full for two seconds, then without a load for three.
+        // Full for two seconds, then lightly loaded for three.
         const std::uint32_t load = i % 50 < 20 ? 5000 : 300;
         ++arrived;
         if (m_admission->admit(m_now, BROWSING)) {
@@ -114,7 +115,7 @@
     CHECK(represented / arrived < 1.15);
 }
 
-// An inner call that was booked to the wrong request must not make its rule depend on a service.
+// A call that was attributed to the wrong request must not make its rule depend on a service.
 TEST(RootAdmission, RarelyReachedServiceDoesNotLimitTheRule)
 {
     const TreeUsage usual{ { WIDE, std::chrono::milliseconds(100), DemandLoad(300) } };
@@ -126,12 +127,11 @@
     CHECK(m_admission->admit(m_now, BROWSING));
 }
 
-// 1. All hosts lose power. When they are back, no entry knows what a tree costs, and the servers
-// are
-//    still slow.
-// 2. Let in at once, the requests of all entries overrun the narrow service: no tree is whole, so
-//    nothing is learnt, and each new request meets the same.
-// 3. A few at a time are whole, and the rest hears at once when to come back.
+// 1. After a power failure no entry daemon knows the cost of a call tree, and the servers are still
+//    slow.
+// 2. If all requests were admitted, they would overload the bottleneck service: no call tree
+//    completes, no cost is learned, and new requests fail in the same way.
+// 3. A few requests at a time complete, and the others are refused immediately with a retry delay.
 TEST(RootAdmission, WindowLimitsRequestsOfAnUnknownRule)
 {
     int admitted = 0;
@@ -146,8 +146,8 @@
     CHECK_FALSE(m_admission->admit(m_now, BROWSING));
 }
 
-// 20 daemons share a wide and a narrow service. Of a rule that is not known yet, each lets in its
-// part of the narrow one: it may lead there.
+// 20 daemons share a large and a small service. Each admits its share of the small one for an
+// unknown rule, since the rule may lead there.
 TEST(RootAdmission, InitialWindowIsTheShareOfTheSmallestService)
 {
     std::vector<Member> members(20);
@@ -162,8 +162,8 @@
     CHECK_EQUAL(5, admitted);
 }
 
-// A daemon that has just started knows of itself alone. It must not take all slots of its server
-// for its own part: the others, which it does not know yet, do the same.
+// A daemon that has just started knows only itself. It must not claim all slots of its server, as
+// the daemons that it has not discovered yet do the same.
 TEST(RootAdmission, InitialWindowAssumesAMinimumNumberOfDaemons)
 {
     std::vector<Member> members(1);
@@ -176,7 +176,7 @@
     CHECK_EQUAL(10, admitted);
 }
 
-// A rule whose trees all fail is tried by one request at a time: never by none, or it would be
+// A rule whose call trees all fail is still tried with one request at a time; otherwise it would be
 // locked out for good.
 TEST(RootAdmission, FailingUnknownRuleKeepsAWindowOfOne)
 {
@@ -190,7 +190,7 @@
     }
 }
 
-// Callers who leave say nothing of the services: their leaving must not close the window.
+// Callers that leave are no sign of overload and must not reduce the window.
 TEST(RootAdmission, CallersThatLeaveDoNotReduceTheWindow)
 {
     for (int i = 0; i < 50; ++i) {
@@ -201,9 +201,9 @@
     }
 }
 
-// 1. All hosts come back at once. For a second no daemon knows a server of the others.
-// 2. Requests that end for want of one must not close the window: when the servers are found, all
-//    are idle, and one request at a time would be let in.
+// 1. All hosts start at once. For a second no daemon knows the servers of the others.
+// 2. Requests that end for lack of a server must not reduce the window; otherwise one request at a
+//    time would be admitted once the servers are found, although all are idle.
 TEST(RootAdmission, MissingServersDoNotReduceTheWindow)
 {
     const Verdict noServer{ Outcome::NotRun, Reason::NoServer, Duration(0) };
@@ -235,8 +235,8 @@
     TimePoint m_now{ std::chrono::seconds(10) };
     DemandEstimate m_estimate{ DemandEstimateOptions() };
 
-    /// 200 requests a second are wanted, of 50 ms each, of 20 slots; `admittedShare` thousandths
-    /// come.
+    /// A demand of 200 requests per second of 50 ms each for 20 slots, of which `admittedShare`
+    /// thousandths arrive.
     DemandLoad run(std::uint32_t admittedShare)
     {
         for (int i = 0; i < 1000; ++i) {
@@ -251,8 +251,8 @@
     }
 };
 
-// If entries that refuse more made the demand look smaller, they would open again at once, and the
-// gate would be overrun and empty by turns.
+// If refusing more reduced the estimate, entry daemons would immediately admit more again, and the
+// gate would alternate between overloaded and empty.
 TEST(DemandEstimate, IsIndependentOfTheAdmittedShare)
 {
     const double whole = run(1000).value();
@@ -261,7 +261,7 @@
     DOUBLES_EQUAL(whole, run(100).value(), 90);
 }
 
-// Trees that fail half way make fewer calls: a gate that is full sees less than the demand.
+// Call trees that fail early make fewer calls, so a full gate sees less than the demand.
 TEST(DemandEstimate, OccupiedGateReportsAHigherLoad)
 {
     for (int i = 0; i < 400; ++i) {
@@ -272,10 +272,9 @@
     CHECK(m_estimate.load(m_now, 20) > FULL_LOAD);
 }
 
-// 1. A gate can take nine tenths more than it is asked for by chance calls that come in clumps.
-// 2. One clump fills its queue for a moment. What entries let in must not fall to half for it:
-// calls
-//    that were refused come back together and make the next clump.
+// 1. Calls arrive in bursts at a gate with a capacity of 1.9 times the demand.
+// 2. A burst briefly fills the queue. Entry daemons must not halve admission because of it: refused
+//    calls return together and form the next burst.
 TEST(DemandEstimate, ShortQueueRaisesTheEstimateSlightly)
 {
     const double before = run(1000).value();
@@ -288,8 +287,7 @@
     CHECK(m_estimate.load(m_now, 20).value() < 1.3 * before);
 }
 
-// A gate that works at just what it can take is right: the demand is not raised until a queue
-// stands there.
+// At full occupancy without a queue the estimate is correct and is not raised.
 TEST(DemandEstimate, FullGateWithoutQueueIsNotCorrected)
 {
     run(1000);
--- a/src/coordination/upstreams/tests/upstreamregistrytest.cpp
+++ b/src/coordination/upstreams/tests/upstreamregistrytest.cpp
@@ -59,9 +59,10 @@
     CHECK(confirmed[0].verb == UpstreamVerb::Serve);
 }
 
-// 1. A daemon acknowledges that its server drains, and is killed at once.
-// 2. A late report from before, `ready`, reaches the restarted daemon, which knows nothing.
-// 3. The server itself says that it leaves. Without the check callers would be sent to it again.
+// 1. A daemon acknowledges that its server is draining, and is killed immediately.
+// 2. A delayed `ready` report reaches the restarted daemon, which has lost that state.
+// 3. The health check shows that the server is shutting down. Without it callers would be sent
+//    there again.
 TEST(UpstreamRegistry, DelayedReportDoesNotReactivateADrainingServerAfterARestart)
 {
     m_registry->onReport(m_now, makeReport("a", 1));
@@ -70,9 +71,10 @@
     CHECK(m_registry->nextTick() > m_now);
 }
 
-// 1. A server crashes, and its address is given to another one.
-// 2. A report of the first, delayed by a partition, arrives. The other answers the health check.
-// 3. Nothing may be sent there under the first one's name, then or later.
+// 1. A server crashes, and another server gets its address.
+// 2. A report of the first server, delayed by a network partition, arrives. The other server
+//    answers the health check.
+// 3. No call may be sent there under the id of the first server, then or later.
 TEST(UpstreamRegistry, ReportIsRejectedIfAnotherServerHasItsAddress)
 {
     m_registry->onReport(m_now, makeReport("a", 1));
@@ -89,7 +91,8 @@
     CHECK(m_registry->onReport(m_now, makeReport("a", 3)).empty());
 }
 
-// A server that is taken away without notice says goodbye first and serves on for a while.
+// A server that is removed without notice sends its goodbye first and continues to serve for a
+// while.
 TEST(UpstreamRegistry, GoodbyeWithoutDrainingStopsTheRun)
 {
     serve("a");
@@ -122,7 +125,8 @@
     CHECK(actions[1].verb == UpstreamVerb::Serve);
 }
 
-// Reports may be seconds late: silenceTimeout alone is no proof, and the server answers for itself.
+// Reports may be seconds late, so missing reports do not prove that a server has ended; the health
+// check decides.
 TEST(UpstreamRegistry, SilentServerIsCheckedAndKeptIfItAnswers)
 {
     serve("a");
@@ -149,10 +153,10 @@
     CHECK(actions[0].verb == UpstreamVerb::Stop);
 }
 
-// 1. A server crashes at its hundredth report and starts again under its name. Its reports count
-//    from one again.
-// 2. Taken for old ones, they would leave it without work for good, and callers of a narrow service
-//    would miss its slots.
+// 1. A server crashes after 100 reports and restarts under the same instance id. Its sequence
+//    numbers start at 1 again.
+// 2. If they were considered stale, the server would never receive calls, and its slots would be
+//    missing at a bottleneck.
 TEST(UpstreamRegistry, RestartedServerWithTheSameIdReceivesCalls)
 {
     m_registry->onReport(m_now, startedAt(1000, makeReport("a", 100)));
@@ -177,8 +181,8 @@
     CHECK(actions[0].verb == UpstreamVerb::Check);
 }
 
-// A report that a partition kept back, `ready`, `draining` or a goodbye, says nothing of the run
-// that followed: it must neither revive the old one nor end the new one.
+// A report delayed by a network partition, whether `ready`, `draining` or a goodbye, does not
+// concern the run that followed: it must neither reactivate the old run nor end the new one.
 TEST(UpstreamRegistry, DelayedReportsOfAnEarlierRunAreIgnored)
 {
     m_registry->onReport(m_now, startedAt(2000, makeReport("a", 1)));
@@ -195,8 +199,8 @@
     CHECK(m_registry->onReport(m_now, startedAt(1000, makeReport("a", 102))).empty());
 }
 
-// A report of another writer names a sound server under a service that it does not run. Its calls
-// must not go there.
+// A report of another sender names a healthy server under a service that it does not run. Calls of
+// that service must not be sent there.
 TEST(UpstreamRegistry, ReportWithAnotherServiceIsIgnored)
 {
     serve("a");
