--- a/src/coordination/admission/demandrate.h
+++ b/src/coordination/admission/demandrate.h
@@ -14,8 +14,8 @@
 
 private:
     double m_sum = 0;
-    TimePoint m_at;
-    TimePoint m_since;
+    TimePoint m_updatedAt;
+    TimePoint m_startedAt;
     bool m_isStarted = false;
 };
 
--- a/src/coordination/admission/internal/demandestimate.cpp
+++ b/src/coordination/admission/internal/demandestimate.cpp
@@ -24,16 +24,16 @@
 
 void DemandEstimate::advance(TimePoint now, double calls, double slots)
 {
-    const Duration step = now - m_at;
+    const Duration step = now - m_updatedAt;
     if (!m_isStarted || slots <= 0) {
-        m_at = now;
+        m_updatedAt = now;
         m_isStarted = true;
         return;
     }
     if (step <= Duration::zero()) {
         return;
     }
-    m_at = now;
+    m_updatedAt = now;
     const double kept = std::exp(-ratio(step, m_options.occupancyAveragingTime));
     m_occupancy = m_occupancy * kept + calls / slots * (1 - kept);
     const double deviation = std::clamp(m_occupancy - m_options.targetOccupancy,
--- a/src/coordination/admission/internal/demandestimate.h
+++ b/src/coordination/admission/internal/demandestimate.h
@@ -56,7 +56,7 @@
     DemandEstimateOptions m_options;
     /// Slot time, in µs per second.
     DemandRate m_demand;
-    TimePoint m_at;
+    TimePoint m_updatedAt;
     bool m_isStarted = false;
     double m_occupancy = 0;
     double m_correction = 1;
--- a/src/coordination/admission/internal/demandrate.cpp
+++ b/src/coordination/admission/internal/demandrate.cpp
@@ -17,11 +17,11 @@
 {
     if (!m_isStarted) {
         m_isStarted = true;
-        m_since = now;
-        m_at = now;
+        m_startedAt = now;
+        m_updatedAt = now;
     }
-    m_sum = m_sum * std::exp(-toSeconds(now - m_at) / toSeconds(averagingTime)) + amount;
-    m_at = now;
+    m_sum = m_sum * std::exp(-toSeconds(now - m_updatedAt) / toSeconds(averagingTime)) + amount;
+    m_updatedAt = now;
 }
 
 double DemandRate::rate(TimePoint now, Duration averagingTime) const
@@ -30,9 +30,9 @@
         return 0;
     }
     const double decayTime = toSeconds(averagingTime);
-    const double sum = m_sum * std::exp(-toSeconds(now - m_at) / decayTime);
+    const double sum = m_sum * std::exp(-toSeconds(now - m_updatedAt) / decayTime);
     // Normalizes a history that is shorter than the averaging time: its weights sum to less than 1.
-    const double age = std::max(toSeconds(now - m_since), MIN_HISTORY_S);
+    const double age = std::max(toSeconds(now - m_startedAt), MIN_HISTORY_S);
     return sum / (decayTime * (1 - std::exp(-age / decayTime)));
 }
 
--- a/src/coordination/admission/internal/processorload.cpp
+++ b/src/coordination/admission/internal/processorload.cpp
@@ -32,8 +32,8 @@
 
 void ProcessorLoad::onArrival(TimePoint now, DemandShare admittedShare, Duration lag)
 {
-    const double passed = toSeconds(now - m_at);
-    m_at = now;
+    const double passed = toSeconds(now - m_updatedAt);
+    m_updatedAt = now;
     const double lagWeight = 1 - std::exp(-passed / toSeconds(LAG_AVERAGING_TIME));
     m_lag += lagWeight * (static_cast<double>(lag.count()) - m_lag);
     if (m_lag > static_cast<double>(OVERLOAD_LAG.count())) {
--- a/src/coordination/admission/processorload.h
+++ b/src/coordination/admission/processorload.h
@@ -27,7 +27,7 @@
     double m_demandPerArrival = 1;
     /// Moving average of the lag, in µs.
     double m_lag = 0;
-    TimePoint m_at;
+    TimePoint m_updatedAt;
     TimePoint m_overloadedAt = TimePoint::min();
     bool m_isOverloaded = false;
 };
