--- a/src/coordination/admission/tests/lossbasedadmissiontest.cpp
+++ b/src/coordination/admission/tests/lossbasedadmissiontest.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-const ServiceName NARROW("narrow");
+const ServiceName BOTTLENECK("narrow");
 const Priority HIGH_PRIORITY(90);
 const Priority LOW_PRIORITY(10);
-const std::vector<TreeCalls> FOUR_CALLS{ { NARROW, 4 } };
-const std::vector<TreeCalls> EIGHT_CALLS{ { NARROW, 8 } };
-const std::vector<TreeCalls> ONE_CALL{ { NARROW, 1 } };
+const std::vector<TreeCalls> FOUR_CALLS{ { BOTTLENECK, 4 } };
+const std::vector<TreeCalls> EIGHT_CALLS{ { BOTTLENECK, 8 } };
+const std::vector<TreeCalls> ONE_CALL{ { BOTTLENECK, 1 } };
 
 ServiceUsage lossOf(std::uint32_t thousandths)
 {
-    return ServiceUsage{ NARROW, 15ms, DemandLoad(600), LossShare(thousandths), 1 };
+    return ServiceUsage{ BOTTLENECK, 15ms, DemandLoad(600), LossShare(thousandths), 1 };
 }
 
 } // namespace
--- a/src/coordination/admission/tests/rootadmissiontest.cpp
+++ b/src/coordination/admission/tests/rootadmissiontest.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-const ServiceName NARROW("narrow");
+const ServiceName BOTTLENECK("narrow");
 const ServiceName WIDE("wide");
 const RootTarget BROWSING{ RuleName("browse"), WIDE, Priority(10) };
 const RootTarget BOOKING{ RuleName("book"), WIDE, Priority(90) };
 constexpr Duration STEP = std::chrono::milliseconds(5);
 
-TreeUsage makeUsage(std::uint32_t narrowLoad)
+TreeUsage makeUsage(std::uint32_t bottleneckLoad)
 {
     return { { WIDE, std::chrono::milliseconds(100), DemandLoad(300) },
-             { NARROW, std::chrono::milliseconds(80), DemandLoad(narrowLoad) } };
+             { BOTTLENECK, std::chrono::milliseconds(80), DemandLoad(bottleneckLoad) } };
 }
 
 } // namespace
@@ -28,7 +28,7 @@
 
     /// Both rules send requests at the same rate for `seconds`; returns the admitted share of each
     /// in the last second.
-    void run(int seconds, std::uint32_t narrowLoad, double &browsing, double &booking)
+    void run(int seconds, std::uint32_t bottleneckLoad, double &browsing, double &booking)
     {
         int let[2] = { 0, 0 };
         int asked = 0;
@@ -41,7 +41,7 @@
                 const bool isAdmitted = m_admission->admit(m_now, *targets[i]);
                 let[i] += isAdmitted && isCounted ? 1 : 0;
                 if (isAdmitted) {
-                    m_admission->onAttemptEnd(m_now, *targets[i], makeUsage(narrowLoad), true);
+                    m_admission->onAttemptEnd(m_now, *targets[i], makeUsage(bottleneckLoad), true);
                     m_admission->onRequestEnd(*targets[i], RootResult::Success);
                 }
             }
@@ -152,7 +152,7 @@
 {
     std::vector<Member> members(20);
     for (std::size_t i = 0; i < members.size(); ++i) {
-        members[i].upstreams = { UpstreamInfo{ i < 4 ? NARROW : WIDE, 25, 100, false } };
+        members[i].upstreams = { UpstreamInfo{ i < 4 ? BOTTLENECK : WIDE, 25, 100, false } };
     }
     m_admission->setMembers(members);
     int admitted = 0;
@@ -255,10 +255,10 @@
 // gate would alternate between overloaded and empty.
 TEST(DemandEstimate, IsIndependentOfTheAdmittedShare)
 {
-    const double whole = run(1000).value();
-    DOUBLES_EQUAL(10 / 19.0 * 1000, whole, 60);
-    DOUBLES_EQUAL(whole, run(500).value(), 60);
-    DOUBLES_EQUAL(whole, run(100).value(), 90);
+    const double unrefused = run(1000).value();
+    DOUBLES_EQUAL(10 / 19.0 * 1000, unrefused, 60);
+    DOUBLES_EQUAL(unrefused, run(500).value(), 60);
+    DOUBLES_EQUAL(unrefused, run(100).value(), 90);
 }
 
 // Call trees that fail early make fewer calls, so a full gate sees less than the demand.
