--- a/src/coordination/admission/internal/rankqueue.h
+++ b/src/coordination/admission/internal/rankqueue.h
@@ -12,8 +12,7 @@
 
 namespace ivyspar {
 
-/// Queue of calls that wait for a slot, ordered by admission and by deadline. Operations are O(log
-/// n).
+/// Calls that wait for a slot, ordered by admission and by deadline. Operations take O(log n).
 class RankQueue
 {
 public:
--- a/src/coordination/admission/irootadmission.h
+++ b/src/coordination/admission/irootadmission.h
@@ -66,7 +66,8 @@
     /// Share of such requests that this daemon currently admits. It is sent with the request, so
     /// that the services of the call tree can compute the demand behind it.
     virtual DemandShare admittedShare(TimePoint now, const RootTarget &target) const = 0;
-    /// Inputs of the last decision about such requests.
+    /// Inputs of the decisions about such requests; `share` and `lossAdmittedShare` as of the last
+    /// decision.
     virtual AdmissionBasis basis(TimePoint now, const RootTarget &target) const = 0;
     /// An attempt of a request ended. `isComplete`: all calls of its tree were made, so `usage` is
     /// a sample of the cost.
@@ -99,9 +100,10 @@
     /// entry daemons that restart together, as after a power failure, would admit everything, no
     /// call tree would complete, and no cost would be learned.
     std::uint32_t minTreeSamples = 8;
-    /// Lower bound of the initial window, which is the share of this daemon in the slots of the
-    /// service with the fewest slots, since the rule may lead there.
+    /// Lower bound of the initial window of an unknown rule. The window is the share of this daemon
+    /// in the slots of the service with the fewest slots, since the rule may lead there.
     double initialWindow = 2;
+    /// Lower bound of the window after failures, in requests.
     double minWindow = 1;
     /// Minimum number of daemons among which those slots are divided: a daemon that knows fewer may
     /// just not have discovered the others.
