--- a/src/coordination/admission/internal/demandestimate.h
+++ b/src/coordination/admission/internal/demandestimate.h
@@ -33,10 +33,10 @@
 /// Estimates the demand for a gate over its capacity, including the demand that entry daemons
 /// refuse.
 ///
-/// Each call carries the share of such requests that its entry daemon admits, so an arrival counts
-/// as 1 / share requests, and the estimate does not depend on how much is admitted. Adjusting the
-/// share by the load alone would oscillate: what an entry daemon admits reaches this gate only
-/// after its request has passed down the call tree.
+/// Each first attempt carries the share of such requests that its entry daemon admits, so an
+/// arrival counts as 1 / share requests, and the estimate does not depend on how much is admitted.
+/// Adjusting the share by the load alone would oscillate: what an entry daemon admits reaches this
+/// gate only after its request has passed down the call tree.
 ///
 /// A call tree that fails early does not make its remaining calls, so an overloaded gate sees less
 /// than the demand. The occupancy of the gate corrects this slowly.
--- a/src/coordination/admission/internal/floorcontrol.cpp
+++ b/src/coordination/admission/internal/floorcontrol.cpp
@@ -110,7 +110,7 @@
 }
 
 // The start rate, corrected by the deviation of the queue from half full. An empty queue wastes
-// slots; an overflowing one wastes the work already done upstream of the gate.
+// slots; an overflowing one wastes the work that the calling services have already done.
 double FloorControl::targetVolume() const
 {
     return std::max(m_startRate, 1.0) * (1 + FILL_GAIN * (0.5 - m_queueFill));
