--- a/src/coordination/admission/tests/manyentriestest.cpp
+++ b/src/coordination/admission/tests/manyentriestest.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-const ServiceName PLANNER("prep-planner");
-const RootTarget TRAY{ RuleName("tray-history"), ServiceName("weighbridge"), Priority(1) };
+const ServiceName BOTTLENECK("prep-planner");
+const RootTarget TARGET{ RuleName("tray-history"), ServiceName("weighbridge"), Priority(1) };
 
 constexpr std::size_t GATES = 6;
 constexpr std::uint32_t SLOTS = 42;
@@ -74,7 +74,7 @@
         bool isRetry = false;
         DemandShare admittedShare;
         std::uint32_t batch = 0;
-        std::uint32_t open = 0;
+        std::uint32_t openCalls = 0;
         bool isFailed = false;
         ServiceUsage usage;
         double loads = 0;
@@ -92,7 +92,7 @@
     void arrive(std::size_t entry, bool isRetry)
     {
         IRootAdmission &admission = *m_entries[entry];
-        if (!admission.admit(m_time.now(), TRAY)) {
+        if (!admission.admit(m_time.now(), TARGET)) {
             if (!isRetry) {
                 m_time.schedule(milliseconds(400 + m_random.below(400)),
                                 [this] { arrive(m_random.below(m_entries.size()), true); });
@@ -101,15 +101,15 @@
         }
         const TreePtr tree = std::make_shared<Tree>();
         tree->entry = entry;
-        tree->admittedShare = admission.admittedShare(m_time.now(), TRAY);
-        tree->usage.service = PLANNER;
+        tree->admittedShare = admission.admittedShare(m_time.now(), TARGET);
+        tree->usage.service = BOTTLENECK;
         tree->usage.calls = 0;
         m_time.schedule(OTHER_WORK, [this, tree] { startBatch(tree); });
     }
 
     void startBatch(const TreePtr &tree)
     {
-        tree->open = CALLS_IN_BATCH;
+        tree->openCalls = CALLS_IN_BATCH;
         for (std::uint32_t i = 0; i < CALLS_IN_BATCH; ++i) {
             const std::size_t gate = m_random.below(GATES);
             const CallId id(++m_lastCall);
@@ -146,7 +146,7 @@
         ++tree->usage.calls;
         tree->loads += m_gates[gate]->load(m_time.now()).demand.value();
         tree->isFailed = tree->isFailed || !isSuccess;
-        if (--tree->open > 0) {
+        if (--tree->openCalls > 0) {
             return;
         }
         if (!tree->isFailed && ++tree->batch < BATCHES) {
@@ -160,8 +160,8 @@
     {
         tree.usage.load = DemandLoad(static_cast<std::uint32_t>(tree.loads / tree.usage.calls));
         IRootAdmission &admission = *m_entries[tree.entry];
-        admission.onAttemptEnd(m_time.now(), TRAY, { tree.usage }, !tree.isFailed);
-        admission.onRequestEnd(TRAY, tree.isFailed ? RootResult::Failure : RootResult::Success);
+        admission.onAttemptEnd(m_time.now(), TARGET, { tree.usage }, !tree.isFailed);
+        admission.onRequestEnd(TARGET, tree.isFailed ? RootResult::Failure : RootResult::Success);
         m_completed += tree.isFailed ? 0 : 1;
     }
 
