--- a/src/coordination/admission/internal/aimdlimit.cpp
+++ b/src/coordination/admission/internal/aimdlimit.cpp
@@ -3,6 +3,7 @@
 namespace ivyspar {
 
 namespace {
+/// Factor of a decrease.
 constexpr double DECREASE = 0.9;
 /// Increase of the limit per successful call, after the first decrease.
 constexpr double INCREASE = 0.05;
--- a/src/coordination/admission/internal/floorcontrol.cpp
+++ b/src/coordination/admission/internal/floorcontrol.cpp
@@ -21,6 +21,7 @@
 /// Outside of this range of the queue fill the floor is adjusted toward a half-full queue.
 constexpr double HIGH_FILL = 0.75;
 constexpr double LOW_FILL = 0.25;
+/// Relative change of the target volume per unit of deviation from half full.
 constexpr double FILL_GAIN = 0.1;
 } // namespace
 
--- a/src/coordination/admission/internal/gradientlimit.cpp
+++ b/src/coordination/admission/internal/gradientlimit.cpp
@@ -13,7 +13,9 @@
 constexpr double MIN_GRADIENT = 0.5;
 /// Weight of one sample in the limit.
 constexpr double LIMIT_WEIGHT = 0.02;
+/// Share of the limit to approach when the upstream refuses a call.
 constexpr double OVERLOADED_SHARE = 0.9;
+/// The limit changes only while at least this share of it is in use, unless the upstream refuses.
 constexpr double USED_SHARE = 0.5;
 } // namespace
 
--- a/src/coordination/admission/internal/probinglimit.cpp
+++ b/src/coordination/admission/internal/probinglimit.cpp
@@ -23,8 +23,10 @@
 constexpr Duration MIN_SLOW_TIME = std::chrono::seconds(5);
 /// Service times above this multiple of the fastest are slow.
 constexpr double SLOW_FACTOR = 1.5;
+/// Factor by which the fastest service time rises per epoch.
 constexpr double FASTEST_DECAY = 1.005;
 constexpr double RECENT_WEIGHT = 0.1;
+/// An epoch is saturated if at least this share of the limit was in use on average.
 constexpr double SATURATED_SHARE = 0.8;
 constexpr double USED_SHARE = 0.5;
 constexpr double OVERLOADED_DECREASE = 0.9;
