--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -148,7 +148,7 @@
     if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
         return Refusal(rejectSuspect(incoming, standing));
     }
-    if (isOfCaller && !m_guard.takes(lag, incoming.rule.priority, m_highest)) {
+    if (isOfCaller && !m_guard.admits(lag, incoming.rule.priority, m_highest)) {
         return Refusal(overrunOf(incoming, lag));
     }
     if (!incoming.ledger) {
@@ -293,7 +293,7 @@
         return false;
     }
     incoming.isLetIn = true;
-    incoming.letIn = m_admission->letIn(now, target);
+    incoming.letIn = m_admission->admittedShare(now, target);
     return true;
 }
 
@@ -324,16 +324,16 @@
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = service;
     rejection.rule = incoming.rule.name;
-    const RootGrounds grounds = m_admission->grounds(now, targetOf(incoming));
-    rejection.choice = grounds.narrowest.value();
-    if (grounds.isKnown) {
-        rejection.inputs = { { "share", grounds.share },
-                             { "odds", grounds.odds },
-                             { "load", grounds.load },
-                             { "load_age_ms", toMillis(grounds.loadAge) } };
+    const AdmissionBasis basis = m_admission->basis(now, targetOf(incoming));
+    rejection.choice = basis.bottleneck.value();
+    if (basis.isKnown) {
+        rejection.inputs = { { "share", basis.share },
+                             { "odds", basis.lossAdmittedShare },
+                             { "load", basis.load },
+                             { "load_age_ms", toMillis(basis.loadAge) } };
     } else {
-        rejection.inputs = { { "window", grounds.window },
-                             { "under_way", static_cast<double>(grounds.underWay) } };
+        rejection.inputs = { { "window", basis.window },
+                             { "under_way", static_cast<double>(basis.inFlight) } };
     }
     return rejection;
 }
@@ -396,8 +396,8 @@
         return;
     }
     if (m_options.hasRootAdmission && run.incoming.depth == Depth(0)) {
-        m_admission->onEnd(m_loop.now(), targetOf(run.incoming), usage,
-                           isWhole(answer.message.verdict, answer.message.response));
+        m_admission->onAttemptEnd(m_loop.now(), targetOf(run.incoming), usage,
+                                  isWhole(answer.message.verdict, answer.message.response));
     }
 }
 
@@ -406,7 +406,8 @@
     if (!run.incoming.isLetIn) {
         return;
     }
-    m_admission->onFinish(targetOf(run.incoming), rootEndOf(run.verdict, run.response.status));
+    m_admission->onRequestEnd(targetOf(run.incoming),
+                              rootResultOf(run.verdict, run.response.status));
 }
 
 Rank EntryService::rankOf(const Incoming &incoming) const
--- a/src/coordination/admission/demandrate.h
+++ b/src/coordination/admission/demandrate.h
@@ -4,18 +4,18 @@
 
 namespace ivyspar {
 
-/// Amount per second, averaged with weights that fall exponentially with age.
+/// Exponentially weighted moving average of an amount per second.
 class DemandRate
 {
 public:
-    void add(TimePoint now, double amount, Duration memory);
-    /// Per second.
-    double rate(TimePoint now, Duration memory) const;
+    void add(TimePoint now, double amount, Duration averagingTime);
+    /// Amount per second. Pass the same `averagingTime` as to `add`.
+    double rate(TimePoint now, Duration averagingTime) const;
 
 private:
     double m_sum = 0;
-    TimePoint m_at;
-    TimePoint m_since;
+    TimePoint m_updatedAt;
+    TimePoint m_startedAt;
     bool m_isStarted = false;
 };
 
--- a/src/coordination/admission/internal/gate.cpp
+++ b/src/coordination/admission/internal/gate.cpp
@@ -20,11 +20,11 @@
 {
     switch (options.limit) {
     case LimitKind::Aimd:
-        return std::make_unique<AimdLimit>(options.initialShare, options.minimalShare);
+        return std::make_unique<AimdLimit>(options.initialShare, options.minShare);
     case LimitKind::Gradient:
-        return std::make_unique<GradientLimit>(options.initialShare, options.minimalShare);
+        return std::make_unique<GradientLimit>(options.initialShare, options.minShare);
     case LimitKind::Probing:
-        return std::make_unique<ProbingLimit>(options.initialShare, options.minimalShare);
+        return std::make_unique<ProbingLimit>(options.initialShare, options.minShare);
     case LimitKind::Fixed:
         break;
     }
@@ -76,8 +76,8 @@
         return actions;
     }
     m_floor.onArrival(request.rank);
-    if (request.letIn != DemandShare()) {
-        m_demand.onArrival(now, request.letIn, Duration(std::llround(m_serviceTime)));
+    if (request.admittedShare != DemandShare()) {
+        m_demand.onArrival(now, request.admittedShare, Duration(std::llround(m_serviceTime)));
     }
     m_queue.push(request);
     startWaiting(actions);
@@ -92,35 +92,36 @@
     if (m_running.erase(id) == 0) {
         return actions;
     }
-    learn(now, result, serviceTime, inFlight);
+    recordResult(now, result, serviceTime, inFlight);
     if (result == CallResult::TimedOut) {
-        hold(now, m_options.timedOutHold);
+        holdSlot(now, m_options.timedOutHold);
     }
     if (result == CallResult::Cancelled) {
-        hold(now, m_options.cancelledHold);
+        holdSlot(now, m_options.cancelledHold);
     }
     advance(now, actions);
     startWaiting(actions);
     return actions;
 }
 
-// The upstream may go on with a call that was given up. If its slot were reused at once, calls
-// would queue inside the upstream, where they are neither ordered nor dropped, and time out in
-// turn. One more service time covers the usual rest; the bound keeps a hung upstream from taking
-// all slots for good.
-void Gate::hold(TimePoint now, double share)
+// The upstream may continue an abandoned call. If its slot were reused immediately, calls would
+// queue inside the upstream, where they are neither ordered nor dropped, and time out in turn. A
+// share of the mean service time covers the usual remainder; the upper bound keeps a hung upstream
+// from blocking all slots for good.
+void Gate::holdSlot(TimePoint now, double share)
 {
     const Duration wanted(std::llround(share * m_serviceTime));
     if (wanted.count() > 0) {
-        m_held.push(now + std::min(wanted, m_options.longestHold));
+        m_held.push(now + std::min(wanted, m_options.maxHold));
     }
 }
 
-void Gate::learn(TimePoint now, CallResult result, Duration serviceTime, std::uint32_t inFlight)
+void Gate::recordResult(TimePoint now, CallResult result, Duration serviceTime,
+                        std::uint32_t inFlight)
 {
     m_limit->onSample(now, { result, serviceTime, inFlight });
-    // Errors and refusals can be fast and cancelled calls are cut short: neither tells how long
-    // the work takes.
+    // Errors and refusals can be fast, and cancelled calls are cut short, so neither is a sample of
+    // the service time.
     if (result == CallResult::Success || result == CallResult::TimedOut) {
         const auto time = static_cast<double>(serviceTime.count());
         m_serviceTime += SERVICE_TIME_WEIGHT * (time - m_serviceTime);
@@ -161,15 +162,15 @@
         const GateRequest doomed = m_queue.popEarliest();
         const bool isOver = doomed.deadline <= now;
         refuse(doomed.id, isOver ? Reason::DeadlineExceeded : Reason::Doomed, actions);
-        m_floor.onExcess();
+        m_floor.onCapacityRefusal();
     }
 }
 
 void Gate::dropExcess(GateActions &actions)
 {
-    while (m_options.isQueueBounded && m_queue.size() > longestQueue()) {
+    while (m_options.isQueueBounded && m_queue.size() > maxQueueLength()) {
         refuse(m_queue.popLast().id, Reason::QueueFull, actions);
-        m_floor.onExcess();
+        m_floor.onCapacityRefusal();
     }
 }
 
@@ -178,7 +179,7 @@
     while (!m_queue.isEmpty() && hasFreeSlot()) {
         start(m_queue.popFirst().id, actions);
     }
-    const double fill = static_cast<double>(m_queue.size()) / static_cast<double>(longestQueue());
+    const double fill = static_cast<double>(m_queue.size()) / static_cast<double>(maxQueueLength());
     m_floor.setQueue(fill, m_queue.isEmpty() && hasFreeSlot());
 }
 
@@ -206,16 +207,16 @@
     return static_cast<std::uint32_t>(m_running.size() + m_held.size());
 }
 
-// A queue of `queueWait × limit` calls is worked off in `queueWait` service times.
-std::size_t Gate::longestQueue() const
+// A queue of `queueWait × limit` calls drains in `queueWait` service times.
+std::size_t Gate::maxQueueLength() const
 {
     const double bound = m_options.queueWait * m_limit->limit();
-    return std::max<std::size_t>(m_options.minimalQueue, std::lround(bound));
+    return std::max<std::size_t>(m_options.minQueue, std::lround(bound));
 }
 
-// The last moment at which a start can still meet the deadline. With nothing running there is no
-// fresh measurement: the call is then let through whatever the mean says, or a mean that a slow
-// spell left behind would refuse all calls for good.
+// The latest start that can still meet the deadline. With no call running there is no recent
+// sample, so calls are started regardless of the mean; otherwise a mean left over from a slow
+// period would refuse all calls for good.
 TimePoint Gate::latestStart(TimePoint deadline) const
 {
     if (!m_options.isDoomedDropped || m_running.empty()) {
--- a/src/coordination/admission/internal/gate.h
+++ b/src/coordination/admission/internal/gate.h
@@ -31,7 +31,7 @@
     LoadReport load(TimePoint now) const override;
 
 private:
-    /// Times at which slots of abandoned calls become free, earliest first.
+    /// Times at which the slots of abandoned calls become free, earliest first.
     using Releases = std::priority_queue<TimePoint, std::vector<TimePoint>, std::greater<>>;
 
     void advance(TimePoint now, GateActions &actions);
@@ -42,10 +42,11 @@
     void refuse(CallId id, Reason reason, GateActions &actions);
     bool hasFreeSlot() const;
     std::uint32_t occupied() const;
-    std::size_t longestQueue() const;
+    std::size_t maxQueueLength() const;
     TimePoint latestStart(TimePoint deadline) const;
-    void hold(TimePoint now, double share);
-    void learn(TimePoint now, CallResult result, Duration serviceTime, std::uint32_t inFlight);
+    void holdSlot(TimePoint now, double share);
+    void recordResult(TimePoint now, CallResult result, Duration serviceTime,
+                      std::uint32_t inFlight);
 
     GateOptions m_options;
     std::unique_ptr<IConcurrencyLimit> m_limit;
--- a/src/coordination/admission/internal/probinglimit.cpp
+++ b/src/coordination/admission/internal/probinglimit.cpp
@@ -7,34 +7,36 @@
 namespace ivyspar {
 
 namespace {
-/// Calls in an epoch: at least this number, and this number of rounds.
+/// Minimum length of an epoch, in calls and in rounds of the current limit.
 constexpr std::uint32_t EPOCH_CALLS = 100;
 constexpr double EPOCH_ROUNDS = 2;
-constexpr double LOWER = 0.8;
-constexpr double HIGHER = 1.25;
-/// A lower limit is kept if at least this share of the throughput is left …
+constexpr double LOWER_FACTOR = 0.8;
+constexpr double HIGHER_FACTOR = 1.25;
+/// A lower limit is kept if at least this share of the throughput remains …
 constexpr double KEPT_THROUGHPUT = 0.97;
-/// … and a higher one if the throughput grows by this factor.
+/// … and a higher limit if the throughput grows by this factor.
 constexpr double GAINED_THROUGHPUT = 1.05;
-/// A trial ends early when after this number of calls clearly less than the throughput is left.
+/// After this number of calls a trial ends early if the throughput falls below this share.
 constexpr std::uint32_t EARLY_CALLS = 30;
 constexpr double LOST_THROUGHPUT = 0.9;
-/// For how long calls must have been slow before a limit is tried.
-constexpr Duration PATIENCE = std::chrono::seconds(5);
-/// Service times beyond this multiple of the fastest are long.
-constexpr double SLOW = 1.5;
-constexpr double FORGETTING = 1.005;
+/// Time for which calls must have been slow before a trial.
+constexpr Duration MIN_SLOW_TIME = std::chrono::seconds(5);
+/// Service times above this multiple of the fastest are slow.
+constexpr double SLOW_FACTOR = 1.5;
+/// Factor by which the fastest service time rises per epoch.
+constexpr double FASTEST_DECAY = 1.005;
 constexpr double RECENT_WEIGHT = 0.1;
+/// An epoch is saturated if at least this share of the limit was in use on average.
 constexpr double SATURATED_SHARE = 0.8;
 constexpr double USED_SHARE = 0.5;
 constexpr double OVERLOADED_DECREASE = 0.9;
-/// Growth per round of calls, as a share of the limit, once the gate is warm.
+/// Increase of the limit per successful call, after the slow start.
 constexpr double INCREASE = 0.25;
-constexpr std::uint32_t LONGEST_PAUSE = 32;
+constexpr std::uint32_t MAX_PAUSE_EPOCHS = 32;
 } // namespace
 
-ProbingLimit::ProbingLimit(double initialShare, double minimalShare)
-    : m_range(initialShare, minimalShare)
+ProbingLimit::ProbingLimit(double initialShare, double minShare)
+    : m_range(initialShare, minShare)
 {
 }
 
@@ -53,8 +55,8 @@
     if (isSuccess && m_phase == Phase::Steady) {
         grow(sample);
     }
-    if (m_settling > 0) {
-        --m_settling;
+    if (m_callsToSettle > 0) {
+        --m_callsToSettle;
         m_epoch = Epoch();
         m_epoch.start = now;
         return;
@@ -72,20 +74,20 @@
 void ProbingLimit::onOverloaded(TimePoint now, const LimitSample &sample)
 {
     m_isCold = false;
-    // Refusals of one moment tell of one overload: without this pause they would take the limit
-    // to its lowest value at once.
+    // Refusals that arrive together indicate a single overload. Without this pause they would drop
+    // the limit to its minimum.
     if (now < m_nextDecrease) {
         return;
     }
     const Duration round(std::llround(m_recent));
     m_nextDecrease = now + std::max(round, sample.serviceTime);
     m_phase = Phase::Steady;
-    changeTo(m_range.value() * OVERLOADED_DECREASE);
+    changeLimit(m_range.value() * OVERLOADED_DECREASE);
 }
 
 bool ProbingLimit::isSlow() const
 {
-    return m_fastest > 0 && m_recent > SLOW * m_fastest;
+    return m_fastest > 0 && m_recent > SLOW_FACTOR * m_fastest;
 }
 
 void ProbingLimit::grow(const LimitSample &sample)
@@ -93,7 +95,7 @@
     if (isSlow() || sample.inFlight < USED_SHARE * m_range.value()) {
         return;
     }
-    // A cold gate doubles in each round of calls until the first sign of overload.
+    // Slow start: the limit doubles with each round of calls until the first sign of overload.
     m_range.set(m_range.value() + (m_isCold ? 1.0 : INCREASE));
 }
 
@@ -104,7 +106,7 @@
     return m_epoch.succeeded / static_cast<double>(length);
 }
 
-// With few slots or slow work an epoch takes seconds: a trial that fails must not cost them all.
+// With few slots or slow calls an epoch takes seconds; a failing trial ends before that.
 bool ProbingLimit::hasLostThroughput(TimePoint now) const
 {
     return m_phase == Phase::Lower && m_epoch.ended >= EARLY_CALLS
@@ -116,68 +118,69 @@
     const double measured = throughput(now);
     const double mean = m_epoch.serviceTime / m_epoch.ended;
     const bool isSaturated = m_epoch.inFlight >= SATURATED_SHARE * m_range.value() * m_epoch.ended;
-    m_fastest = m_fastest <= 0 ? mean : std::min(m_fastest * FORGETTING, mean);
+    m_fastest = m_fastest <= 0 ? mean : std::min(m_fastest * FASTEST_DECAY, mean);
     m_epoch = Epoch();
     m_epoch.start = now;
     if (m_phase != Phase::Steady) {
-        judge(measured);
+        evaluateTrial(measured);
         return;
     }
-    // An epoch in which calls became slow is a mixture and gives no throughput to compare with.
+    // An epoch in which calls became slow mixes both states and gives no throughput to compare
+    // with.
     const bool wasSlow = std::exchange(m_wasSlow, isSlow());
     if (!isSaturated || !wasSlow || !isSlow()) {
         m_slowSince = now;
         return;
     }
     m_isCold = false;
-    // A trial costs throughput if the work is slow for another reason, as when a service further
-    // down is slow. What a trial can find, a server that announces too much, lasts.
-    if (now - m_slowSince < PATIENCE) {
+    // A trial costs throughput if calls are slow for another reason, such as a slow downstream
+    // service. The cause that a trial can detect, a server that announces too many slots, persists.
+    if (now - m_slowSince < MIN_SLOW_TIME) {
         return;
     }
-    if (m_pause > 0) {
-        --m_pause;
+    if (m_pauseEpochs > 0) {
+        --m_pauseEpochs;
         return;
     }
-    tryNext(measured);
+    startTrial(measured);
 }
 
-void ProbingLimit::tryNext(double measured)
+void ProbingLimit::startTrial(double measured)
 {
     m_throughputBefore = measured;
     m_limitBefore = m_range.value();
     m_phase = m_isHigherNext ? Phase::Higher : Phase::Lower;
-    changeTo(m_limitBefore * (m_isHigherNext ? HIGHER : LOWER));
+    changeLimit(m_limitBefore * (m_isHigherNext ? HIGHER_FACTOR : LOWER_FACTOR));
     if (m_range.value() == m_limitBefore) {
         m_phase = Phase::Steady;
         m_isHigherNext = !m_isHigherNext;
     }
 }
 
-void ProbingLimit::judge(double measured)
+void ProbingLimit::evaluateTrial(double measured)
 {
     switch (m_phase) {
     case Phase::Lower:
         if (measured >= GAINED_THROUGHPUT * m_throughputBefore) {
-            keep(m_range.value(), measured);
+            acceptTrial(m_range.value(), measured);
             return;
         }
         if (measured >= KEPT_THROUGHPUT * m_throughputBefore) {
             m_throughputOnTrial = measured;
             m_phase = Phase::Verify;
-            changeTo(m_limitBefore);
+            changeLimit(m_limitBefore);
             return;
         }
         break;
     case Phase::Verify:
         if (m_throughputOnTrial >= KEPT_THROUGHPUT * measured) {
-            keep(m_limitBefore * LOWER, m_throughputOnTrial);
+            acceptTrial(m_limitBefore * LOWER_FACTOR, m_throughputOnTrial);
             return;
         }
         break;
     case Phase::Higher:
         if (measured >= GAINED_THROUGHPUT * m_throughputBefore) {
-            keep(m_range.value(), measured);
+            acceptTrial(m_range.value(), measured);
             return;
         }
         break;
@@ -186,22 +189,22 @@
     }
     m_phase = Phase::Steady;
     m_isHigherNext = !m_isHigherNext;
-    m_pause = m_nextPause;
-    m_nextPause = std::min(2 * m_nextPause, LONGEST_PAUSE);
-    changeTo(m_limitBefore);
+    m_pauseEpochs = m_nextPauseEpochs;
+    m_nextPauseEpochs = std::min(2 * m_nextPauseEpochs, MAX_PAUSE_EPOCHS);
+    changeLimit(m_limitBefore);
 }
 
-/// The trial was a success: the next one follows at once.
-void ProbingLimit::keep(double limit, double measured)
+/// Keeps the limit of a successful trial and starts the next trial immediately.
+void ProbingLimit::acceptTrial(double limit, double measured)
 {
     m_range.set(limit);
-    m_nextPause = FIRST_PAUSE;
-    tryNext(measured);
+    m_nextPauseEpochs = MIN_PAUSE_EPOCHS;
+    startTrial(measured);
 }
 
-void ProbingLimit::changeTo(double limit)
+void ProbingLimit::changeLimit(double limit)
 {
-    m_settling = m_range.limit();
+    m_callsToSettle = m_range.limit();
     m_range.set(limit);
 }
 
--- a/src/coordination/admission/internal/probinglimit.h
+++ b/src/coordination/admission/internal/probinglimit.h
@@ -7,35 +7,38 @@
 
 namespace ivyspar {
 
-/// Lowers the limit only where this costs no throughput. Long service times alone do not tell
-/// whether calls slow each other down or whether the work became slower for another reason; in the
-/// second case a lower limit only loses throughput. So while service times are long, a lower limit
-/// is tried for some rounds of calls, and kept if as many succeed as before and after.
+/// Lowers the limit only where this costs no throughput. Long service times do not tell whether
+/// calls slow each other down or whether the work became slower for another reason; in the second
+/// case a lower limit only loses throughput. While service times are long, a lower limit is
+/// therefore tried for some rounds of calls, and kept if the throughput on trial matches that
+/// before and after.
 class ProbingLimit : public IConcurrencyLimit
 {
 public:
-    ProbingLimit(double initialShare, double minimalShare);
+    ProbingLimit(double initialShare, double minShare);
 
     void onSample(TimePoint now, const LimitSample &sample) override;
     void setCeiling(std::uint32_t ceiling) override;
     std::uint32_t limit() const override;
 
 private:
-    static constexpr std::uint32_t FIRST_PAUSE = 4;
+    static constexpr std::uint32_t MIN_PAUSE_EPOCHS = 4;
 
     enum class Phase {
         Steady,
-        Lower, ///< A lower limit is on trial.
-        Verify, ///< Back at the former limit, as the throughput may have changed by itself.
-        Higher, ///< A higher limit is on trial.
+        Lower, ///< A lower limit is being tried.
+        Verify, ///< Back at the previous limit, in case the throughput changed for another reason.
+        Higher, ///< A higher limit is being tried.
     };
-    /// Calls that ended under one limit.
+    /// Totals of the calls that ended under one limit.
     struct Epoch
     {
         TimePoint start;
         std::uint32_t ended = 0;
         std::uint32_t succeeded = 0;
+        /// Sum over the calls, in µs.
         double serviceTime = 0;
+        /// Sum over the calls.
         double inFlight = 0;
     };
 
@@ -44,20 +47,21 @@
     double throughput(TimePoint now) const;
     bool hasLostThroughput(TimePoint now) const;
     void endEpoch(TimePoint now);
-    void judge(double measured);
-    void keep(double limit, double measured);
-    void tryNext(double measured);
-    void changeTo(double limit);
+    void evaluateTrial(double measured);
+    void acceptTrial(double limit, double measured);
+    void startTrial(double measured);
+    void changeLimit(double limit);
     bool isSlow() const;
 
     LimitRange m_range;
     Phase m_phase = Phase::Steady;
     Epoch m_epoch;
-    /// Calls started under the previous limit that are still to end.
-    std::uint32_t m_settling = 0;
-    /// Lowest mean service time of an epoch, in µs; slowly forgotten. 0 while unknown.
+    /// Calls started under the previous limit that have not ended; they are not sampled.
+    std::uint32_t m_callsToSettle = 0;
+    /// Lowest mean service time of an epoch, in µs, raised slowly to adapt to slower work. 0 if
+    /// unknown.
     double m_fastest = 0;
-    /// Recent service time, in µs.
+    /// Moving average of the service time, in µs.
     double m_recent = 0;
     TimePoint m_slowSince;
     double m_throughputBefore = 0;
@@ -66,9 +70,9 @@
     bool m_wasSlow = false;
     bool m_isCold = true;
     bool m_isHigherNext = false;
-    /// Epochs until the next trial, and their number after the next one that fails.
-    std::uint32_t m_pause = 0;
-    std::uint32_t m_nextPause = FIRST_PAUSE;
+    /// Epochs until the next trial, and after the next trial that fails.
+    std::uint32_t m_pauseEpochs = 0;
+    std::uint32_t m_nextPauseEpochs = MIN_PAUSE_EPOCHS;
     TimePoint m_nextDecrease;
 };
 
--- a/src/coordination/admission/internal/rootadmission.cpp
+++ b/src/coordination/admission/internal/rootadmission.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// With room for this multiple of the usual demand nothing has to be counted.
-constexpr double AMPLE = 3;
-/// A request that got through against all odds must not stand for thousands.
-constexpr long LEAST_TOLD = 20;
+/// With capacity for this multiple of the usual demand, requests are admitted without tokens.
+constexpr double UNLIMITED_SHARE = 3;
+/// Lower bound of the reported share: a single admitted request must not represent thousands.
+constexpr long MIN_ADMITTED_SHARE_THOUSANDTHS = 20;
 
-SuccessOddsOptions oddsOptions(const RootAdmissionOptions &options)
+LossBasedAdmissionOptions lossOptions(const RootAdmissionOptions &options)
 {
-    SuccessOddsOptions odds;
-    odds.isOn = options.hasOdds;
-    odds.repeatRatio = options.repeatRatio;
-    return odds;
+    LossBasedAdmissionOptions lossAdmission;
+    lossAdmission.isOn = options.hasLossBasedAdmission;
+    lossAdmission.retryRatio = options.retryRatio;
+    return lossAdmission;
 }
 
 } // namespace
@@ -31,8 +31,8 @@
 
 RootAdmission::RootAdmission(const RootAdmissionOptions &options)
     : m_options(options)
-    , m_firstWindow(options.firstWindow)
-    , m_odds(oddsOptions(options))
+    , m_initialWindow(options.initialWindow)
+    , m_lossAdmission(lossOptions(options))
 {
 }
 
@@ -44,17 +44,17 @@
             slots[upstream.service] += upstream.slots;
         }
     }
-    double narrowest = 0;
+    double fewestSlots = 0;
     for (const auto &[name, count] : slots) {
-        narrowest = narrowest == 0 ? count : std::min(narrowest, count);
+        fewestSlots = fewestSlots == 0 ? count : std::min(fewestSlots, count);
     }
-    const auto daemons = static_cast<double>(std::max(members.size(), m_options.leastDaemons));
-    m_firstWindow = std::max(narrowest / daemons, m_options.firstWindow);
+    const auto daemons = static_cast<double>(std::max(members.size(), m_options.minDaemons));
+    m_initialWindow = std::max(fewestSlots / daemons, m_options.initialWindow);
 }
 
 double RootAdmission::windowOf(const Tree &tree) const
 {
-    return tree.window.value_or(m_firstWindow);
+    return tree.window.value_or(m_initialWindow);
 }
 
 RootAdmission::Profile &RootAdmission::profileOf(const RootTarget &target)
@@ -73,231 +73,235 @@
 bool RootAdmission::admit(TimePoint now, const RootTarget &target)
 {
     Profile &profile = profileOf(target);
-    // Before it counts as demand: services must not hold others back for what is not begun.
-    if (!isWorthwhile(now, target, profile)) {
+    // Checked before the request counts as demand: services must not limit other requests because
+    // of requests that are not started.
+    if (!passesLossAdmission(now, target, profile)) {
         return false;
     }
-    profile.arrivals.add(now, 1, m_options.demandMemory);
+    profile.arrivals.add(now, 1, m_options.demandAveragingTime);
     profile.share = shareOf(now, target, profile);
     Tree &tree = *profile.tree;
-    const bool isIn =
-        isKnown(tree) ? take(now, profile, profile.share) : tree.underWay + 1 <= windowOf(tree);
-    if (isIn) {
-        ++tree.underWay;
-        profile.admitted.add(now, 1, m_options.demandMemory);
+    const bool isAdmitted = isKnown(tree) ? takeToken(now, profile, profile.share)
+                                          : tree.inFlight + 1 <= windowOf(tree);
+    if (isAdmitted) {
+        ++tree.inFlight;
+        profile.admitted.add(now, 1, m_options.demandAveragingTime);
     }
-    return isIn;
+    return isAdmitted;
 }
 
-bool RootAdmission::isWorthwhile(TimePoint now, const RootTarget &target, Profile &profile)
+bool RootAdmission::passesLossAdmission(TimePoint now, const RootTarget &target, Profile &profile)
 {
     m_treeCalls.clear();
     for (const auto &[name, cost] : profile.tree->costs) {
-        if (cost.reached >= m_options.leastReached) {
+        if (cost.reachedShare >= m_options.minReachedShare) {
             m_treeCalls.push_back({ name, cost.calls });
         }
     }
-    profile.odds = m_odds.onArrival(now, target.priority, m_treeCalls);
-    profile.worthwhile += profile.odds;
-    if (profile.worthwhile < 1) {
+    profile.lossAdmittedShare = m_lossAdmission.onArrival(now, target.priority, m_treeCalls);
+    profile.startCredit += profile.lossAdmittedShare;
+    if (profile.startCredit < 1) {
         return false;
     }
-    profile.worthwhile -= 1;
+    profile.startCredit -= 1;
     return true;
 }
 
 double RootAdmission::shareOf(TimePoint now, const RootTarget &target, Profile &profile)
 {
-    double share = AMPLE;
-    profile.narrowest = ServiceName();
+    double share = UNLIMITED_SHARE;
+    profile.bottleneck = ServiceName();
     for (const auto &[name, cost] : profile.tree->costs) {
-        if (cost.reached < m_options.leastReached) {
+        if (cost.reachedShare < m_options.minReachedShare) {
             continue;
         }
         Service &service = m_services[name];
-        noteAsked(now, service, target.priority, profile, cost.busy);
-        const double own = fitting(now, service, target.priority, profile);
+        recordDemand(now, service, target.priority, profile, cost.busy);
+        const double own = fittingShare(now, service, target.priority, profile);
         if (own < share) {
             share = own;
-            profile.narrowest = name;
+            profile.bottleneck = name;
         }
     }
     return share;
 }
 
-void RootAdmission::onFinish(const RootTarget &target, RootEnd end)
+void RootAdmission::onRequestEnd(const RootTarget &target, RootResult result)
 {
     Tree &tree = treeOf(target);
-    tree.underWay -= tree.underWay > 0 ? 1 : 0;
-    if (end == RootEnd::Whole) {
+    tree.inFlight -= tree.inFlight > 0 ? 1 : 0;
+    if (result == RootResult::Success) {
         tree.window = windowOf(tree) + 1;
     }
-    if (end == RootEnd::Failed) {
-        tree.window = std::max(windowOf(tree) / 2, m_options.leastWindow);
+    if (result == RootResult::Failure) {
+        tree.window = std::max(windowOf(tree) / 2, m_options.minWindow);
     }
 }
 
-/// The share is taken of the usual arrivals and not of those of this moment. A service that is full
-/// at the usual demand would be overrun by a burst until it could tell.
-bool RootAdmission::take(TimePoint now, Profile &profile, double share) const
+/// The share refers to the usual arrivals and not to those of the moment: a service that is full at
+/// the usual demand would be overloaded by a burst before it could report it.
+bool RootAdmission::takeToken(TimePoint now, Profile &profile, double share) const
 {
-    const double rate = share * profile.arrivals.rate(now, m_options.demandMemory);
-    const double passed = std::chrono::duration<double>(now - profile.savedAt).count();
-    const double most = std::max(m_options.leastBurst, rate * toSeconds(m_options.burst));
-    profile.saved = std::min(profile.saved + rate * passed, most);
-    profile.savedAt = now;
-    if (profile.saved < 1 && share < AMPLE) {
+    const double rate = share * profile.arrivals.rate(now, m_options.demandAveragingTime);
+    const double passed = std::chrono::duration<double>(now - profile.refilledAt).count();
+    const double most = std::max(m_options.minBurst, rate * toSeconds(m_options.burst));
+    profile.tokens = std::min(profile.tokens + rate * passed, most);
+    profile.refilledAt = now;
+    if (profile.tokens < 1 && share < UNLIMITED_SHARE) {
         return false;
     }
-    profile.saved = std::max(profile.saved - 1, 0.0);
+    profile.tokens = std::max(profile.tokens - 1, 0.0);
     return true;
 }
 
-/// What was let in, and not what was meant to be. While the share falls, requests that were saved
-/// up before are let in as well; told with the low share, each would stand for many, the demand
-/// would seem to grow, and the share would fall further.
-DemandShare RootAdmission::letIn(TimePoint now, const RootTarget &target) const
+/// The share actually admitted rather than the target share. While the target falls, requests are
+/// still admitted by earlier tokens; with the low target each of them would represent many
+/// requests, the demand would appear to grow, and the target would fall further.
+DemandShare RootAdmission::admittedShare(TimePoint now, const RootTarget &target) const
 {
     const Profile *profile = findProfile(target);
     if (!profile) {
         return WHOLE_DEMAND;
     }
-    const double arrived = profile->arrivals.rate(now, m_options.demandMemory);
-    const double admitted = profile->admitted.rate(now, m_options.demandMemory);
+    const double arrived = profile->arrivals.rate(now, m_options.demandAveragingTime);
+    const double admitted = profile->admitted.rate(now, m_options.demandAveragingTime);
     const double share = arrived > 0 ? std::min(admitted / arrived, 1.0) : 1;
-    const auto told = std::lround(share * static_cast<double>(WHOLE_DEMAND.value()));
-    return DemandShare(static_cast<std::uint32_t>(std::max(told, LEAST_TOLD)));
+    const auto reported = std::lround(share * static_cast<double>(WHOLE_DEMAND.value()));
+    return DemandShare(
+        static_cast<std::uint32_t>(std::max(reported, MIN_ADMITTED_SHARE_THOUSANDTHS)));
 }
 
-RootGrounds RootAdmission::grounds(TimePoint now, const RootTarget &target) const
+AdmissionBasis RootAdmission::basis(TimePoint now, const RootTarget &target) const
 {
-    RootGrounds grounds;
+    AdmissionBasis basis;
     const Profile *profile = findProfile(target);
     if (!profile) {
-        return grounds;
+        return basis;
     }
-    grounds.isKnown = isKnown(*profile->tree);
-    grounds.underWay = profile->tree->underWay;
-    grounds.window = windowOf(*profile->tree);
-    grounds.share = profile->share;
-    grounds.narrowest = profile->narrowest;
-    grounds.odds = profile->odds;
-    const auto service = m_services.find(profile->narrowest);
+    basis.isKnown = isKnown(*profile->tree);
+    basis.inFlight = profile->tree->inFlight;
+    basis.window = windowOf(*profile->tree);
+    basis.share = profile->share;
+    basis.bottleneck = profile->bottleneck;
+    basis.lossAdmittedShare = profile->lossAdmittedShare;
+    const auto service = m_services.find(profile->bottleneck);
     if (service != m_services.end()) {
-        grounds.load = loadOf(now, service->second);
-        grounds.loadAge = std::chrono::duration_cast<Duration>(now - service->second.toldAt);
+        basis.load = loadOf(now, service->second);
+        basis.loadAge = std::chrono::duration_cast<Duration>(now - service->second.reportedAt);
     }
-    return grounds;
+    return basis;
 }
 
-void RootAdmission::onEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
-                          bool isWhole)
+void RootAdmission::onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
+                                 bool isComplete)
 {
     for (const ServiceUsage &each : usage) {
-        learnLoad(now, each);
-        m_odds.learn(now, each);
+        updateLoad(now, each);
+        m_lossAdmission.onReport(now, each);
     }
-    if (isWhole) {
-        learnCosts(treeOf(target), usage);
+    if (isComplete) {
+        updateCosts(treeOf(target), usage);
     }
 }
 
-void RootAdmission::learnCosts(Tree &tree, const TreeUsage &usage) const
+void RootAdmission::updateCosts(Tree &tree, const TreeUsage &usage) const
 {
     ++tree.samples;
     const double weight = std::max(m_options.costWeight, 1.0 / tree.samples);
-    // A service that was not reached this time cost nothing.
+    // A service that the request did not reach cost nothing.
     for (auto &[name, cost] : tree.costs) {
         cost.busy *= 1 - weight;
-        cost.reached *= 1 - weight;
+        cost.reachedShare *= 1 - weight;
         cost.calls *= 1 - weight;
     }
     for (const ServiceUsage &each : usage) {
         Cost &cost = tree.costs[each.service];
         cost.busy += weight * static_cast<double>(each.busy.count());
-        cost.reached += weight;
+        cost.reachedShare += weight;
         cost.calls += weight * each.calls;
     }
 }
 
-void RootAdmission::learnLoad(TimePoint now, const ServiceUsage &usage)
+void RootAdmission::updateLoad(TimePoint now, const ServiceUsage &usage)
 {
     Service &service = m_services[usage.service];
-    const double told =
+    const double reported =
         static_cast<double>(usage.load.value()) / static_cast<double>(FULL_LOAD.value());
-    if (now - service.toldAt > m_options.loadHold + m_options.loadDecay) {
+    if (now - service.reportedAt > m_options.loadHold + m_options.loadDecay) {
         service.reports = 0;
     }
     ++service.reports;
     const double known = loadOf(now, service);
-    // An entry among many hears little. By the count of reports alone it would believe a load that
-    // is seconds old, and all entries together let in too much and too little in turn.
+    // One of many entry daemons gets few reports. Weighted by their number alone, its load would be
+    // seconds old, and all entry daemons together would alternate between admitting too much and
+    // too little.
     const double forgotten =
-        1 - std::exp(-toSeconds(now - service.toldAt) / toSeconds(m_options.loadMemory));
+        1 - std::exp(-toSeconds(now - service.reportedAt) / toSeconds(m_options.loadAveragingTime));
     const double weight = std::max({ m_options.loadWeight, 1.0 / service.reports, forgotten });
-    service.load = known + weight * (told - known);
-    service.toldAt = now;
+    service.load = known + weight * (reported - known);
+    service.reportedAt = now;
 }
 
-void RootAdmission::noteAsked(TimePoint now, Service &service, Priority priority,
-                              const Profile &profile, double cost) const
+void RootAdmission::recordDemand(TimePoint now, Service &service, Priority priority,
+                                 const Profile &profile, double cost) const
 {
-    std::vector<Asked> &all = service.asked[priority];
-    auto found = std::find_if(all.begin(), all.end(),
-                              [&profile](const Asked &asked) { return asked.profile == &profile; });
+    std::vector<ServiceDemand> &all = service.ruleDemands[priority];
+    auto found = std::find_if(all.begin(), all.end(), [&profile](const ServiceDemand &demand) {
+        return demand.profile == &profile;
+    });
     if (found == all.end()) {
-        found = all.insert(all.end(), Asked{ &profile, {}, 0 });
+        found = all.insert(all.end(), ServiceDemand{ &profile, {}, 0 });
     }
     found->cost = cost;
-    found->rate.add(now, cost, m_options.demandMemory);
+    found->rate.add(now, cost, m_options.demandAveragingTime);
 }
 
-double RootAdmission::demandOf(TimePoint now, const std::vector<Asked> &asked) const
+double RootAdmission::demandOf(TimePoint now, const std::vector<ServiceDemand> &ruleDemands) const
 {
     double total = 0;
-    for (const Asked &each : asked) {
-        total += each.rate.rate(now, m_options.demandMemory);
+    for (const ServiceDemand &each : ruleDemands) {
+        total += each.rate.rate(now, m_options.demandAveragingTime);
     }
     return total;
 }
 
-double RootAdmission::fitting(TimePoint now, const Service &service, Priority priority,
-                              const Profile &profile) const
+double RootAdmission::fittingShare(TimePoint now, const Service &service, Priority priority,
+                                   const Profile &profile) const
 {
     double above = 0;
     double all = 0;
-    for (const auto &[each, asked] : service.asked) {
-        const double rate = demandOf(now, asked);
+    for (const auto &[each, ruleDemands] : service.ruleDemands) {
+        const double rate = demandOf(now, ruleDemands);
         above += each > priority ? rate : 0;
         all += rate;
     }
-    const double load = std::max(loadOf(now, service), 1 / AMPLE);
-    return shareWithin(now, service.asked.at(priority), profile, all / load - above);
+    const double load = std::max(loadOf(now, service), 1 / UNLIMITED_SHARE);
+    return shareWithin(now, service.ruleDemands.at(priority), profile, all / load - above);
 }
 
-double RootAdmission::shareWithin(TimePoint now, const std::vector<Asked> &asked,
-                                  const Profile &profile, double room) const
+double RootAdmission::shareWithin(TimePoint now, const std::vector<ServiceDemand> &ruleDemands,
+                                  const Profile &profile, double capacity) const
 {
-    const double own = demandOf(now, asked);
+    const double own = demandOf(now, ruleDemands);
     if (own <= 0) {
-        return AMPLE;
+        return UNLIMITED_SHARE;
     }
-    if (!m_options.hasFairShares || room >= own || asked.size() == 1) {
-        return std::max(room / own, 0.0);
+    if (!m_options.hasFairShares || capacity >= own || ruleDemands.size() == 1) {
+        return std::max(capacity / own, 0.0);
     }
     std::vector<RuleDemand> demands;
     std::size_t index = 0;
-    for (const Asked &each : asked) {
+    for (const ServiceDemand &each : ruleDemands) {
         index = each.profile == &profile ? demands.size() : index;
-        demands.push_back({ each.rate.rate(now, m_options.demandMemory), each.cost });
+        demands.push_back({ each.rate.rate(now, m_options.demandAveragingTime), each.cost });
     }
-    return shareOut(demands, room).at(index);
+    return allocateShares(demands, capacity).at(index);
 }
 
 double RootAdmission::loadOf(TimePoint now, const Service &service) const
 {
-    // Where nothing more is heard, nothing may be refused for good.
-    const auto old = static_cast<double>((now - service.toldAt - m_options.loadHold).count());
+    // Without new reports the load decays, so that no request is refused for good.
+    const auto old = static_cast<double>((now - service.reportedAt - m_options.loadHold).count());
     const double forgotten =
         std::clamp(old / static_cast<double>(m_options.loadDecay.count()), 0.0, 1.0);
     return service.load * (1 - forgotten);
--- a/src/coordination/admission/internal/rootadmission.h
+++ b/src/coordination/admission/internal/rootadmission.h
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "coordination/admission/demandrate.h"
-#include "coordination/admission/internal/successodds.h"
+#include "coordination/admission/internal/lossbasedadmission.h"
 #include "coordination/admission/irootadmission.h"
 
 namespace ivyspar {
@@ -19,65 +19,66 @@
 
     void setMembers(const std::vector<Member> &members) override;
     bool admit(TimePoint now, const RootTarget &target) override;
-    DemandShare letIn(TimePoint now, const RootTarget &target) const override;
-    RootGrounds grounds(TimePoint now, const RootTarget &target) const override;
-    void onEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
-               bool isWhole) override;
-    void onFinish(const RootTarget &target, RootEnd end) override;
+    DemandShare admittedShare(TimePoint now, const RootTarget &target) const override;
+    AdmissionBasis basis(TimePoint now, const RootTarget &target) const override;
+    void onAttemptEnd(TimePoint now, const RootTarget &target, const TreeUsage &usage,
+                      bool isComplete) override;
+    void onRequestEnd(const RootTarget &target, RootResult result) override;
 
 private:
     struct Profile;
-    /// What callers ask of a service by one rule.
-    struct Asked
+    /// Demand of the requests of one rule for a service.
+    struct ServiceDemand
     {
         const Profile *profile = nullptr;
-        /// In µs of slots a second.
+        /// Slot time, in µs per second.
         DemandRate rate;
-        /// Of one request, in µs of slots.
+        /// Slot time per request, in µs.
         double cost = 0;
     };
     struct Service
     {
-        std::map<Priority, std::vector<Asked>> asked;
-        /// The whole demand over what the service can take.
+        std::map<Priority, std::vector<ServiceDemand>> ruleDemands;
+        /// Demand over capacity.
         double load = 0;
         std::uint32_t reports = 0;
-        TimePoint toldAt;
+        TimePoint reportedAt;
     };
-    /// What a request of a rule costs a service.
+    /// Mean cost of a request of a rule at one service.
     struct Cost
     {
-        /// In µs of slots.
+        /// Slot time, in µs.
         double busy = 0;
         /// Share of the requests that reach the service.
-        double reached = 0;
+        double reachedShare = 0;
         double calls = 0;
     };
-    /// What the calls of a rule's requests cost, whoever the callers are.
+    /// Costs of the call tree of a rule, for requests of any priority.
     struct Tree
     {
         std::unordered_map<ServiceName, Cost> costs;
         std::uint32_t samples = 0;
-        /// While the tree is not known yet: requests that may be under way, once one has ended.
+        /// Maximum number of requests in flight while the cost is unknown; set once a request has
+        /// ended.
         std::optional<double> window;
-        std::uint32_t underWay = 0;
+        std::uint32_t inFlight = 0;
     };
-    /// Requests of a rule of one priority.
+    /// State of the requests of one rule and priority.
     struct Profile
     {
         Tree *tree = nullptr;
         DemandRate arrivals;
-        /// Of the usual arrivals, what fits.
+        /// Share of the usual arrivals that fits.
         double share = 1;
-        /// The service that leaves least room; empty while none is known.
-        ServiceName narrowest;
-        /// Of the requests, the share that is worth to begin.
-        double odds = 1;
-        /// What is saved up of the next request that is worth it.
-        double worthwhile = 0;
-        /// Requests that may be let in at once.
-        double saved = 0;
-        TimePoint savedAt;
+        /// The service with the least capacity left; empty if none is known.
+        ServiceName bottleneck;
+        /// Share of the requests worth starting, given the loss at the services.
+        double lossAdmittedShare = 1;
+        /// Accumulated `lossAdmittedShare`; each started request takes 1.
+        double startCredit = 0;
+        /// Requests that may be admitted at once.
+        double tokens = 0;
+        TimePoint refilledAt;
         DemandRate admitted;
     };
     using TreeKey = std::pair<RuleName, ServiceName>;
@@ -86,34 +87,34 @@
     Tree &treeOf(const RootTarget &target) { return m_trees[TreeKey(target.rule, target.service)]; }
     Profile &profileOf(const RootTarget &target);
     const Profile *findProfile(const RootTarget &target) const;
-    bool isKnown(const Tree &tree) const { return tree.samples >= m_options.knownAfter; }
-    /// Requests of a rule that is not known yet that may be under way.
+    bool isKnown(const Tree &tree) const { return tree.samples >= m_options.minTreeSamples; }
+    /// Maximum number of requests in flight of a rule whose cost is unknown.
     double windowOf(const Tree &tree) const;
-    /// Of the usual arrivals, the share that the services of the rule's tree can take.
+    /// Share of the usual arrivals that the services of the call tree can take.
     double shareOf(TimePoint now, const RootTarget &target, Profile &profile);
     double loadOf(TimePoint now, const Service &service) const;
-    void noteAsked(TimePoint now, Service &service, Priority priority, const Profile &profile,
-                   double cost) const;
-    /// Of the rule's usual demand, the share that fits; above 1 with room for more.
-    double fitting(TimePoint now, const Service &service, Priority priority,
-                   const Profile &profile) const;
-    double shareWithin(TimePoint now, const std::vector<Asked> &asked, const Profile &profile,
-                       double room) const;
-    double demandOf(TimePoint now, const std::vector<Asked> &asked) const;
-    /// Whether this request is one of the share that is worth to begin.
-    bool isWorthwhile(TimePoint now, const RootTarget &target, Profile &profile);
-    /// Takes one request from what is saved up at `share` of the usual arrivals.
-    bool take(TimePoint now, Profile &profile, double share) const;
-    void learnCosts(Tree &tree, const TreeUsage &usage) const;
-    void learnLoad(TimePoint now, const ServiceUsage &usage);
+    void recordDemand(TimePoint now, Service &service, Priority priority, const Profile &profile,
+                      double cost) const;
+    /// Share of the usual demand of the rule that fits; above 1 with spare capacity.
+    double fittingShare(TimePoint now, const Service &service, Priority priority,
+                        const Profile &profile) const;
+    double shareWithin(TimePoint now, const std::vector<ServiceDemand> &ruleDemands,
+                       const Profile &profile, double capacity) const;
+    double demandOf(TimePoint now, const std::vector<ServiceDemand> &ruleDemands) const;
+    /// Whether the request belongs to the share worth starting.
+    bool passesLossAdmission(TimePoint now, const RootTarget &target, Profile &profile);
+    /// Takes one token; tokens refill at `share` of the rate of the usual arrivals.
+    bool takeToken(TimePoint now, Profile &profile, double share) const;
+    void updateCosts(Tree &tree, const TreeUsage &usage) const;
+    void updateLoad(TimePoint now, const ServiceUsage &usage);
 
     RootAdmissionOptions m_options;
-    double m_firstWindow;
+    double m_initialWindow;
     std::map<TreeKey, Tree> m_trees;
     std::map<ProfileKey, Profile> m_profiles;
     std::unordered_map<ServiceName, Service> m_services;
-    SuccessOdds m_odds;
-    /// Kept to save an allocation for each request.
+    LossBasedAdmission m_lossAdmission;
+    /// Reused to avoid an allocation per request.
     std::vector<TreeCalls> m_treeCalls;
 };
 
--- a/src/coordination/admission/internal/rootend.cpp
+++ b/src/coordination/admission/internal/rootresult.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// 1. All hosts come back at the same moment, and each daemon learns of the others and their
-///    servers within a second or two. Until then requests end for want of a server.
-/// 2. Taken for overload, each of them halves the window of its rule, and at the end one request at
-///    a time is let in though all servers are there and idle.
+/// Whether the request ended because no server was reached. After a power failure all hosts start
+/// at once, and daemons take 1 to 2 s to discover each other and their servers. If requests that
+/// end in that time counted as overload, each would halve the window of its rule, until one request
+/// at a time is admitted to idle servers.
 bool hasMetNoServer(const Verdict &verdict)
 {
     if (verdict.outcome != Outcome::NotRun) {
@@ -31,13 +31,13 @@
 
 } // namespace
 
-RootEnd rootEndOf(const Verdict &verdict, std::uint16_t status)
+RootResult rootResultOf(const Verdict &verdict, std::uint16_t status)
 {
     if (verdict.outcome == Outcome::Answered && !isServerError(status)) {
-        return RootEnd::Whole;
+        return RootResult::Success;
     }
     const bool tellsNothing = verdict.reason == Reason::Cancelled || hasMetNoServer(verdict);
-    return tellsNothing ? RootEnd::Abandoned : RootEnd::Failed;
+    return tellsNothing ? RootResult::Ignored : RootResult::Failure;
 }
 
 } // namespace ivyspar
--- a/src/coordination/admission/tests/manyentriestest.cpp
+++ b/src/coordination/admission/tests/manyentriestest.cpp
@@ -17,21 +17,21 @@
 
 namespace {
 
-const ServiceName PLANNER("prep-planner");
-const RootTarget TRAY{ RuleName("tray-history"), ServiceName("weighbridge"), Priority(1) };
+const ServiceName BOTTLENECK("prep-planner");
+const RootTarget TARGET{ RuleName("tray-history"), ServiceName("weighbridge"), Priority(1) };
 
 constexpr std::size_t GATES = 6;
 constexpr std::uint32_t SLOTS = 42;
 constexpr std::uint32_t CALLS_IN_BATCH = 4;
 constexpr std::uint32_t BATCHES = 2;
 constexpr Duration CALL_TIME = milliseconds(61);
-/// What a tree does before, between and after its calls of the narrow service.
+/// Work of a call tree before, between and after its calls to the bottleneck service.
 constexpr Duration OTHER_WORK = milliseconds(150);
-constexpr Duration CALL_LIMIT = milliseconds(700);
+constexpr Duration CALL_TIMEOUT = milliseconds(700);
 constexpr Duration WINDOW = seconds(2);
 
-/// Trees that lead to a narrow service with a few gates, from entries that each see but a part of
-/// them. A caller that is refused comes back once.
+/// Call trees with calls to a bottleneck service behind a few gates, admitted by entry daemons that
+/// each see only a part of the requests. A refused caller retries once.
 class Model
 {
 public:
@@ -52,30 +52,30 @@
         scheduleArrival();
     }
 
-    /// Trees a second.
+    /// Call trees per second.
     static double capacity()
     {
         const double calls = GATES * SLOTS / toSeconds(CALL_TIME);
         return calls / (BATCHES * CALLS_IN_BATCH);
     }
 
-    /// Returns the whole trees of the next window, as a share of what fits.
+    /// Returns the call trees that completed in the next window, as a share of the capacity.
     double runWindow()
     {
-        m_whole = 0;
+        m_completed = 0;
         m_time.run(WINDOW);
-        return static_cast<double>(m_whole) / (capacity() * toSeconds(WINDOW));
+        return static_cast<double>(m_completed) / (capacity() * toSeconds(WINDOW));
     }
 
 private:
     struct Tree
     {
         std::size_t entry = 0;
-        bool isReturn = false;
-        DemandShare letIn;
+        bool isRetry = false;
+        DemandShare admittedShare;
         std::uint32_t batch = 0;
-        std::uint32_t open = 0;
-        bool isBroken = false;
+        std::uint32_t openCalls = 0;
+        bool isFailed = false;
         ServiceUsage usage;
         double loads = 0;
     };
@@ -89,11 +89,11 @@
         });
     }
 
-    void arrive(std::size_t entry, bool isReturn)
+    void arrive(std::size_t entry, bool isRetry)
     {
         IRootAdmission &admission = *m_entries[entry];
-        if (!admission.admit(m_time.now(), TRAY)) {
-            if (!isReturn) {
+        if (!admission.admit(m_time.now(), TARGET)) {
+            if (!isRetry) {
                 m_time.schedule(milliseconds(400 + m_random.below(400)),
                                 [this] { arrive(m_random.below(m_entries.size()), true); });
             }
@@ -101,22 +101,23 @@
         }
         const TreePtr tree = std::make_shared<Tree>();
         tree->entry = entry;
-        tree->letIn = admission.letIn(m_time.now(), TRAY);
-        tree->usage.service = PLANNER;
+        tree->admittedShare = admission.admittedShare(m_time.now(), TARGET);
+        tree->usage.service = BOTTLENECK;
         tree->usage.calls = 0;
         m_time.schedule(OTHER_WORK, [this, tree] { startBatch(tree); });
     }
 
     void startBatch(const TreePtr &tree)
     {
-        tree->open = CALLS_IN_BATCH;
+        tree->openCalls = CALLS_IN_BATCH;
         for (std::uint32_t i = 0; i < CALLS_IN_BATCH; ++i) {
             const std::size_t gate = m_random.below(GATES);
             const CallId id(++m_lastCall);
             m_calls[id] = tree;
             perform(gate,
                     m_gates[gate]->offer(
-                        m_time.now(), { id, Rank(1000), m_time.now() + CALL_LIMIT, tree->letIn }));
+                        m_time.now(),
+                        { id, Rank(1000), m_time.now() + CALL_TIMEOUT, tree->admittedShare }));
         }
     }
 
@@ -138,17 +139,17 @@
         }
     }
 
-    void endCall(std::size_t gate, CallId id, bool isWhole)
+    void endCall(std::size_t gate, CallId id, bool isSuccess)
     {
         const TreePtr tree = m_calls[id];
         m_calls.erase(id);
         ++tree->usage.calls;
         tree->loads += m_gates[gate]->load(m_time.now()).demand.value();
-        tree->isBroken = tree->isBroken || !isWhole;
-        if (--tree->open > 0) {
+        tree->isFailed = tree->isFailed || !isSuccess;
+        if (--tree->openCalls > 0) {
             return;
         }
-        if (!tree->isBroken && ++tree->batch < BATCHES) {
+        if (!tree->isFailed && ++tree->batch < BATCHES) {
             m_time.schedule(OTHER_WORK, [this, tree] { startBatch(tree); });
             return;
         }
@@ -159,9 +160,9 @@
     {
         tree.usage.load = DemandLoad(static_cast<std::uint32_t>(tree.loads / tree.usage.calls));
         IRootAdmission &admission = *m_entries[tree.entry];
-        admission.onEnd(m_time.now(), TRAY, { tree.usage }, !tree.isBroken);
-        admission.onFinish(TRAY, tree.isBroken ? RootEnd::Failed : RootEnd::Whole);
-        m_whole += tree.isBroken ? 0 : 1;
+        admission.onAttemptEnd(m_time.now(), TARGET, { tree.usage }, !tree.isFailed);
+        admission.onRequestEnd(TARGET, tree.isFailed ? RootResult::Failure : RootResult::Success);
+        m_completed += tree.isFailed ? 0 : 1;
     }
 
     SeededRandom m_random{ 8 };
@@ -171,39 +172,39 @@
     std::vector<std::unique_ptr<IGate>> m_gates;
     std::map<CallId, TreePtr> m_calls;
     std::uint64_t m_lastCall = 0;
-    std::size_t m_whole = 0;
+    std::size_t m_completed = 0;
 };
 
 } // namespace
 
 TEST_GROUP(ManyEntries){};
 
-// 1. Callers ask for one and a half times, then for three times, of what a narrow service can take.
-//    Their requests come to 95 entries, of which each sees a few in a second.
-// 2. An entry that counts reports believes a load that is seconds old. All let in too much, and
-//    trees fail half way; then all let in too little, long after there is room again.
-// 3. For eight seconds callers get a quarter less than the service can give: 0.72 of it in the
-// worst
-//    two seconds with loads by the count of reports, 0.86 with loads by their age.
-TEST(ManyEntries, KeepANarrowServiceEvenlyFull)
+// 1. The demand is up to three times the capacity of a bottleneck service. The requests arrive at
+//    95 entry daemons, each of which sees a few per second.
+// 2. An entry daemon that weights reports only by their number uses a load that is seconds old. All
+//    admit too much, and call trees fail; then all admit too little, long after there is capacity
+//    again.
+// 3. For eight seconds callers get a quarter less than the capacity: 0.72 of it in the worst two
+//    seconds if loads are weighted by the number of reports, 0.86 if weighted by their age.
+TEST(ManyEntries, KeepABottleneckServiceSteadilyUtilized)
 {
-    constexpr int RAMP = 3;
+    constexpr int WARM_UP_WINDOWS = 3;
     constexpr int WINDOWS = 20;
-    constexpr double LEAST = 0.8;
+    constexpr double MIN_SHARE = 0.8;
     for (const double load : { 1.15, 1.5, 3.0 }) {
         Model model(95, load);
-        for (int i = 0; i < RAMP; ++i) {
+        for (int i = 0; i < WARM_UP_WINDOWS; ++i) {
             model.runWindow();
         }
-        for (int i = RAMP; i < WINDOWS; ++i) {
-            CHECK(model.runWindow() >= LEAST);
+        for (int i = WARM_UP_WINDOWS; i < WINDOWS; ++i) {
+            CHECK(model.runWindow() >= MIN_SHARE);
         }
     }
 }
 
-TEST(ManyEntries, AreNoWorseThanAFew)
+TEST(ManyEntries, ReachTheThroughputOfFewEntries)
 {
-    constexpr int RAMP = 5;
+    constexpr int WARM_UP_WINDOWS = 5;
     constexpr int WINDOWS = 20;
     constexpr double TOLERANCE = 0.03;
     Model few(16, 2);
@@ -213,8 +214,8 @@
     for (int i = 0; i < WINDOWS; ++i) {
         const double a = few.runWindow();
         const double b = many.runWindow();
-        ofFew += i < RAMP ? 0 : a;
-        ofMany += i < RAMP ? 0 : b;
+        ofFew += i < WARM_UP_WINDOWS ? 0 : a;
+        ofMany += i < WARM_UP_WINDOWS ? 0 : b;
     }
     CHECK(ofMany / ofFew > 1 - TOLERANCE);
 }
