--- a/src/app/internal/accounts/accountservice.cpp
+++ b/src/app/internal/accounts/accountservice.cpp
@@ -125,7 +125,7 @@
 
 void AccountService::sendAll()
 {
-    for (const AccountSend &send : m_limits->takeSends()) {
+    for (const OutgoingAccountMessage &send : m_limits->takeOutgoing()) {
         m_observers.metrics.add(Counter::AccountMessages);
         m_send(send.to, encodeAccountMessage(send.message));
     }
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -83,7 +83,7 @@
     virtual void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                          std::vector<AccountName> &granted) = 0;
     /// What is to be sent now.
-    virtual AccountSends takeSends() = 0;
+    virtual OutgoingAccountMessages takeOutgoing() = 0;
     virtual std::vector<AccountStanding> standings(TimePoint now) const = 0;
 };
 
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -26,10 +26,10 @@
 }
 
 /// Rounded down, so that the shares of all entries do not add up to more than the whole.
-RateShare shareOf(double part)
+RateShare shareOf(double grant)
 {
     return RateShare(
-        static_cast<std::uint32_t>(std::floor(part * static_cast<double>(WHOLE_RATE.value()))));
+        static_cast<std::uint32_t>(std::floor(grant * static_cast<double>(WHOLE_RATE.value()))));
 }
 
 } // namespace
@@ -45,52 +45,52 @@
 {
 }
 
-AccountPart AccountHome::give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
-                              const AccountDemand &demand)
+TokenGrant AccountHome::give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
+                             const TokenDemand &demand)
 {
     m_askedAt = now;
     forget(now);
     refill(now, limit);
     hear(now, entry, demand);
     Holder &holder = m_holders[entry];
-    AccountPart part;
-    part.account = demand.account;
-    part.units = unitsFor(demand);
-    m_level -= part.units;
+    TokenGrant grant;
+    grant.account = demand.account;
+    grant.units = unitsFor(demand);
+    m_level -= grant.units;
     // Requests that wait use theirs at once.
-    holder.units += part.units - std::min(part.units, demand.waiting);
-    if (part.units < demand.waiting) {
-        part.emptyFor = emptyFor(now, limit);
-        holder.emptyUntil = now + part.emptyFor;
+    holder.units += grant.units - std::min(grant.units, demand.waiting);
+    if (grant.units < demand.waiting) {
+        grant.emptyFor = emptyFor(now, limit);
+        holder.emptyUntil = now + grant.emptyFor;
     }
-    part.retryAfter = returnTime(limit);
-    part.lease = lease(now, holder);
-    part.leaseLife = m_isDeputy ? demand.leaseLeft : m_options.leaseLife;
-    return part;
+    grant.retryAfter = returnTime(limit);
+    grant.lease = lease(now, holder);
+    grant.leaseLife = m_isDeputy ? demand.leaseLeft : m_options.leaseLife;
+    return grant;
 }
 
-void AccountHome::hear(TimePoint now, const DaemonId &entry, const AccountDemand &demand)
+void AccountHome::hear(TimePoint now, const DaemonId &entry, const TokenDemand &demand)
 {
     Holder &holder = m_holders[entry];
     holder.units = demand.held;
     holder.rate = demand.rate;
-    holder.usualRate = demand.usualRate;
+    holder.longTermRate = demand.longTermRate;
     holder.lease = demand.leaseLeft > Duration::zero() ? partOf(demand.lease) : 0;
     holder.leaseUntil = now + demand.leaseLeft + m_options.leaseMargin;
     holder.askedAt = now;
     m_level += demand.returned;
-    settle(holder, demand.unasked);
+    settle(holder, demand.locallyAdmitted);
 }
 
 /// What it let in by its lease, while this daemon gave the whole rate to others, is taken from what
 /// comes next: an entry that loses some messages may do so all the time.
-void AccountHome::settle(Holder &holder, std::uint32_t unasked)
+void AccountHome::settle(Holder &holder, std::uint32_t locallyAdmitted)
 {
-    const std::uint32_t before = holder.unasked.value_or(unasked);
-    const double more = unasked > before ? unasked - before : 0;
+    const std::uint32_t before = holder.locallyAdmitted.value_or(locallyAdmitted);
+    const double more = locallyAdmitted > before ? locallyAdmitted - before : 0;
     m_level = std::max(m_level - std::max(more - holder.leftToIt, 0.0), -m_burst);
     holder.leftToIt = 0;
-    holder.unasked = unasked;
+    holder.locallyAdmitted = locallyAdmitted;
 }
 
 /// What entries have at hand counts as if it were still in the bucket. Half of what operators
@@ -118,13 +118,13 @@
     return (m_options.tolerance.slack + m_options.tolerance.overage * limit.burst) / 2;
 }
 
-std::uint32_t AccountHome::unitsFor(const AccountDemand &demand) const
+std::uint32_t AccountHome::unitsFor(const TokenDemand &demand) const
 {
     const double urgent = std::min<double>(demand.waiting, std::floor(m_level));
     const double left = m_level - urgent;
     const bool isLow = left < LOW_LEVEL * m_capacity;
-    const double spare = isLow ? 0 : std::min<double>(demand.spare, std::floor(left / 2));
-    return static_cast<std::uint32_t>(std::max(urgent + spare, 0.0));
+    const double prefetch = isLow ? 0 : std::min<double>(demand.prefetch, std::floor(left / 2));
+    return static_cast<std::uint32_t>(std::max(urgent + prefetch, 0.0));
 }
 
 /// Entries that were told to wait come in turn.
@@ -151,8 +151,8 @@
     if (m_isDeputy) {
         return shareOf(holder.lease);
     }
-    const double all = usualRate();
-    const double wanted = all > 0 ? holder.usualRate / all : 0;
+    const double all = longTermRate();
+    const double wanted = all > 0 ? holder.longTermRate / all : 0;
     double free = isNew(now) ? 0 : 1;
     for (const auto &[daemon, each] : m_holders) {
         free -= isNew(now) ? 0 : each.lease;
@@ -208,7 +208,7 @@
 /// others already let in what their leases allow.
 bool AccountHome::isSilent(TimePoint now, const Holder &holder) const
 {
-    const Duration expected = secondsOf(m_options.missedAsks / std::max(holder.usualRate, 1e-3));
+    const Duration expected = secondsOf(m_options.missedAsks / std::max(holder.longTermRate, 1e-3));
     return now - holder.askedAt > std::max(expected, m_options.shortestSilence);
 }
 
@@ -221,11 +221,11 @@
     return rate;
 }
 
-double AccountHome::usualRate() const
+double AccountHome::longTermRate() const
 {
     double rate = 0;
     for (const auto &[daemon, holder] : m_holders) {
-        rate += holder.usualRate;
+        rate += holder.longTermRate;
     }
     return rate;
 }
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -17,8 +17,8 @@
     AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
                 const AccountPlaces &places);
 
-    AccountPart give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
-                     const AccountDemand &demand);
+    TokenGrant give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
+                    const TokenDemand &demand);
     /// When an entry last asked.
     TimePoint askedAt() const { return m_askedAt; }
 
@@ -27,12 +27,12 @@
     {
         double units = 0;
         double rate = 0;
-        double usualRate = 0;
+        double longTermRate = 0;
         /// The largest lease that it may believe in.
         double lease = 0;
         TimePoint leaseUntil;
         /// As it told when it asked last; nothing before.
-        std::optional<std::uint32_t> unasked;
+        std::optional<std::uint32_t> locallyAdmitted;
         /// Units that were left to it since.
         double leftToIt = 0;
         TimePoint askedAt;
@@ -40,10 +40,10 @@
     };
 
     void refill(TimePoint now, const AccountLimit &limit);
-    void settle(Holder &holder, std::uint32_t unasked);
-    void hear(TimePoint now, const DaemonId &entry, const AccountDemand &demand);
+    void settle(Holder &holder, std::uint32_t locallyAdmitted);
+    void hear(TimePoint now, const DaemonId &entry, const TokenDemand &demand);
     double spareUnits(const AccountLimit &limit) const;
-    std::uint32_t unitsFor(const AccountDemand &demand) const;
+    std::uint32_t unitsFor(const TokenDemand &demand) const;
     Duration emptyFor(TimePoint now, const AccountLimit &limit) const;
     Duration returnTime(const AccountLimit &limit) const;
     RateShare lease(TimePoint now, Holder &holder);
@@ -51,7 +51,7 @@
     double mandate(TimePoint now) const;
     bool isNew(TimePoint now) const { return now - m_since < m_options.leaseLife; }
     double askedRate() const;
-    double usualRate() const;
+    double longTermRate() const;
     double heldUnits() const;
     template <typename IsWanted> double leasesIf(const IsWanted &isWanted) const;
     /// Leases of the entries that can reach this daemon.
--- a/src/coordination/accounts/internal/accountstock.cpp
+++ b/src/coordination/accounts/internal/accountstock.cpp
@@ -14,14 +14,14 @@
 {
     // As though nobody had asked before: the first request alone tells of no rate.
     m_demand.add(now - options.memory, 0, options.memory);
-    m_usualDemand.add(now - options.leaseLife, 0, options.leaseLife);
+    m_longTermDemand.add(now - options.leaseLife, 0, options.leaseLife);
 }
 
 void AccountStock::noteDemand(TimePoint now)
 {
     m_usedAt = now;
     m_demand.add(now, 1, m_options.memory);
-    m_usualDemand.add(now, 1, m_options.leaseLife);
+    m_longTermDemand.add(now, 1, m_options.leaseLife);
 }
 
 void AccountStock::noteRefused(TimePoint now)
@@ -52,7 +52,7 @@
         return false;
     }
     m_ofLease -= 1;
-    ++m_unasked;
+    ++m_locallyAdmitted;
     return true;
 }
 
@@ -73,23 +73,23 @@
     return m_units < std::max(aim / 2, std::min(aim, 1.0));
 }
 
-AccountDemand AccountStock::demand(TimePoint now, const AccountName &account,
-                                   const AccountLimit &limit, std::uint32_t waiting)
+TokenDemand AccountStock::demand(TimePoint now, const AccountName &account,
+                                 const AccountLimit &limit, std::uint32_t waiting)
 {
     expire(now);
     const double aim = wanted(now, limit);
     const double excess = std::floor(std::max(m_units - std::max(2 * aim, 1.0), 0.0));
     m_units -= excess;
-    AccountDemand demand;
+    TokenDemand demand;
     demand.account = account;
     demand.waiting = waiting;
-    demand.spare = static_cast<std::uint32_t>(std::ceil(std::max(aim - m_units, 0.0)));
+    demand.prefetch = static_cast<std::uint32_t>(std::ceil(std::max(aim - m_units, 0.0)));
     demand.held = static_cast<std::uint32_t>(m_units);
     demand.returned = static_cast<std::uint32_t>(excess);
     demand.rate = demandRate(now);
-    demand.usualRate = m_usualDemand.rate(now, m_options.leaseLife);
+    demand.longTermRate = m_longTermDemand.rate(now, m_options.leaseLife);
     demand.lease = m_lease;
-    demand.unasked = m_unasked;
+    demand.locallyAdmitted = m_locallyAdmitted;
     demand.leaseLeft =
         std::max(std::chrono::duration_cast<Duration>(m_leaseUntil - now), Duration::zero());
     return demand;
@@ -110,7 +110,7 @@
     return asked;
 }
 
-bool AccountStock::receive(TimePoint now, const AccountPart &part)
+bool AccountStock::receive(TimePoint now, const TokenGrant &grant)
 {
     const TimePoint sentAt = m_question->sentAt;
     const bool isOfDeputy = m_question->isForDeputy;
@@ -118,14 +118,14 @@
     if (now - sentAt > m_options.grantLife) {
         return false;
     }
-    m_units += part.units;
-    m_unasked += isOfDeputy ? part.units : 0;
+    m_units += grant.units;
+    m_locallyAdmitted += isOfDeputy ? grant.units : 0;
     m_grantedAt = now;
-    m_lease = part.lease;
+    m_lease = grant.lease;
     // From when it was asked for: the home's own count of that time begins no earlier.
-    m_leaseUntil = sentAt + part.leaseLife;
-    m_emptyUntil = now + part.emptyFor;
-    m_retryAfter = part.retryAfter;
+    m_leaseUntil = sentAt + grant.leaseLife;
+    m_emptyUntil = now + grant.emptyFor;
+    m_retryAfter = grant.retryAfter;
     return true;
 }
 
--- a/src/coordination/accounts/internal/accountstock.h
+++ b/src/coordination/accounts/internal/accountstock.h
@@ -32,8 +32,8 @@
 
     /// Whether units are to be asked for ahead of need.
     bool isLow(TimePoint now, const AccountLimit &limit) const;
-    AccountDemand demand(TimePoint now, const AccountName &account, const AccountLimit &limit,
-                         std::uint32_t waiting);
+    TokenDemand demand(TimePoint now, const AccountName &account, const AccountLimit &limit,
+                       std::uint32_t waiting);
 
     /// The question that has no answer yet.
     struct Question
@@ -51,7 +51,7 @@
     TimePoint emptyUntil() const { return m_emptyUntil; }
     Duration retryAfter() const { return m_retryAfter; }
     /// The answer to the question; false if it came too late.
-    bool receive(TimePoint now, const AccountPart &part);
+    bool receive(TimePoint now, const TokenGrant &grant);
 
 private:
     double wanted(TimePoint now, const AccountLimit &limit) const;
@@ -61,7 +61,7 @@
 
     const AccountLimitOptions &m_options;
     DemandRate m_demand;
-    DemandRate m_usualDemand;
+    DemandRate m_longTermDemand;
     DemandRate m_refused;
     TimePoint m_usedAt;
     double m_units = 0;
@@ -69,7 +69,7 @@
     RateShare m_lease;
     TimePoint m_leaseUntil;
     double m_ofLease = 0;
-    std::uint32_t m_unasked = 0;
+    std::uint32_t m_locallyAdmitted = 0;
     TimePoint m_leaseFilledAt;
     std::optional<Question> m_question;
     TimePoint m_emptyUntil;
--- a/src/coordination/accounts/internal/equalaccountlimits.h
+++ b/src/coordination/accounts/internal/equalaccountlimits.h
@@ -21,7 +21,7 @@
     void giveBack(TimePoint now, const AccountName &account) override;
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
-    AccountSends takeSends() override { return {}; }
+    OutgoingAccountMessages takeOutgoing() override { return {}; }
     std::vector<AccountStanding> standings(TimePoint now) const override;
 
 private:
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -134,12 +134,12 @@
     }
     const bool isForDeputy = *asked != m_places.homeOf(account);
     stock.noteAsked({ ++m_lastNumber, *asked, isForDeputy, now });
-    const AccountDemand demand = stock.demand(now, account, limit, waiting);
+    const TokenDemand demand = stock.demand(now, account, limit, waiting);
     if (*asked == m_places.self()) {
         stock.receive(now, answer(now, *asked, isForDeputy, demand));
         return;
     }
-    m_sends.push_back({ *asked, AccountAsk{ m_lastNumber, isForDeputy, { demand } } });
+    m_outgoing.push_back({ *asked, TokenRequest{ m_lastNumber, isForDeputy, { demand } } });
 }
 
 std::optional<DaemonId> SharedAccountLimits::whomToAsk(TimePoint now,
@@ -167,16 +167,16 @@
     }
 }
 
-AccountPart SharedAccountLimits::answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
-                                        const AccountDemand &demand)
+TokenGrant SharedAccountLimits::answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
+                                       const TokenDemand &demand)
 {
     const AccountLimit *limit = limitOf(demand.account);
     const bool isHome = m_places.homeOf(demand.account) == m_places.self();
     if (!limit || (!isHome && !isForDeputy)) {
-        AccountPart part;
-        part.account = demand.account;
-        part.isFromHome = false;
-        return part;
+        TokenGrant grant;
+        grant.account = demand.account;
+        grant.isFromHome = false;
+        return grant;
     }
     auto &homes = isHome ? m_homes : m_deputies;
     const TimePoint since = isHome ? m_places.changedAt() : now;
@@ -190,46 +190,47 @@
 void SharedAccountLimits::receive(TimePoint now, const DaemonId &from,
                                   const AccountMessage &message, std::vector<AccountName> &granted)
 {
-    if (const auto *grant = std::get_if<AccountGrant>(&message)) {
-        receiveGrant(now, from, *grant, granted);
+    if (const auto *response = std::get_if<TokenResponse>(&message)) {
+        receiveResponse(now, from, *response, granted);
         return;
     }
-    const auto &ask = std::get<AccountAsk>(message);
-    AccountGrant grant;
-    grant.number = ask.number;
-    for (const AccountDemand &demand : ask.demands) {
-        grant.parts.push_back(answer(now, from, ask.isForDeputy, demand));
+    const auto &request = std::get<TokenRequest>(message);
+    TokenResponse response;
+    response.number = request.number;
+    for (const TokenDemand &demand : request.demands) {
+        response.grants.push_back(answer(now, from, request.isForDeputy, demand));
     }
-    m_sends.push_back({ from, std::move(grant) });
+    m_outgoing.push_back({ from, std::move(response) });
 }
 
-void SharedAccountLimits::receiveGrant(TimePoint now, const DaemonId &from,
-                                       const AccountGrant &grant, std::vector<AccountName> &granted)
+void SharedAccountLimits::receiveResponse(TimePoint now, const DaemonId &from,
+                                          const TokenResponse &response,
+                                          std::vector<AccountName> &granted)
 {
     m_silences.erase(from);
-    for (const AccountPart &part : grant.parts) {
-        const auto found = m_stocks.find(part.account);
+    for (const TokenGrant &grant : response.grants) {
+        const auto found = m_stocks.find(grant.account);
         if (found == m_stocks.end()) {
             continue;
         }
         AccountStock &stock = found->second;
         const auto &question = stock.question();
-        if (!question || question->number != grant.number || question->asked != from) {
+        if (!question || question->number != response.number || question->asked != from) {
             continue;
         }
-        if (stock.receive(now, part)) {
-            granted.push_back(part.account);
+        if (stock.receive(now, grant)) {
+            granted.push_back(grant.account);
         }
-        if (!part.isFromHome) {
+        if (!grant.isFromHome) {
             // Either daemon has not heard yet who is there.
             m_silences[from].until = now + m_options.askTimeout;
         }
     }
 }
 
-AccountSends SharedAccountLimits::takeSends()
+OutgoingAccountMessages SharedAccountLimits::takeOutgoing()
 {
-    return std::exchange(m_sends, {});
+    return std::exchange(m_outgoing, {});
 }
 
 void SharedAccountLimits::giveBack(TimePoint now, const AccountName &account)
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -22,7 +22,7 @@
     void giveBack(TimePoint now, const AccountName &account) override;
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
-    AccountSends takeSends() override;
+    OutgoingAccountMessages takeOutgoing() override;
     std::vector<AccountStanding> standings(TimePoint now) const override;
 
 private:
@@ -44,10 +44,10 @@
     std::optional<DaemonId> whomToAsk(TimePoint now, const AccountName &account) const;
     bool isSilent(TimePoint now, const DaemonId &daemon) const;
     void noteUnanswered(TimePoint now, const DaemonId &daemon);
-    AccountPart answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
-                       const AccountDemand &demand);
-    void receiveGrant(TimePoint now, const DaemonId &from, const AccountGrant &grant,
-                      std::vector<AccountName> &granted);
+    TokenGrant answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
+                      const TokenDemand &demand);
+    void receiveResponse(TimePoint now, const DaemonId &from, const TokenResponse &response,
+                         std::vector<AccountName> &granted);
     void forget(TimePoint now);
 
     IRandom &m_random;
@@ -59,7 +59,7 @@
     std::unordered_map<AccountName, AccountHome> m_homes;
     std::unordered_map<AccountName, AccountHome> m_deputies;
     std::unordered_map<DaemonId, Silence> m_silences;
-    AccountSends m_sends;
+    OutgoingAccountMessages m_outgoing;
     std::uint32_t m_lastNumber = 0;
     TimePoint m_forgotAt;
 };
--- a/src/coordination/accounts/tests/mocks/accountfleet.h
+++ b/src/coordination/accounts/tests/mocks/accountfleet.h
@@ -394,7 +394,7 @@
 
     void post(std::size_t from)
     {
-        for (AccountSend &send : m_nodes[from]->limits->takeSends()) {
+        for (OutgoingAccountMessage &send : m_nodes[from]->limits->takeOutgoing()) {
             const std::size_t to = indexOf(send.to);
             ++m_messages;
             if (areLinked(from, to) && m_random.unit() >= m_terms.lossShare) {
--- a/src/protocol/internal/accountexchange.cpp
+++ b/src/protocol/internal/accountexchange.cpp
@@ -33,23 +33,23 @@
     return std::uint64_t(std::max<Duration::rep>(duration.count(), 0));
 }
 
-PackedFields writeDemand(const AccountDemand &demand)
+PackedFields writeDemand(const TokenDemand &demand)
 {
     FieldWriter writer;
     writer.add(demand.account)
         .add(std::uint64_t(demand.waiting))
-        .add(std::uint64_t(demand.spare))
+        .add(std::uint64_t(demand.prefetch))
         .add(std::uint64_t(demand.held))
         .add(std::uint64_t(demand.returned))
         .add(std::uint64_t(std::llround(demand.rate * MILLI)))
-        .add(std::uint64_t(std::llround(demand.usualRate * MILLI)))
+        .add(std::uint64_t(std::llround(demand.longTermRate * MILLI)))
         .add(demand.lease)
         .add(microsOf(demand.leaseLeft))
-        .add(std::uint64_t(demand.unasked));
+        .add(std::uint64_t(demand.locallyAdmitted));
     return writer.take();
 }
 
-PackedFields writePart(const AccountPart &part)
+PackedFields writePart(const TokenGrant &part)
 {
     FieldWriter writer;
     writer.add(part.account)
@@ -62,20 +62,20 @@
     return writer.take();
 }
 
-std::string encodeOne(const AccountAsk &ask)
+std::string encodeOne(const TokenRequest &ask)
 {
     FieldWriter writer = startMessage(MessageKind::Ask, ask.number);
     writer.add(ask.isForDeputy);
-    for (const AccountDemand &demand : ask.demands) {
+    for (const TokenDemand &demand : ask.demands) {
         writer.add(writeDemand(demand));
     }
     return writer.take().bytes;
 }
 
-std::string encodeOne(const AccountGrant &grant)
+std::string encodeOne(const TokenResponse &grant)
 {
     FieldWriter writer = startMessage(MessageKind::Grant, grant.number);
-    for (const AccountPart &part : grant.parts) {
+    for (const TokenGrant &part : grant.grants) {
         writer.add(writePart(part));
     }
     return writer.take().bytes;
@@ -111,25 +111,25 @@
     rate = millis / MILLI;
 }
 
-AccountDemand readDemand(FieldReader &reader)
+TokenDemand readDemand(FieldReader &reader)
 {
-    AccountDemand demand;
+    TokenDemand demand;
     readAccount(reader, demand.account);
     reader.read(demand.waiting);
-    reader.read(demand.spare);
+    reader.read(demand.prefetch);
     reader.read(demand.held);
     reader.read(demand.returned);
     readRate(reader, demand.rate);
-    readRate(reader, demand.usualRate);
+    readRate(reader, demand.longTermRate);
     readLease(reader, demand.lease);
     readMicros(reader, demand.leaseLeft);
-    reader.read(demand.unasked);
+    reader.read(demand.locallyAdmitted);
     return demand;
 }
 
-AccountPart readPart(FieldReader &reader)
+TokenGrant readPart(FieldReader &reader)
 {
-    AccountPart part;
+    TokenGrant part;
     readAccount(reader, part.account);
     reader.read(part.isFromHome);
     reader.read(part.units);
@@ -162,15 +162,15 @@
 AccountMessage readBody(MessageKind kind, FieldReader &reader)
 {
     if (kind == MessageKind::Ask) {
-        AccountAsk ask;
+        TokenRequest ask;
         reader.read(ask.number);
         reader.read(ask.isForDeputy);
         readItems(reader, ask.demands, readDemand);
         return ask;
     }
-    AccountGrant grant;
+    TokenResponse grant;
     reader.read(grant.number);
-    readItems(reader, grant.parts, readPart);
+    readItems(reader, grant.grants, readPart);
     return grant;
 }
 
--- a/src/protocol/tests/accountexchangetest.cpp
+++ b/src/protocol/tests/accountexchangetest.cpp
@@ -8,37 +8,37 @@
 
 TEST_GROUP(AccountExchange)
 {
-    AccountDemand m_demand{ AccountName("kitchen"), 2, 3, 4, 5, 1.5, 0.25, RateShare(7000), 9s, 8 };
-    AccountPart m_part{ AccountName("kitchen"), true, 6, 20ms, 300ms, RateShare(12), 10s };
+    TokenDemand m_demand{ AccountName("kitchen"), 2, 3, 4, 5, 1.5, 0.25, RateShare(7000), 9s, 8 };
+    TokenGrant m_part{ AccountName("kitchen"), true, 6, 20ms, 300ms, RateShare(12), 10s };
 };
 
 TEST(AccountExchange, AnAskIsReadAsItWasWritten)
 {
     const auto read = decodeAccountMessage(
-        encodeAccountMessage(AccountAsk{ 41, true, { m_demand, AccountDemand() } }));
-    const auto &ask = std::get<AccountAsk>(*read);
+        encodeAccountMessage(TokenRequest{ 41, true, { m_demand, TokenDemand() } }));
+    const auto &ask = std::get<TokenRequest>(*read);
     CHECK_EQUAL(41, ask.number);
     CHECK(ask.isForDeputy);
     CHECK_EQUAL(2, ask.demands.size());
-    const AccountDemand &demand = ask.demands.front();
+    const TokenDemand &demand = ask.demands.front();
     CHECK(demand.account == m_demand.account);
     CHECK_EQUAL(2, demand.waiting);
-    CHECK_EQUAL(3, demand.spare);
+    CHECK_EQUAL(3, demand.prefetch);
     CHECK_EQUAL(4, demand.held);
     CHECK_EQUAL(5, demand.returned);
     DOUBLES_EQUAL(1.5, demand.rate, 0.001);
-    DOUBLES_EQUAL(0.25, demand.usualRate, 0.001);
+    DOUBLES_EQUAL(0.25, demand.longTermRate, 0.001);
     CHECK(demand.lease == RateShare(7000));
     CHECK(demand.leaseLeft == 9s);
-    CHECK_EQUAL(8, demand.unasked);
+    CHECK_EQUAL(8, demand.locallyAdmitted);
 }
 
 TEST(AccountExchange, AGrantIsReadAsItWasWritten)
 {
-    const auto read = decodeAccountMessage(encodeAccountMessage(AccountGrant{ 42, { m_part } }));
-    const auto &grant = std::get<AccountGrant>(*read);
+    const auto read = decodeAccountMessage(encodeAccountMessage(TokenResponse{ 42, { m_part } }));
+    const auto &grant = std::get<TokenResponse>(*read);
     CHECK_EQUAL(42, grant.number);
-    const AccountPart &part = grant.parts.at(0);
+    const TokenGrant &part = grant.grants.at(0);
     CHECK(part.isFromHome);
     CHECK_EQUAL(6, part.units);
     CHECK(part.emptyFor == 20ms);
@@ -51,12 +51,12 @@
 TEST(AccountExchange, ALeaseOfMoreThanTheWholeRateIsMalformed)
 {
     m_part.lease = RateShare(WHOLE_RATE.value() + 1);
-    CHECK_FALSE(decodeAccountMessage(encodeAccountMessage(AccountGrant{ 1, { m_part } })));
+    CHECK_FALSE(decodeAccountMessage(encodeAccountMessage(TokenResponse{ 1, { m_part } })));
 }
 
 TEST(AccountExchange, WhatIsCutShortIsMalformed)
 {
-    const std::string whole = encodeAccountMessage(AccountAsk{ 41, false, { m_demand } });
+    const std::string whole = encodeAccountMessage(TokenRequest{ 41, false, { m_demand } });
     for (std::size_t size = 0; size < whole.size(); ++size) {
         CHECK_FALSE(decodeAccountMessage(whole.substr(0, size)).has_value());
     }
@@ -64,8 +64,8 @@
 
 TEST(AccountExchange, OtherExchangesAreToldApart)
 {
-    CHECK(isAccountMessage(encodeAccountMessage(AccountGrant{ 1, {} })));
-    CHECK_FALSE(isSuspectMessage(encodeAccountMessage(AccountGrant{ 1, {} })));
+    CHECK(isAccountMessage(encodeAccountMessage(TokenResponse{ 1, {} })));
+    CHECK_FALSE(isSuspectMessage(encodeAccountMessage(TokenResponse{ 1, {} })));
     const std::string other = encodeSuspectMessage(SuspectDigest{}, TimePoint());
     CHECK_FALSE(isAccountMessage(other));
     CHECK(decodeAccountMessage(other).error().code == ErrorCode::NotFound);
