--- a/src/coordination/accounts/accountmessages.h
+++ b/src/coordination/accounts/accountmessages.h
@@ -41,7 +41,7 @@
     AccountName account;
     /// False: the receiver is not the account's home, as far as it knows.
     bool isFromHome = true;
-    std::uint32_t units = 0;
+    std::uint32_t tokens = 0;
     /// Nothing will be given for this long; zero if all that was asked for was given.
     Duration emptyFor{ 0 };
     /// When callers that are refused are to come back.
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -55,11 +55,11 @@
     Holder &holder = m_holders[entry];
     TokenGrant grant;
     grant.account = demand.account;
-    grant.units = unitsFor(demand);
-    m_level -= grant.units;
+    grant.tokens = tokensFor(demand);
+    m_level -= grant.tokens;
     // Requests that wait use theirs at once.
-    holder.units += grant.units - std::min(grant.units, demand.waiting);
-    if (grant.units < demand.waiting) {
+    holder.tokens += grant.tokens - std::min(grant.tokens, demand.waiting);
+    if (grant.tokens < demand.waiting) {
         grant.emptyFor = emptyFor(now, limit);
         holder.emptyUntil = now + grant.emptyFor;
     }
@@ -72,7 +72,7 @@
 void AccountHome::hear(TimePoint now, const DaemonId &entry, const TokenDemand &demand)
 {
     Holder &holder = m_holders[entry];
-    holder.units = demand.held;
+    holder.tokens = demand.held;
     holder.rate = demand.rate;
     holder.longTermRate = demand.longTermRate;
     holder.lease = demand.leaseLeft > Duration::zero() ? partOf(demand.lease) : 0;
@@ -105,20 +105,20 @@
         holder.leftToIt += isSilent(now, holder) ? passed * limit.rate * holder.lease : 0;
     }
     if (!std::exchange(m_isBegun, true) && share < 1) {
-        m_level = spareUnits(limit) * m_places.shareOfDomain() / 2;
+        m_level = toleranceTokens(limit) * m_places.shareOfDomain() / 2;
     }
-    const double most = (limit.burst + spareUnits(limit)) * share;
-    m_capacity = std::max(most - heldUnits(), 0.0);
+    const double most = (limit.burst + toleranceTokens(limit)) * share;
+    m_capacity = std::max(most - heldTokens(), 0.0);
     m_level = std::min(m_level + passed * limit.rate * share, m_capacity);
 }
 
 /// A part of a bucket begins with something: it would else refuse what comes in its first moment.
-double AccountHome::spareUnits(const AccountLimit &limit) const
+double AccountHome::toleranceTokens(const AccountLimit &limit) const
 {
     return (m_options.tolerance.slack + m_options.tolerance.overage * limit.burst) / 2;
 }
 
-std::uint32_t AccountHome::unitsFor(const TokenDemand &demand) const
+std::uint32_t AccountHome::tokensFor(const TokenDemand &demand) const
 {
     const double urgent = std::min<double>(demand.waiting, std::floor(m_level));
     const double left = m_level - urgent;
@@ -230,13 +230,13 @@
     return rate;
 }
 
-double AccountHome::heldUnits() const
+double AccountHome::heldTokens() const
 {
-    double units = 0;
+    double tokens = 0;
     for (const auto &[daemon, holder] : m_holders) {
-        units += holder.units;
+        tokens += holder.tokens;
     }
-    return units;
+    return tokens;
 }
 
 void AccountHome::forget(TimePoint now)
@@ -244,10 +244,10 @@
     for (auto it = m_holders.begin(); it != m_holders.end();) {
         Holder &holder = it->second;
         if (now - holder.askedAt > m_options.stockLife + m_options.leaseMargin) {
-            holder.units = 0;
+            holder.tokens = 0;
             holder.rate = 0;
         }
-        const bool isOver = holder.units == 0 && now >= holder.leaseUntil;
+        const bool isOver = holder.tokens == 0 && now >= holder.leaseUntil;
         it = isOver ? m_holders.erase(it) : std::next(it);
     }
 }
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -25,7 +25,7 @@
 private:
     struct Holder
     {
-        double units = 0;
+        double tokens = 0;
         double rate = 0;
         double longTermRate = 0;
         /// The largest lease that it may believe in.
@@ -42,8 +42,8 @@
     void refill(TimePoint now, const AccountLimit &limit);
     void settle(Holder &holder, std::uint32_t locallyAdmitted);
     void hear(TimePoint now, const DaemonId &entry, const TokenDemand &demand);
-    double spareUnits(const AccountLimit &limit) const;
-    std::uint32_t unitsFor(const TokenDemand &demand) const;
+    double toleranceTokens(const AccountLimit &limit) const;
+    std::uint32_t tokensFor(const TokenDemand &demand) const;
     Duration emptyFor(TimePoint now, const AccountLimit &limit) const;
     Duration returnTime(const AccountLimit &limit) const;
     RateShare lease(TimePoint now, Holder &holder);
@@ -52,7 +52,7 @@
     bool isNew(TimePoint now) const { return now - m_since < m_options.leaseLife; }
     double askedRate() const;
     double longTermRate() const;
-    double heldUnits() const;
+    double heldTokens() const;
     template <typename IsWanted> double leasesIf(const IsWanted &isWanted) const;
     /// Leases of the entries that can reach this daemon.
     double leasesHere() const;
--- a/src/coordination/accounts/internal/accountstock.cpp
+++ b/src/coordination/accounts/internal/accountstock.cpp
@@ -32,45 +32,45 @@
 bool AccountStock::take(TimePoint now)
 {
     expire(now);
-    if (m_units < 1) {
+    if (m_tokens < 1) {
         return false;
     }
-    m_units -= 1;
+    m_tokens -= 1;
     return true;
 }
 
 void AccountStock::giveBack(TimePoint now)
 {
     expire(now);
-    m_units += 1;
+    m_tokens += 1;
 }
 
-bool AccountStock::takeOfLease(TimePoint now, const AccountLimit &limit)
+bool AccountStock::takeFromLease(TimePoint now, const AccountLimit &limit)
 {
     refillLease(now, limit);
-    if (m_ofLease < 1) {
+    if (m_leaseTokens < 1) {
         return false;
     }
-    m_ofLease -= 1;
+    m_leaseTokens -= 1;
     ++m_locallyAdmitted;
     return true;
 }
 
-std::optional<Duration> AccountStock::untilUnitOfLease(TimePoint now,
-                                                       const AccountLimit &limit) const
+std::optional<Duration> AccountStock::timeUntilLeaseToken(TimePoint now,
+                                                          const AccountLimit &limit) const
 {
     const double rate = leaseShare(now) * limit.rate;
     if (rate <= 0) {
         return std::nullopt;
     }
     constexpr double MICROS = 1e6;
-    return Duration(static_cast<Duration::rep>(std::max(1 - m_ofLease, 0.0) / rate * MICROS));
+    return Duration(static_cast<Duration::rep>(std::max(1 - m_leaseTokens, 0.0) / rate * MICROS));
 }
 
 bool AccountStock::isLow(TimePoint now, const AccountLimit &limit) const
 {
     const double aim = wanted(now, limit);
-    return m_units < std::max(aim / 2, std::min(aim, 1.0));
+    return m_tokens < std::max(aim / 2, std::min(aim, 1.0));
 }
 
 TokenDemand AccountStock::demand(TimePoint now, const AccountName &account,
@@ -78,13 +78,13 @@
 {
     expire(now);
     const double aim = wanted(now, limit);
-    const double excess = std::floor(std::max(m_units - std::max(2 * aim, 1.0), 0.0));
-    m_units -= excess;
+    const double excess = std::floor(std::max(m_tokens - std::max(2 * aim, 1.0), 0.0));
+    m_tokens -= excess;
     TokenDemand demand;
     demand.account = account;
     demand.waiting = waiting;
-    demand.prefetch = static_cast<std::uint32_t>(std::ceil(std::max(aim - m_units, 0.0)));
-    demand.held = static_cast<std::uint32_t>(m_units);
+    demand.prefetch = static_cast<std::uint32_t>(std::ceil(std::max(aim - m_tokens, 0.0)));
+    demand.held = static_cast<std::uint32_t>(m_tokens);
     demand.returned = static_cast<std::uint32_t>(excess);
     demand.rate = demandRate(now);
     demand.longTermRate = m_longTermDemand.rate(now, m_options.leaseLife);
@@ -118,8 +118,8 @@
     if (now - sentAt > m_options.grantLife) {
         return false;
     }
-    m_units += grant.units;
-    m_locallyAdmitted += isOfDeputy ? grant.units : 0;
+    m_tokens += grant.tokens;
+    m_locallyAdmitted += isOfDeputy ? grant.tokens : 0;
     m_grantedAt = now;
     m_lease = grant.lease;
     // From when it was asked for: the home's own count of that time begins no earlier.
@@ -155,13 +155,13 @@
     m_leaseFilledAt = now;
     const double share = leaseShare(now);
     const double most = std::max(1.0, share * limit.burst / 2);
-    m_ofLease = std::min(m_ofLease + passed * share * limit.rate, most);
+    m_leaseTokens = std::min(m_leaseTokens + passed * share * limit.rate, most);
 }
 
 void AccountStock::expire(TimePoint now)
 {
     if (now - m_grantedAt > m_options.stockLife) {
-        m_units = 0;
+        m_tokens = 0;
     }
 }
 
--- a/src/coordination/accounts/internal/accountstock.h
+++ b/src/coordination/accounts/internal/accountstock.h
@@ -26,9 +26,9 @@
     bool take(TimePoint now);
     void giveBack(TimePoint now);
     /// Takes a unit of what the lease allows while the home is silent.
-    bool takeOfLease(TimePoint now, const AccountLimit &limit);
+    bool takeFromLease(TimePoint now, const AccountLimit &limit);
     /// Until there is one; nothing if there is no lease.
-    std::optional<Duration> untilUnitOfLease(TimePoint now, const AccountLimit &limit) const;
+    std::optional<Duration> timeUntilLeaseToken(TimePoint now, const AccountLimit &limit) const;
 
     /// Whether units are to be asked for ahead of need.
     bool isLow(TimePoint now, const AccountLimit &limit) const;
@@ -64,11 +64,11 @@
     DemandRate m_longTermDemand;
     DemandRate m_refused;
     TimePoint m_usedAt;
-    double m_units = 0;
+    double m_tokens = 0;
     TimePoint m_grantedAt;
     RateShare m_lease;
     TimePoint m_leaseUntil;
-    double m_ofLease = 0;
+    double m_leaseTokens = 0;
     std::uint32_t m_locallyAdmitted = 0;
     TimePoint m_leaseFilledAt;
     std::optional<Question> m_question;
--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -38,12 +38,12 @@
     const double rate = limit->second.rate / m_daemons;
     const double most = std::max(1.0, limit->second.burst / m_daemons);
     const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - part.filledAt));
-    part.units = std::min(part.units + passed * rate, most);
+    part.tokens = std::min(part.tokens + passed * rate, most);
     part.filledAt = now;
-    if (part.units < 1) {
+    if (part.tokens < 1) {
         return AccountRuling{ AccountPass::Refuse, now, m_options.longestReturn / 3 };
     }
-    part.units -= 1;
+    part.tokens -= 1;
     return {};
 }
 
@@ -51,7 +51,7 @@
 {
     const auto found = m_parts.find(account);
     if (found != m_parts.end()) {
-        found->second.units += 1;
+        found->second.tokens += 1;
     }
 }
 
--- a/src/coordination/accounts/internal/equalaccountlimits.h
+++ b/src/coordination/accounts/internal/equalaccountlimits.h
@@ -27,7 +27,7 @@
 private:
     struct Part
     {
-        double units = 0;
+        double tokens = 0;
         TimePoint filledAt;
     };
 
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -84,7 +84,7 @@
         return {};
     }
     if (!whomToAsk(now, account)) {
-        return takeOfLease(now, limit, stock);
+        return takeFromLease(now, limit, stock);
     }
     if (stock.question()) {
         return AccountRuling{ AccountPass::Wait,
@@ -103,16 +103,16 @@
     return refuse(now, stock, stock.retryAfter());
 }
 
-AccountRuling SharedAccountLimits::takeOfLease(TimePoint now, const AccountLimit &limit,
-                                               AccountStock &stock)
+AccountRuling SharedAccountLimits::takeFromLease(TimePoint now, const AccountLimit &limit,
+                                                 AccountStock &stock)
 {
-    if (stock.takeOfLease(now, limit)) {
+    if (stock.takeFromLease(now, limit)) {
         return {};
     }
-    const Duration untilUnit =
-        stock.untilUnitOfLease(now, limit).value_or(m_options.longestReturn / 3);
+    const Duration timeUntilToken =
+        stock.timeUntilLeaseToken(now, limit).value_or(m_options.longestReturn / 3);
     return refuse(now, stock,
-                  std::clamp(untilUnit, m_options.shortestReturn, m_options.longestReturn));
+                  std::clamp(timeUntilToken, m_options.shortestReturn, m_options.longestReturn));
 }
 
 /// Spread by a quarter, so that callers that are refused together do not come back together.
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -36,7 +36,7 @@
     AccountRuling takeFromHome(TimePoint now, const AccountName &account, const AccountLimit &limit,
                                AccountStock &stock, TimePoint since);
     AccountRuling waitOrRefuse(TimePoint now, AccountStock &stock, TimePoint since);
-    AccountRuling takeOfLease(TimePoint now, const AccountLimit &limit, AccountStock &stock);
+    AccountRuling takeFromLease(TimePoint now, const AccountLimit &limit, AccountStock &stock);
     AccountRuling refuse(TimePoint now, AccountStock &stock, Duration retryAfter);
     void ask(TimePoint now, const AccountName &account, const AccountLimit &limit,
              AccountStock &stock, std::uint32_t waiting);
--- a/src/coordination/accounts/tests/mocks/accountfleet.h
+++ b/src/coordination/accounts/tests/mocks/accountfleet.h
@@ -55,7 +55,7 @@
         /// Of the largest limit within the window, the most that any window had over the bound;
         /// negative if all were below.
         double mostOver = -1e9;
-        double exactUnits = 0;
+        double exactTokens = 0;
         TimePoint exactAt;
         std::deque<TimePoint> recent;
         /// The limit that the bound goes by: a lower one binds one window after the change.
@@ -81,7 +81,7 @@
 
     void addAccount(Account account)
     {
-        account.exactUnits = account.limit.burst;
+        account.exactTokens = account.limit.burst;
         account.exactAt = m_now;
         account.boundRate = account.limit.rate;
         account.boundBurst = account.limit.burst;
@@ -329,11 +329,11 @@
         ++account.asked;
         const double passed =
             toSeconds(std::chrono::duration_cast<Duration>(m_now - account.exactAt));
-        account.exactUnits =
-            std::min(account.exactUnits + passed * account.limit.rate, account.limit.burst);
+        account.exactTokens =
+            std::min(account.exactTokens + passed * account.limit.rate, account.limit.burst);
         account.exactAt = m_now;
-        if (account.exactUnits >= 1) {
-            account.exactUnits -= 1;
+        if (account.exactTokens >= 1) {
+            account.exactTokens -= 1;
             ++account.owed;
         }
         ask(entry, Waiting{ index, clockOf(node), {} });
--- a/src/protocol/internal/accountexchange.cpp
+++ b/src/protocol/internal/accountexchange.cpp
@@ -54,7 +54,7 @@
     FieldWriter writer;
     writer.add(part.account)
         .add(part.isFromHome)
-        .add(std::uint64_t(part.units))
+        .add(std::uint64_t(part.tokens))
         .add(microsOf(part.emptyFor))
         .add(microsOf(part.retryAfter))
         .add(part.lease)
@@ -132,7 +132,7 @@
     TokenGrant part;
     readAccount(reader, part.account);
     reader.read(part.isFromHome);
-    reader.read(part.units);
+    reader.read(part.tokens);
     readMicros(reader, part.emptyFor);
     readMicros(reader, part.retryAfter);
     readLease(reader, part.lease);
--- a/src/protocol/tests/accountexchangetest.cpp
+++ b/src/protocol/tests/accountexchangetest.cpp
@@ -40,7 +40,7 @@
     CHECK_EQUAL(42, grant.number);
     const TokenGrant &part = grant.grants.at(0);
     CHECK(part.isFromHome);
-    CHECK_EQUAL(6, part.units);
+    CHECK_EQUAL(6, part.tokens);
     CHECK(part.emptyFor == 20ms);
     CHECK(part.retryAfter == 300ms);
     CHECK(part.lease == RateShare(12));
