--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -34,23 +34,23 @@
     if (limit == m_limits.end()) {
         return {};
     }
-    Part &part = m_parts.emplace(account, Part{ 1, now }).first->second;
+    Bucket &bucket = m_buckets.emplace(account, Bucket{ 1, now }).first->second;
     const double rate = limit->second.rate / m_daemons;
     const double most = std::max(1.0, limit->second.burst / m_daemons);
-    const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - part.filledAt));
-    part.tokens = std::min(part.tokens + passed * rate, most);
-    part.filledAt = now;
-    if (part.tokens < 1) {
+    const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - bucket.filledAt));
+    bucket.tokens = std::min(bucket.tokens + passed * rate, most);
+    bucket.filledAt = now;
+    if (bucket.tokens < 1) {
         return AccountRuling{ AccountPass::Refuse, now, m_options.longestReturn / 3 };
     }
-    part.tokens -= 1;
+    bucket.tokens -= 1;
     return {};
 }
 
 void EqualAccountLimits::giveBack(TimePoint /*now*/, const AccountName &account)
 {
-    const auto found = m_parts.find(account);
-    if (found != m_parts.end()) {
+    const auto found = m_buckets.find(account);
+    if (found != m_buckets.end()) {
         found->second.tokens += 1;
     }
 }
--- a/src/coordination/accounts/internal/equalaccountlimits.h
+++ b/src/coordination/accounts/internal/equalaccountlimits.h
@@ -25,7 +25,7 @@
     std::vector<AccountStanding> standings(TimePoint now) const override;
 
 private:
-    struct Part
+    struct Bucket
     {
         double tokens = 0;
         TimePoint filledAt;
@@ -33,7 +33,7 @@
 
     AccountLimitOptions m_options;
     AccountLimits m_limits;
-    std::unordered_map<AccountName, Part> m_parts;
+    std::unordered_map<AccountName, Bucket> m_buckets;
     double m_daemons = 0;
 };
 
