--- a/src/app/internal/accounts/accountservice.cpp
+++ b/src/app/internal/accounts/accountservice.cpp
@@ -72,16 +72,16 @@
 {
     const TimePoint since = m_loop.now();
     while (true) {
-        const AccountRuling ruling = m_limits->take(m_loop.now(), account, since);
+        const AccountDecision decision = m_limits->take(m_loop.now(), account, since);
         sendAll();
-        if (ruling.pass == AccountPass::Go) {
+        if (decision.action == AccountAction::Admit) {
             return std::nullopt;
         }
-        if (ruling.pass == AccountPass::Refuse) {
+        if (decision.action == AccountAction::Refuse) {
             m_observers.metrics.add(Counter::LimitRefusals);
-            return Verdict{ Outcome::NotRun, Reason::OverLimit, ruling.retryAfter };
+            return Verdict{ Outcome::NotRun, Reason::OverLimit, decision.retryAfter };
         }
-        waitFor(account, ruling.until);
+        waitFor(account, decision.until);
     }
 }
 
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -12,11 +12,11 @@
 
 namespace ivyspar {
 
-enum class AccountPass { Go, Wait, Refuse };
+enum class AccountAction { Admit, Wait, Refuse };
 
-struct AccountRuling
+struct AccountDecision
 {
-    AccountPass pass = AccountPass::Go;
+    AccountAction action = AccountAction::Admit;
     /// With `Wait`: ask again then at the latest, and whenever something was granted.
     TimePoint until;
     /// With `Refuse`: when there may be room.
@@ -76,7 +76,7 @@
     /// Accounts that are not among them have no limit.
     virtual void setLimits(TimePoint now, AccountLimits limits) = 0;
     /// Takes a unit for a request of the account, which asked for the first time at `since`.
-    virtual AccountRuling take(TimePoint now, const AccountName &account, TimePoint since) = 0;
+    virtual AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) = 0;
     /// The request was not run after all.
     virtual void giveBack(TimePoint now, const AccountName &account) = 0;
     /// `granted` gets the accounts whose waiting requests are to ask again.
--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -27,8 +27,8 @@
     m_limits = std::move(limits);
 }
 
-AccountRuling EqualAccountLimits::take(TimePoint now, const AccountName &account,
-                                       TimePoint /*since*/)
+AccountDecision EqualAccountLimits::take(TimePoint now, const AccountName &account,
+                                         TimePoint /*since*/)
 {
     const auto limit = m_limits.find(account);
     if (limit == m_limits.end()) {
@@ -41,7 +41,7 @@
     bucket.tokens = std::min(bucket.tokens + passed * rate, most);
     bucket.filledAt = now;
     if (bucket.tokens < 1) {
-        return AccountRuling{ AccountPass::Refuse, now, m_options.longestReturn / 3 };
+        return AccountDecision{ AccountAction::Refuse, now, m_options.longestReturn / 3 };
     }
     bucket.tokens -= 1;
     return {};
--- a/src/coordination/accounts/internal/equalaccountlimits.h
+++ b/src/coordination/accounts/internal/equalaccountlimits.h
@@ -17,7 +17,7 @@
                     const std::vector<AccountMember> &members) override;
     void setListed(std::size_t daemons) override;
     void setLimits(TimePoint now, AccountLimits limits) override;
-    AccountRuling take(TimePoint now, const AccountName &account, TimePoint since) override;
+    AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) override;
     void giveBack(TimePoint now, const AccountName &account) override;
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -49,7 +49,8 @@
     m_limits = std::move(limits);
 }
 
-AccountRuling SharedAccountLimits::take(TimePoint now, const AccountName &account, TimePoint since)
+AccountDecision SharedAccountLimits::take(TimePoint now, const AccountName &account,
+                                          TimePoint since)
 {
     const AccountLimit *limit = limitOf(account);
     if (!limit) {
@@ -72,9 +73,9 @@
     return takeFromHome(now, account, *limit, stock, since);
 }
 
-AccountRuling SharedAccountLimits::takeFromHome(TimePoint now, const AccountName &account,
-                                                const AccountLimit &limit, AccountStock &stock,
-                                                TimePoint since)
+AccountDecision SharedAccountLimits::takeFromHome(TimePoint now, const AccountName &account,
+                                                  const AccountLimit &limit, AccountStock &stock,
+                                                  TimePoint since)
 {
     if (now < stock.emptyUntil()) {
         return waitOrRefuse(now, stock, since);
@@ -87,24 +88,25 @@
         return takeFromLease(now, limit, stock);
     }
     if (stock.question()) {
-        return AccountRuling{ AccountPass::Wait,
-                              stock.question()->sentAt + m_options.askTimeout,
-                              {} };
+        return AccountDecision{ AccountAction::Wait,
+                                stock.question()->sentAt + m_options.askTimeout,
+                                {} };
     }
     // This daemon is the home, and the bucket is empty.
     return waitOrRefuse(now, stock, since);
 }
 
-AccountRuling SharedAccountLimits::waitOrRefuse(TimePoint now, AccountStock &stock, TimePoint since)
+AccountDecision SharedAccountLimits::waitOrRefuse(TimePoint now, AccountStock &stock,
+                                                  TimePoint since)
 {
     if (stock.emptyUntil() - since <= m_options.longestWait) {
-        return AccountRuling{ AccountPass::Wait, stock.emptyUntil(), {} };
+        return AccountDecision{ AccountAction::Wait, stock.emptyUntil(), {} };
     }
     return refuse(now, stock, stock.retryAfter());
 }
 
-AccountRuling SharedAccountLimits::takeFromLease(TimePoint now, const AccountLimit &limit,
-                                                 AccountStock &stock)
+AccountDecision SharedAccountLimits::takeFromLease(TimePoint now, const AccountLimit &limit,
+                                                   AccountStock &stock)
 {
     if (stock.takeFromLease(now, limit)) {
         return {};
@@ -116,13 +118,13 @@
 }
 
 /// Spread by a quarter, so that callers that are refused together do not come back together.
-AccountRuling SharedAccountLimits::refuse(TimePoint now, AccountStock &stock, Duration retryAfter)
+AccountDecision SharedAccountLimits::refuse(TimePoint now, AccountStock &stock, Duration retryAfter)
 {
     stock.noteRefused(now);
     const auto quarter =
         static_cast<std::uint64_t>(std::max<Duration::rep>(retryAfter.count() / 4, 1));
     const Duration spread(static_cast<Duration::rep>(m_random.below(2 * quarter)));
-    return AccountRuling{ AccountPass::Refuse, now, retryAfter - retryAfter / 4 + spread };
+    return AccountDecision{ AccountAction::Refuse, now, retryAfter - retryAfter / 4 + spread };
 }
 
 void SharedAccountLimits::ask(TimePoint now, const AccountName &account, const AccountLimit &limit,
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -18,7 +18,7 @@
                     const std::vector<AccountMember> &members) override;
     void setListed(std::size_t daemons) override { m_places.setListed(daemons); }
     void setLimits(TimePoint now, AccountLimits limits) override;
-    AccountRuling take(TimePoint now, const AccountName &account, TimePoint since) override;
+    AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) override;
     void giveBack(TimePoint now, const AccountName &account) override;
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
@@ -33,11 +33,11 @@
     };
     const AccountLimit *limitOf(const AccountName &account) const;
     AccountStock &stockOf(TimePoint now, const AccountName &account);
-    AccountRuling takeFromHome(TimePoint now, const AccountName &account, const AccountLimit &limit,
-                               AccountStock &stock, TimePoint since);
-    AccountRuling waitOrRefuse(TimePoint now, AccountStock &stock, TimePoint since);
-    AccountRuling takeFromLease(TimePoint now, const AccountLimit &limit, AccountStock &stock);
-    AccountRuling refuse(TimePoint now, AccountStock &stock, Duration retryAfter);
+    AccountDecision takeFromHome(TimePoint now, const AccountName &account,
+                                 const AccountLimit &limit, AccountStock &stock, TimePoint since);
+    AccountDecision waitOrRefuse(TimePoint now, AccountStock &stock, TimePoint since);
+    AccountDecision takeFromLease(TimePoint now, const AccountLimit &limit, AccountStock &stock);
+    AccountDecision refuse(TimePoint now, AccountStock &stock, Duration retryAfter);
     void ask(TimePoint now, const AccountName &account, const AccountLimit &limit,
              AccountStock &stock, std::uint32_t waiting);
     /// The daemon to ask: the home, its deputy while that is silent, or nobody.
--- a/src/coordination/accounts/tests/accountlimitstest.cpp
+++ b/src/coordination/accounts/tests/accountlimitstest.cpp
@@ -186,14 +186,14 @@
     limits->setLimits(TimePoint(100s), { { account, { 1, 1 } } });
     const TimePoint now(120s);
     std::size_t taken = 0;
-    while (limits->take(now, account, now).pass == AccountPass::Go) {
+    while (limits->take(now, account, now).action == AccountAction::Admit) {
         ++taken;
     }
     CHECK_COMPARE(taken, >=, 1);
     limits->giveBack(now, account);
-    CHECK(limits->take(now, account, now).pass == AccountPass::Go);
-    const AccountRuling ruling = limits->take(now, account, now);
-    CHECK(ruling.pass == AccountPass::Refuse);
-    CHECK(ruling.retryAfter > Duration::zero());
-    CHECK(limits->take(now, AccountName("unlimited"), now).pass == AccountPass::Go);
+    CHECK(limits->take(now, account, now).action == AccountAction::Admit);
+    const AccountDecision decision = limits->take(now, account, now);
+    CHECK(decision.action == AccountAction::Refuse);
+    CHECK(decision.retryAfter > Duration::zero());
+    CHECK(limits->take(now, AccountName("unlimited"), now).action == AccountAction::Admit);
 }
--- a/src/coordination/accounts/tests/mocks/accountfleet.h
+++ b/src/coordination/accounts/tests/mocks/accountfleet.h
@@ -343,12 +343,13 @@
     {
         Node &node = *m_nodes[entry];
         Account &account = m_accounts[request.account];
-        const AccountRuling ruling = node.limits->take(clockOf(node), account.name, request.since);
+        const AccountDecision decision =
+            node.limits->take(clockOf(node), account.name, request.since);
         post(entry);
-        if (ruling.pass == AccountPass::Go) {
+        if (decision.action == AccountAction::Admit) {
             letIn(account);
-        } else if (ruling.pass == AccountPass::Wait) {
-            request.until = ruling.until;
+        } else if (decision.action == AccountAction::Wait) {
+            request.until = decision.until;
             node.waiting.push_back(request);
         }
     }
