--- a/src/app/internal/accounts/accountservice.cpp
+++ b/src/app/internal/accounts/accountservice.cpp
@@ -131,10 +131,10 @@
     }
 }
 
-std::vector<AccountStanding> AccountService::standings() const
+std::vector<AccountStatus> AccountService::statuses() const
 {
-    std::vector<AccountStanding> all = m_limits->standings(m_loop.now());
-    std::sort(all.begin(), all.end(), [](const AccountStanding &a, const AccountStanding &b) {
+    std::vector<AccountStatus> all = m_limits->statuses(m_loop.now());
+    std::sort(all.begin(), all.end(), [](const AccountStatus &a, const AccountStatus &b) {
         return a.refused != b.refused ? a.refused > b.refused : a.account < b.account;
     });
     return all;
--- a/src/app/internal/accounts/accountservice.h
+++ b/src/app/internal/accounts/accountservice.h
@@ -46,7 +46,7 @@
     /// A payload of the exchange of accounts.
     void receive(const DaemonId &from, const std::string &payload);
     /// Those that ask here for more than they may have first.
-    std::vector<AccountStanding> standings() const;
+    std::vector<AccountStatus> statuses() const;
 
     bool needsKey(const RuleSpec &rule) const override;
     tl::expected<const AccountSpec *, Verdict>
--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -100,11 +100,11 @@
 }
 
 /// Accounts that ask for more than they may have stand first.
-Json makeAccounts(const std::vector<AccountStanding> &accounts)
+Json makeAccounts(const std::vector<AccountStatus> &accounts)
 {
     constexpr std::size_t MOST_LISTED = 20;
     Json list = Json::array();
-    for (const AccountStanding &each : accounts) {
+    for (const AccountStatus &each : accounts) {
         if (list.size() >= MOST_LISTED) {
             break;
         }
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -264,7 +264,7 @@
     status.links = m_network->linkCount();
     status.callerConnections = m_callerServer->connectionCount();
     status.suspects = m_quarantine->status();
-    status.accounts = m_accounts->standings();
+    status.accounts = m_accounts->statuses();
     return status;
 }
 
--- a/src/app/internal/trafficnode.h
+++ b/src/app/internal/trafficnode.h
@@ -42,7 +42,7 @@
     std::size_t links = 0;
     std::size_t callerConnections = 0;
     std::vector<SuspectStatus> suspects;
-    std::vector<AccountStanding> accounts;
+    std::vector<AccountStatus> accounts;
 };
 
 /// All that the traffic thread owns: listeners for callers, upstreams and peers, and the services
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -24,7 +24,7 @@
 };
 
 /// How an account stands at this daemon, for operators.
-struct AccountStanding
+struct AccountStatus
 {
     AccountName account;
     AccountLimit limit;
@@ -84,7 +84,7 @@
                          std::vector<AccountName> &granted) = 0;
     /// What is to be sent now.
     virtual OutgoingAccountMessages takeOutgoing() = 0;
-    virtual std::vector<AccountStanding> standings(TimePoint now) const = 0;
+    virtual std::vector<AccountStatus> statuses(TimePoint now) const = 0;
 };
 
 struct AccountLimitOptions
--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -61,7 +61,7 @@
 {
 }
 
-std::vector<AccountStanding> EqualAccountLimits::standings(TimePoint /*now*/) const
+std::vector<AccountStatus> EqualAccountLimits::statuses(TimePoint /*now*/) const
 {
     return {};
 }
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -243,9 +243,9 @@
     }
 }
 
-std::vector<AccountStanding> SharedAccountLimits::standings(TimePoint now) const
+std::vector<AccountStatus> SharedAccountLimits::statuses(TimePoint now) const
 {
-    std::vector<AccountStanding> all;
+    std::vector<AccountStatus> all;
     for (const auto &[account, stock] : m_stocks) {
         const AccountLimit *limit = limitOf(account);
         if (limit) {
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -23,7 +23,7 @@
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
     OutgoingAccountMessages takeOutgoing() override;
-    std::vector<AccountStanding> standings(TimePoint now) const override;
+    std::vector<AccountStatus> statuses(TimePoint now) const override;
 
 private:
     struct Silence
