--- a/src/coordination/accounts/internal/accountstock.cpp
+++ b/src/coordination/accounts/internal/accounttokencache.cpp
@@ -1,4 +1,4 @@
-#include "coordination/accounts/internal/accountstock.h"
+#include "coordination/accounts/internal/accounttokencache.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,9 +6,9 @@
 
 namespace ivyspar {
 
-AccountStock::AccountStock(TimePoint now, const AccountLimitOptions &options)
+AccountTokenCache::AccountTokenCache(TimePoint now, const AccountLimitOptions &options)
     : m_options(options)
-    , m_usedAt(now)
+    , m_lastUsedAt(now)
     , m_grantedAt(now)
     , m_leaseFilledAt(now)
 {
@@ -17,19 +17,19 @@
     m_longTermDemand.add(now - options.leaseLife, 0, options.leaseLife);
 }
 
-void AccountStock::noteDemand(TimePoint now)
+void AccountTokenCache::recordDemand(TimePoint now)
 {
-    m_usedAt = now;
+    m_lastUsedAt = now;
     m_demand.add(now, 1, m_options.memory);
     m_longTermDemand.add(now, 1, m_options.leaseLife);
 }
 
-void AccountStock::noteRefused(TimePoint now)
+void AccountTokenCache::recordRefusal(TimePoint now)
 {
     m_refused.add(now, 1, m_options.memory);
 }
 
-bool AccountStock::take(TimePoint now)
+bool AccountTokenCache::take(TimePoint now)
 {
     expire(now);
     if (m_tokens < 1) {
@@ -39,13 +39,13 @@
     return true;
 }
 
-void AccountStock::giveBack(TimePoint now)
+void AccountTokenCache::giveBack(TimePoint now)
 {
     expire(now);
     m_tokens += 1;
 }
 
-bool AccountStock::takeFromLease(TimePoint now, const AccountLimit &limit)
+bool AccountTokenCache::takeFromLease(TimePoint now, const AccountLimit &limit)
 {
     refillLease(now, limit);
     if (m_leaseTokens < 1) {
@@ -56,8 +56,8 @@
     return true;
 }
 
-std::optional<Duration> AccountStock::timeUntilLeaseToken(TimePoint now,
-                                                          const AccountLimit &limit) const
+std::optional<Duration> AccountTokenCache::timeUntilLeaseToken(TimePoint now,
+                                                               const AccountLimit &limit) const
 {
     const double rate = leaseShare(now) * limit.rate;
     if (rate <= 0) {
@@ -67,23 +67,23 @@
     return Duration(static_cast<Duration::rep>(std::max(1 - m_leaseTokens, 0.0) / rate * MICROS));
 }
 
-bool AccountStock::isLow(TimePoint now, const AccountLimit &limit) const
+bool AccountTokenCache::isLow(TimePoint now, const AccountLimit &limit) const
 {
-    const double aim = wanted(now, limit);
-    return m_tokens < std::max(aim / 2, std::min(aim, 1.0));
+    const double target = targetTokens(now, limit);
+    return m_tokens < std::max(target / 2, std::min(target, 1.0));
 }
 
-TokenDemand AccountStock::demand(TimePoint now, const AccountName &account,
-                                 const AccountLimit &limit, std::uint32_t waiting)
+TokenDemand AccountTokenCache::demand(TimePoint now, const AccountName &account,
+                                      const AccountLimit &limit, std::uint32_t waiting)
 {
     expire(now);
-    const double aim = wanted(now, limit);
-    const double excess = std::floor(std::max(m_tokens - std::max(2 * aim, 1.0), 0.0));
+    const double target = targetTokens(now, limit);
+    const double excess = std::floor(std::max(m_tokens - std::max(2 * target, 1.0), 0.0));
     m_tokens -= excess;
     TokenDemand demand;
     demand.account = account;
     demand.waiting = waiting;
-    demand.prefetch = static_cast<std::uint32_t>(std::ceil(std::max(aim - m_tokens, 0.0)));
+    demand.prefetch = static_cast<std::uint32_t>(std::ceil(std::max(target - m_tokens, 0.0)));
     demand.held = static_cast<std::uint32_t>(m_tokens);
     demand.returned = static_cast<std::uint32_t>(excess);
     demand.rate = demandRate(now);
@@ -95,31 +95,31 @@
     return demand;
 }
 
-void AccountStock::noteAsked(const Question &question)
+void AccountTokenCache::recordRequest(const PendingRequest &pendingRequest)
 {
-    m_question = question;
+    m_pendingRequest = pendingRequest;
 }
 
-std::optional<DaemonId> AccountStock::expireQuestion(TimePoint now)
+std::optional<DaemonId> AccountTokenCache::expirePendingRequest(TimePoint now)
 {
-    if (!m_question || now - m_question->sentAt < m_options.askTimeout) {
+    if (!m_pendingRequest || now - m_pendingRequest->sentAt < m_options.askTimeout) {
         return std::nullopt;
     }
-    const DaemonId asked = m_question->asked;
-    m_question.reset();
-    return asked;
+    const DaemonId target = m_pendingRequest->target;
+    m_pendingRequest.reset();
+    return target;
 }
 
-bool AccountStock::receive(TimePoint now, const TokenGrant &grant)
+bool AccountTokenCache::receive(TimePoint now, const TokenGrant &grant)
 {
-    const TimePoint sentAt = m_question->sentAt;
-    const bool isOfDeputy = m_question->isForDeputy;
-    m_question.reset();
+    const TimePoint sentAt = m_pendingRequest->sentAt;
+    const bool isFromDeputy = m_pendingRequest->isForDeputy;
+    m_pendingRequest.reset();
     if (now - sentAt > m_options.grantLife) {
         return false;
     }
     m_tokens += grant.tokens;
-    m_locallyAdmitted += isOfDeputy ? grant.tokens : 0;
+    m_locallyAdmitted += isFromDeputy ? grant.tokens : 0;
     m_grantedAt = now;
     m_lease = grant.lease;
     // From when it was asked for: the home's own count of that time begins no earlier.
@@ -131,7 +131,7 @@
 
 /// At most half of what the burst has for this entry's part of the demand: more would lie about at
 /// entries while others run out.
-double AccountStock::wanted(TimePoint now, const AccountLimit &limit) const
+double AccountTokenCache::targetTokens(TimePoint now, const AccountLimit &limit) const
 {
     const double most = std::max(1.0, limit.burst * leaseShare(now) / 2);
     const double rate = demandRate(now);
@@ -139,7 +139,7 @@
     return least * std::clamp(rate * toSeconds(m_options.stock), 1.0, most);
 }
 
-double AccountStock::leaseShare(TimePoint now) const
+double AccountTokenCache::leaseShare(TimePoint now) const
 {
     return now < m_leaseUntil
         ? static_cast<double>(m_lease.value()) / static_cast<double>(WHOLE_RATE.value())
@@ -147,7 +147,7 @@
 }
 
 /// Little is saved up for the time in which others could still be asked.
-void AccountStock::refillLease(TimePoint now, const AccountLimit &limit)
+void AccountTokenCache::refillLease(TimePoint now, const AccountLimit &limit)
 {
     const double passed =
         std::min(toSeconds(std::chrono::duration_cast<Duration>(now - m_leaseFilledAt)),
@@ -158,7 +158,7 @@
     m_leaseTokens = std::min(m_leaseTokens + passed * share * limit.rate, most);
 }
 
-void AccountStock::expire(TimePoint now)
+void AccountTokenCache::expire(TimePoint now)
 {
     if (now - m_grantedAt > m_options.stockLife) {
         m_tokens = 0;
--- a/src/coordination/accounts/internal/accountstock.h
+++ b/src/coordination/accounts/internal/accounttokencache.h
@@ -10,17 +10,17 @@
 
 /// What an entry has at hand of one account, and how it stands with the account's home. Plain
 /// object.
-class AccountStock
+class AccountTokenCache
 {
 public:
-    AccountStock(TimePoint now, const AccountLimitOptions &options);
+    AccountTokenCache(TimePoint now, const AccountLimitOptions &options);
 
     /// A request asks for the account, for the first time.
-    void noteDemand(TimePoint now);
-    void noteRefused(TimePoint now);
+    void recordDemand(TimePoint now);
+    void recordRefusal(TimePoint now);
     double demandRate(TimePoint now) const { return m_demand.rate(now, m_options.memory); }
     double refusedRate(TimePoint now) const { return m_refused.rate(now, m_options.memory); }
-    TimePoint usedAt() const { return m_usedAt; }
+    TimePoint lastUsedAt() const { return m_lastUsedAt; }
 
     /// Takes a unit at hand. False if there is none.
     bool take(TimePoint now);
@@ -36,17 +36,17 @@
                        std::uint32_t waiting);
 
     /// The question that has no answer yet.
-    struct Question
+    struct PendingRequest
     {
         std::uint32_t number = 0;
-        DaemonId asked;
+        DaemonId target;
         bool isForDeputy = false;
         TimePoint sentAt;
     };
-    const std::optional<Question> &question() const { return m_question; }
-    void noteAsked(const Question &question);
+    const std::optional<PendingRequest> &pendingRequest() const { return m_pendingRequest; }
+    void recordRequest(const PendingRequest &pendingRequest);
     /// Gives the question up when it has waited too long; names the daemon that did not answer.
-    std::optional<DaemonId> expireQuestion(TimePoint now);
+    std::optional<DaemonId> expirePendingRequest(TimePoint now);
     /// Nothing can be had before.
     TimePoint emptyUntil() const { return m_emptyUntil; }
     Duration retryAfter() const { return m_retryAfter; }
@@ -54,7 +54,7 @@
     bool receive(TimePoint now, const TokenGrant &grant);
 
 private:
-    double wanted(TimePoint now, const AccountLimit &limit) const;
+    double targetTokens(TimePoint now, const AccountLimit &limit) const;
     double leaseShare(TimePoint now) const;
     void refillLease(TimePoint now, const AccountLimit &limit);
     void expire(TimePoint now);
@@ -63,7 +63,7 @@
     DemandRate m_demand;
     DemandRate m_longTermDemand;
     DemandRate m_refused;
-    TimePoint m_usedAt;
+    TimePoint m_lastUsedAt;
     double m_tokens = 0;
     TimePoint m_grantedAt;
     RateShare m_lease;
@@ -71,7 +71,7 @@
     double m_leaseTokens = 0;
     std::uint32_t m_locallyAdmitted = 0;
     TimePoint m_leaseFilledAt;
-    std::optional<Question> m_question;
+    std::optional<PendingRequest> m_pendingRequest;
     TimePoint m_emptyUntil;
     Duration m_retryAfter{ 0 };
 };
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -57,95 +57,97 @@
         return {};
     }
     forget(now);
-    AccountStock &stock = stockOf(now, account);
+    AccountTokenCache &cache = tokenCacheOf(now, account);
     if (since == now) {
-        stock.noteDemand(now);
+        cache.recordDemand(now);
     }
-    if (const auto unanswered = stock.expireQuestion(now)) {
+    if (const auto unanswered = cache.expirePendingRequest(now)) {
         noteUnanswered(now, *unanswered);
     }
-    if (stock.take(now)) {
-        if (stock.isLow(now, *limit) && now >= stock.emptyUntil()) {
-            ask(now, account, *limit, stock, 0);
+    if (cache.take(now)) {
+        if (cache.isLow(now, *limit) && now >= cache.emptyUntil()) {
+            requestTokens(now, account, *limit, cache, 0);
         }
         return {};
     }
-    return takeFromHome(now, account, *limit, stock, since);
+    return takeFromHome(now, account, *limit, cache, since);
 }
 
 AccountDecision SharedAccountLimits::takeFromHome(TimePoint now, const AccountName &account,
-                                                  const AccountLimit &limit, AccountStock &stock,
-                                                  TimePoint since)
+                                                  const AccountLimit &limit,
+                                                  AccountTokenCache &cache, TimePoint since)
 {
-    if (now < stock.emptyUntil()) {
-        return waitOrRefuse(now, stock, since);
+    if (now < cache.emptyUntil()) {
+        return waitOrRefuse(now, cache, since);
     }
-    ask(now, account, limit, stock, 1);
-    if (stock.take(now)) {
+    requestTokens(now, account, limit, cache, 1);
+    if (cache.take(now)) {
         return {};
     }
-    if (!whomToAsk(now, account)) {
-        return takeFromLease(now, limit, stock);
+    if (!requestTarget(now, account)) {
+        return takeFromLease(now, limit, cache);
     }
-    if (stock.question()) {
+    if (cache.pendingRequest()) {
         return AccountDecision{ AccountAction::Wait,
-                                stock.question()->sentAt + m_options.askTimeout,
+                                cache.pendingRequest()->sentAt + m_options.askTimeout,
                                 {} };
     }
     // This daemon is the home, and the bucket is empty.
-    return waitOrRefuse(now, stock, since);
+    return waitOrRefuse(now, cache, since);
 }
 
-AccountDecision SharedAccountLimits::waitOrRefuse(TimePoint now, AccountStock &stock,
+AccountDecision SharedAccountLimits::waitOrRefuse(TimePoint now, AccountTokenCache &cache,
                                                   TimePoint since)
 {
-    if (stock.emptyUntil() - since <= m_options.longestWait) {
-        return AccountDecision{ AccountAction::Wait, stock.emptyUntil(), {} };
+    if (cache.emptyUntil() - since <= m_options.longestWait) {
+        return AccountDecision{ AccountAction::Wait, cache.emptyUntil(), {} };
     }
-    return refuse(now, stock, stock.retryAfter());
+    return refuse(now, cache, cache.retryAfter());
 }
 
 AccountDecision SharedAccountLimits::takeFromLease(TimePoint now, const AccountLimit &limit,
-                                                   AccountStock &stock)
+                                                   AccountTokenCache &cache)
 {
-    if (stock.takeFromLease(now, limit)) {
+    if (cache.takeFromLease(now, limit)) {
         return {};
     }
     const Duration timeUntilToken =
-        stock.timeUntilLeaseToken(now, limit).value_or(m_options.longestReturn / 3);
-    return refuse(now, stock,
+        cache.timeUntilLeaseToken(now, limit).value_or(m_options.longestReturn / 3);
+    return refuse(now, cache,
                   std::clamp(timeUntilToken, m_options.shortestReturn, m_options.longestReturn));
 }
 
 /// Spread by a quarter, so that callers that are refused together do not come back together.
-AccountDecision SharedAccountLimits::refuse(TimePoint now, AccountStock &stock, Duration retryAfter)
+AccountDecision SharedAccountLimits::refuse(TimePoint now, AccountTokenCache &cache,
+                                            Duration retryAfter)
 {
-    stock.noteRefused(now);
+    cache.recordRefusal(now);
     const auto quarter =
         static_cast<std::uint64_t>(std::max<Duration::rep>(retryAfter.count() / 4, 1));
     const Duration spread(static_cast<Duration::rep>(m_random.below(2 * quarter)));
     return AccountDecision{ AccountAction::Refuse, now, retryAfter - retryAfter / 4 + spread };
 }
 
-void SharedAccountLimits::ask(TimePoint now, const AccountName &account, const AccountLimit &limit,
-                              AccountStock &stock, std::uint32_t waiting)
+void SharedAccountLimits::requestTokens(TimePoint now, const AccountName &account,
+                                        const AccountLimit &limit, AccountTokenCache &cache,
+                                        std::uint32_t waiting)
 {
-    const std::optional<DaemonId> asked = whomToAsk(now, account);
-    if (stock.question() || !asked) {
+    const std::optional<DaemonId> target = requestTarget(now, account);
+    if (cache.pendingRequest() || !target) {
         return;
     }
-    const bool isForDeputy = *asked != m_places.homeOf(account);
-    stock.noteAsked({ ++m_lastNumber, *asked, isForDeputy, now });
-    const TokenDemand demand = stock.demand(now, account, limit, waiting);
-    if (*asked == m_places.self()) {
-        stock.receive(now, answer(now, *asked, isForDeputy, demand));
+    const bool isForDeputy = *target != m_places.homeOf(account);
+    cache.recordRequest({ ++m_lastNumber, *target, isForDeputy, now });
+    const TokenDemand demand = cache.demand(now, account, limit, waiting);
+    if (*target == m_places.self()) {
+        cache.receive(now, answer(now, *target, isForDeputy, demand));
         return;
     }
-    m_outgoing.push_back({ *asked, TokenRequest{ m_lastNumber, isForDeputy, { demand } } });
+    m_outgoing.push_back({ *target, TokenRequest{ m_lastNumber, isForDeputy, { demand } } });
 }
 
-std::optional<DaemonId> SharedAccountLimits::whomToAsk(TimePoint now,
-                                                       const AccountName &account) const
+std::optional<DaemonId> SharedAccountLimits::requestTarget(TimePoint now,
+                                                           const AccountName &account) const
 {
     const DaemonId &home = m_places.homeOf(account);
     if (!isSilent(now, home)) {
@@ -211,16 +213,17 @@
 {
     m_silences.erase(from);
     for (const TokenGrant &grant : response.grants) {
-        const auto found = m_stocks.find(grant.account);
-        if (found == m_stocks.end()) {
+        const auto found = m_tokenCaches.find(grant.account);
+        if (found == m_tokenCaches.end()) {
             continue;
         }
-        AccountStock &stock = found->second;
-        const auto &question = stock.question();
-        if (!question || question->number != response.number || question->asked != from) {
+        AccountTokenCache &cache = found->second;
+        const auto &pendingRequest = cache.pendingRequest();
+        if (!pendingRequest || pendingRequest->number != response.number
+            || pendingRequest->target != from) {
             continue;
         }
-        if (stock.receive(now, grant)) {
+        if (cache.receive(now, grant)) {
             granted.push_back(grant.account);
         }
         if (!grant.isFromHome) {
@@ -237,8 +240,8 @@
 
 void SharedAccountLimits::giveBack(TimePoint now, const AccountName &account)
 {
-    const auto found = m_stocks.find(account);
-    if (found != m_stocks.end()) {
+    const auto found = m_tokenCaches.find(account);
+    if (found != m_tokenCaches.end()) {
         found->second.giveBack(now);
     }
 }
@@ -246,12 +249,12 @@
 std::vector<AccountStatus> SharedAccountLimits::statuses(TimePoint now) const
 {
     std::vector<AccountStatus> all;
-    for (const auto &[account, stock] : m_stocks) {
+    for (const auto &[account, cache] : m_tokenCaches) {
         const AccountLimit *limit = limitOf(account);
         if (limit) {
-            all.push_back({ account, *limit, stock.demandRate(now), stock.refusedRate(now),
+            all.push_back({ account, *limit, cache.demandRate(now), cache.refusedRate(now),
                             m_places.homeOf(account) == m_places.self(),
-                            !whomToAsk(now, account) });
+                            !requestTarget(now, account) });
         }
     }
     return all;
@@ -263,9 +266,9 @@
     return found == m_limits.end() ? nullptr : &found->second;
 }
 
-AccountStock &SharedAccountLimits::stockOf(TimePoint now, const AccountName &account)
+AccountTokenCache &SharedAccountLimits::tokenCacheOf(TimePoint now, const AccountName &account)
 {
-    return m_stocks
+    return m_tokenCaches
         .emplace(std::piecewise_construct, std::forward_as_tuple(account),
                  std::forward_as_tuple(now, m_options))
         .first->second;
@@ -278,9 +281,9 @@
         return;
     }
     m_forgotAt = now;
-    for (auto it = m_stocks.begin(); it != m_stocks.end();) {
-        const bool isIdle = now - it->second.usedAt() > m_options.leaseLife;
-        it = isIdle ? m_stocks.erase(it) : std::next(it);
+    for (auto it = m_tokenCaches.begin(); it != m_tokenCaches.end();) {
+        const bool isIdle = now - it->second.lastUsedAt() > m_options.leaseLife;
+        it = isIdle ? m_tokenCaches.erase(it) : std::next(it);
     }
     const auto forgetHomes = [now](auto &homes, Duration life) {
         for (auto it = homes.begin(); it != homes.end();) {
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -4,7 +4,7 @@
 
 #include "coordination/accounts/internal/accounthome.h"
 #include "coordination/accounts/internal/accountplaces.h"
-#include "coordination/accounts/internal/accountstock.h"
+#include "coordination/accounts/internal/accounttokencache.h"
 
 namespace ivyspar {
 
@@ -32,16 +32,18 @@
         TimePoint until;
     };
     const AccountLimit *limitOf(const AccountName &account) const;
-    AccountStock &stockOf(TimePoint now, const AccountName &account);
+    AccountTokenCache &tokenCacheOf(TimePoint now, const AccountName &account);
     AccountDecision takeFromHome(TimePoint now, const AccountName &account,
-                                 const AccountLimit &limit, AccountStock &stock, TimePoint since);
-    AccountDecision waitOrRefuse(TimePoint now, AccountStock &stock, TimePoint since);
-    AccountDecision takeFromLease(TimePoint now, const AccountLimit &limit, AccountStock &stock);
-    AccountDecision refuse(TimePoint now, AccountStock &stock, Duration retryAfter);
-    void ask(TimePoint now, const AccountName &account, const AccountLimit &limit,
-             AccountStock &stock, std::uint32_t waiting);
+                                 const AccountLimit &limit, AccountTokenCache &cache,
+                                 TimePoint since);
+    AccountDecision waitOrRefuse(TimePoint now, AccountTokenCache &cache, TimePoint since);
+    AccountDecision takeFromLease(TimePoint now, const AccountLimit &limit,
+                                  AccountTokenCache &cache);
+    AccountDecision refuse(TimePoint now, AccountTokenCache &cache, Duration retryAfter);
+    void requestTokens(TimePoint now, const AccountName &account, const AccountLimit &limit,
+                       AccountTokenCache &cache, std::uint32_t waiting);
     /// The daemon to ask: the home, its deputy while that is silent, or nobody.
-    std::optional<DaemonId> whomToAsk(TimePoint now, const AccountName &account) const;
+    std::optional<DaemonId> requestTarget(TimePoint now, const AccountName &account) const;
     bool isSilent(TimePoint now, const DaemonId &daemon) const;
     void noteUnanswered(TimePoint now, const DaemonId &daemon);
     TokenGrant answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
@@ -54,7 +56,7 @@
     AccountLimitOptions m_options;
     AccountPlaces m_places;
     AccountLimits m_limits;
-    std::unordered_map<AccountName, AccountStock> m_stocks;
+    std::unordered_map<AccountName, AccountTokenCache> m_tokenCaches;
     /// Of the accounts whose home is here, and of those for whose home this daemon acts.
     std::unordered_map<AccountName, AccountHome> m_homes;
     std::unordered_map<AccountName, AccountHome> m_deputies;
