--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -102,7 +102,7 @@
     const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - m_refilledAt));
     m_refilledAt = now;
     for (auto &[daemon, holder] : m_holders) {
-        holder.leftToIt += isSilent(now, holder) ? passed * limit.rate * holder.lease : 0;
+        holder.leftToIt += isUnresponsive(now, holder) ? passed * limit.rate * holder.lease : 0;
     }
     if (!std::exchange(m_isBegun, true) && share < 1) {
         m_level = toleranceTokens(limit) * m_places.shareOfDomain() / 2;
@@ -190,11 +190,11 @@
     const double gone = leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
         return !m_places.isMember(daemon);
     });
-    const double silent = leasesIf([this, now](const DaemonId &daemon, const Holder &holder) {
-        return m_places.isMember(daemon) && isSilent(now, holder);
+    const double unresponsive = leasesIf([this, now](const DaemonId &daemon, const Holder &holder) {
+        return m_places.isMember(daemon) && isUnresponsive(now, holder);
     });
     const double mine = isWhole || gone > 0 ? 1 - gone : inReach;
-    return std::max(mine - silent, 0.0);
+    return std::max(mine - unresponsive, 0.0);
 }
 
 double AccountHome::leasesHere() const
@@ -206,7 +206,7 @@
 
 /// Before a cut is noticed, a home would give the whole rate to the entries on its side, while the
 /// others already let in what their leases allow.
-bool AccountHome::isSilent(TimePoint now, const Holder &holder) const
+bool AccountHome::isUnresponsive(TimePoint now, const Holder &holder) const
 {
     const Duration expected = secondsOf(m_options.missedAsks / std::max(holder.longTermRate, 1e-3));
     return now - holder.askedAt > std::max(expected, m_options.shortestSilence);
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -57,7 +57,7 @@
     /// Leases of the entries that can reach this daemon.
     double leasesHere() const;
     /// The entry should have asked long ago.
-    bool isSilent(TimePoint now, const Holder &holder) const;
+    bool isUnresponsive(TimePoint now, const Holder &holder) const;
     void forget(TimePoint now);
 
     const AccountLimitOptions &m_options;
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -38,7 +38,7 @@
                                      const std::vector<AccountMember> &members)
 {
     m_places.setMembers(now, self, members);
-    m_silences.clear();
+    m_peerStates.clear();
     for (auto it = m_homes.begin(); it != m_homes.end();) {
         it = m_places.homeOf(it->first) == self ? std::next(it) : m_homes.erase(it);
     }
@@ -62,7 +62,7 @@
         cache.recordDemand(now);
     }
     if (const auto unanswered = cache.expirePendingRequest(now)) {
-        noteUnanswered(now, *unanswered);
+        recordUnanswered(now, *unanswered);
     }
     if (cache.take(now)) {
         if (cache.isLow(now, *limit) && now >= cache.emptyUntil()) {
@@ -150,24 +150,24 @@
                                                            const AccountName &account) const
 {
     const DaemonId &home = m_places.homeOf(account);
-    if (!isSilent(now, home)) {
+    if (!isUnresponsive(now, home)) {
         return home;
     }
     const DaemonId &deputy = m_places.deputyOf(account);
-    return isSilent(now, deputy) ? std::nullopt : std::optional(deputy);
+    return isUnresponsive(now, deputy) ? std::nullopt : std::optional(deputy);
 }
 
-bool SharedAccountLimits::isSilent(TimePoint now, const DaemonId &daemon) const
+bool SharedAccountLimits::isUnresponsive(TimePoint now, const DaemonId &daemon) const
 {
-    const auto found = m_silences.find(daemon);
-    return found != m_silences.end() && now < found->second.until;
+    const auto found = m_peerStates.find(daemon);
+    return found != m_peerStates.end() && now < found->second.until;
 }
 
-void SharedAccountLimits::noteUnanswered(TimePoint now, const DaemonId &daemon)
+void SharedAccountLimits::recordUnanswered(TimePoint now, const DaemonId &daemon)
 {
-    Silence &silence = m_silences[daemon];
-    if (++silence.unanswered >= m_options.mostAsks) {
-        silence.until = now + m_options.silence;
+    PeerState &state = m_peerStates[daemon];
+    if (++state.unanswered >= m_options.mostAsks) {
+        state.until = now + m_options.silence;
     }
 }
 
@@ -211,7 +211,7 @@
                                           const TokenResponse &response,
                                           std::vector<AccountName> &granted)
 {
-    m_silences.erase(from);
+    m_peerStates.erase(from);
     for (const TokenGrant &grant : response.grants) {
         const auto found = m_tokenCaches.find(grant.account);
         if (found == m_tokenCaches.end()) {
@@ -228,7 +228,7 @@
         }
         if (!grant.isFromHome) {
             // Either daemon has not heard yet who is there.
-            m_silences[from].until = now + m_options.askTimeout;
+            m_peerStates[from].until = now + m_options.askTimeout;
         }
     }
 }
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -26,7 +26,7 @@
     std::vector<AccountStatus> statuses(TimePoint now) const override;
 
 private:
-    struct Silence
+    struct PeerState
     {
         std::uint32_t unanswered = 0;
         TimePoint until;
@@ -44,8 +44,8 @@
                        AccountTokenCache &cache, std::uint32_t waiting);
     /// The daemon to ask: the home, its deputy while that is silent, or nobody.
     std::optional<DaemonId> requestTarget(TimePoint now, const AccountName &account) const;
-    bool isSilent(TimePoint now, const DaemonId &daemon) const;
-    void noteUnanswered(TimePoint now, const DaemonId &daemon);
+    bool isUnresponsive(TimePoint now, const DaemonId &daemon) const;
+    void recordUnanswered(TimePoint now, const DaemonId &daemon);
     TokenGrant answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
                       const TokenDemand &demand);
     void receiveResponse(TimePoint now, const DaemonId &from, const TokenResponse &response,
@@ -60,7 +60,7 @@
     /// Of the accounts whose home is here, and of those for whose home this daemon acts.
     std::unordered_map<AccountName, AccountHome> m_homes;
     std::unordered_map<AccountName, AccountHome> m_deputies;
-    std::unordered_map<DaemonId, Silence> m_silences;
+    std::unordered_map<DaemonId, PeerState> m_peerStates;
     OutgoingAccountMessages m_outgoing;
     std::uint32_t m_lastNumber = 0;
     TimePoint m_forgotAt;
