--- a/src/app/internal/accounts/accountservice.h
+++ b/src/app/internal/accounts/accountservice.h
@@ -41,7 +41,7 @@
 
     void setConfiguration(ConfigurationPtr configuration);
     /// How many daemons the platform's directory lists.
-    void setListed(std::size_t daemons) { m_limits->setListed(daemons); }
+    void setDirectorySize(std::size_t daemons) { m_limits->setDirectorySize(daemons); }
     void setMembers(const DaemonId &self, const std::vector<Member> &members);
     /// A payload of the exchange of accounts.
     void receive(const DaemonId &from, const std::string &payload);
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -72,7 +72,7 @@
                             const std::vector<AccountMember> &members) = 0;
     /// How many daemons the platform's directory lists. Counts while this daemon has not been there
     /// long enough to know who may be cut off.
-    virtual void setListed(std::size_t daemons) = 0;
+    virtual void setDirectorySize(std::size_t daemons) = 0;
     /// Accounts that are not among them have no limit.
     virtual void setLimits(TimePoint now, AccountLimits limits) = 0;
     /// Takes a unit for a request of the account, which asked for the first time at `since`.
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -35,9 +35,9 @@
 } // namespace
 
 AccountHome::AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
-                         const AccountPlaces &places)
+                         const AccountPlacement &placement)
     : m_options(options)
-    , m_places(places)
+    , m_placement(placement)
     , m_isDeputy(isDeputy)
     , m_since(since)
     , m_refilledAt(since)
@@ -105,7 +105,7 @@
         holder.leftToIt += isUnresponsive(now, holder) ? passed * limit.rate * holder.lease : 0;
     }
     if (!std::exchange(m_isBegun, true) && share < 1) {
-        m_level = toleranceTokens(limit) * m_places.shareOfDomain() / 2;
+        m_level = toleranceTokens(limit) * m_placement.domainShare() / 2;
     }
     const double most = (limit.burst + toleranceTokens(limit)) * share;
     m_capacity = std::max(most - heldTokens(), 0.0);
@@ -177,9 +177,9 @@
 {
     if (m_isDeputy) {
         // Not all that will ask have asked yet.
-        return std::min(std::max(leasesHere(), m_places.shareOfDomain() / 2), 1.0);
+        return std::min(std::max(leasesHere(), m_placement.domainShare() / 2), 1.0);
     }
-    const double inReach = m_places.shareInReach(now);
+    const double inReach = m_placement.reachableShare(now);
     const bool isWhole = inReach >= m_options.wholeShare;
     if (isNew(now) && !isWhole) {
         // Whoever was the home before may be cut off, and still give to others what they have as
@@ -188,10 +188,10 @@
         return here > 0 ? std::min(here, 1.0) : inReach;
     }
     const double gone = leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
-        return !m_places.isMember(daemon);
+        return !m_placement.isMember(daemon);
     });
     const double unresponsive = leasesIf([this, now](const DaemonId &daemon, const Holder &holder) {
-        return m_places.isMember(daemon) && isUnresponsive(now, holder);
+        return m_placement.isMember(daemon) && isUnresponsive(now, holder);
     });
     const double mine = isWhole || gone > 0 ? 1 - gone : inReach;
     return std::max(mine - unresponsive, 0.0);
@@ -200,7 +200,7 @@
 double AccountHome::leasesHere() const
 {
     return leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
-        return m_places.isMember(daemon);
+        return m_placement.isMember(daemon);
     });
 }
 
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -4,7 +4,7 @@
 #include <unordered_map>
 
 #include "coordination/accounts/iaccountlimits.h"
-#include "coordination/accounts/internal/accountplaces.h"
+#include "coordination/accounts/internal/accountplacement.h"
 
 namespace ivyspar {
 
@@ -15,7 +15,7 @@
     /// `since`: nobody else has been the account's home from then on. `isDeputy`: it acts for a
     /// home that may well be there.
     AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
-                const AccountPlaces &places);
+                const AccountPlacement &placement);
 
     TokenGrant give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
                     const TokenDemand &demand);
@@ -61,7 +61,7 @@
     void forget(TimePoint now);
 
     const AccountLimitOptions &m_options;
-    const AccountPlaces &m_places;
+    const AccountPlacement &m_placement;
     bool m_isDeputy;
     bool m_isBegun = false;
     TimePoint m_since;
--- a/src/coordination/accounts/internal/accountplaces.cpp
+++ b/src/coordination/accounts/internal/accountplacement.cpp
@@ -1,4 +1,4 @@
-#include "coordination/accounts/internal/accountplaces.h"
+#include "coordination/accounts/internal/accountplacement.h"
 
 #include <algorithm>
 #include <iterator>
@@ -24,15 +24,15 @@
 
 } // namespace
 
-AccountPlaces::AccountPlaces(TimePoint now, const AccountLimitOptions &options)
+AccountPlacement::AccountPlacement(TimePoint now, const AccountLimitOptions &options)
     : m_options(options)
     , m_startedAt(now)
     , m_changedAt(now)
 {
 }
 
-void AccountPlaces::setMembers(TimePoint now, const DaemonId &self,
-                               const std::vector<AccountMember> &members)
+void AccountPlacement::setMembers(TimePoint now, const DaemonId &self,
+                                  const std::vector<AccountMember> &members)
 {
     m_self = self;
     std::vector<Candidate> candidates;
@@ -54,12 +54,12 @@
     const auto near =
         std::count_if(m_candidates.begin(), m_candidates.end(),
                       [this](const Candidate &each) { return each.domain == m_domain; });
-    m_shareOfDomain = static_cast<double>(near)
+    m_domainShare = static_cast<double>(near)
         / static_cast<double>(std::max<std::size_t>(m_candidates.size(), 1));
     m_changedAt = now;
     for (auto &[daemon, known] : m_known) {
-        known.lastIn = known.isIn ? now : known.lastIn;
-        known.isIn = false;
+        known.lastPresentAt = known.isPresent ? now : known.lastPresentAt;
+        known.isPresent = false;
     }
     for (const Candidate &candidate : m_candidates) {
         m_known[candidate.daemon] = Known{ true, now };
@@ -68,8 +68,8 @@
 }
 
 template <typename IsWanted>
-const AccountPlaces::Candidate *AccountPlaces::highest(const AccountName &account,
-                                                       const IsWanted &isWanted) const
+const AccountPlacement::Candidate *AccountPlacement::highestWeight(const AccountName &account,
+                                                                   const IsWanted &isWanted) const
 {
     const std::uint64_t hash = hashOf(account.value());
     const Candidate *best = nullptr;
@@ -84,42 +84,44 @@
     return best;
 }
 
-const DaemonId &AccountPlaces::homeOf(const AccountName &account) const
+const DaemonId &AccountPlacement::homeOf(const AccountName &account) const
 {
-    const Candidate *home = highest(account, [](const Candidate & /*each*/) { return true; });
+    const Candidate *home = highestWeight(account, [](const Candidate & /*each*/) { return true; });
     return home ? home->daemon : m_self;
 }
 
-const DaemonId &AccountPlaces::deputyOf(const AccountName &account) const
+const DaemonId &AccountPlacement::deputyOf(const AccountName &account) const
 {
     const DaemonId &home = homeOf(account);
-    const Candidate *deputy = highest(account, [this, &home](const Candidate &each) {
+    const Candidate *deputy = highestWeight(account, [this, &home](const Candidate &each) {
         return each.domain == m_domain && each.daemon != home;
     });
     return deputy ? deputy->daemon : m_self;
 }
 
-double AccountPlaces::shareInReach(TimePoint now) const
+double AccountPlacement::reachableShare(TimePoint now) const
 {
     std::size_t in = 0;
     std::size_t known = 0;
     for (const auto &[daemon, each] : m_known) {
-        in += each.isIn ? 1 : 0;
-        known += each.isIn || now - each.lastIn < m_options.goneLife ? 1 : 0;
+        in += each.isPresent ? 1 : 0;
+        known += each.isPresent || now - each.lastPresentAt < m_options.goneLife ? 1 : 0;
     }
     const Duration age = std::chrono::duration_cast<Duration>(now - m_startedAt);
     // Whoever is cut off since before this daemon's start is not known from seeing it go.
-    auto all = static_cast<double>(age < m_options.goneLife ? std::max(known, m_listed) : known);
+    auto all =
+        static_cast<double>(age < m_options.goneLife ? std::max(known, m_directorySize) : known);
     if (age < m_options.settleTime) {
         all = std::max(all, m_options.startingDaemons);
     }
     return in == 0 ? 1 / m_options.startingDaemons : static_cast<double>(in) / all;
 }
 
-void AccountPlaces::forget(TimePoint now)
+void AccountPlacement::forget(TimePoint now)
 {
     for (auto it = m_known.begin(); it != m_known.end();) {
-        const bool isForgotten = !it->second.isIn && now - it->second.lastIn >= m_options.goneLife;
+        const bool isForgotten =
+            !it->second.isPresent && now - it->second.lastPresentAt >= m_options.goneLife;
         it = isForgotten ? m_known.erase(it) : std::next(it);
     }
 }
--- a/src/coordination/accounts/internal/accountplaces.h
+++ b/src/coordination/accounts/internal/accountplacement.h
@@ -10,26 +10,26 @@
 
 /// Which daemon is the home of an account: each daemon finds out for itself, by rendezvous hashing
 /// over those that it takes for alive. Plain object.
-class AccountPlaces
+class AccountPlacement
 {
 public:
-    AccountPlaces(TimePoint now, const AccountLimitOptions &options);
+    AccountPlacement(TimePoint now, const AccountLimitOptions &options);
 
     void setMembers(TimePoint now, const DaemonId &self, const std::vector<AccountMember> &members);
-    void setListed(std::size_t daemons) { m_listed = daemons; }
+    void setDirectorySize(std::size_t daemons) { m_directorySize = daemons; }
     const DaemonId &self() const { return m_self; }
     const DaemonId &homeOf(const AccountName &account) const;
     /// Who acts for the home while it is silent: another daemon of this failure domain.
     const DaemonId &deputyOf(const AccountName &account) const;
     bool isMember(const DaemonId &daemon) const
     {
-        return m_known.count(daemon) > 0 && isIn(daemon);
+        return m_known.count(daemon) > 0 && isPresent(daemon);
     }
     /// Of the daemons that were there lately, the share that still is. A daemon that has just
     /// started takes itself for one of many.
-    double shareInReach(TimePoint now) const;
+    double reachableShare(TimePoint now) const;
     /// Of the members, the share that is in this daemon's failure domain.
-    double shareOfDomain() const { return m_shareOfDomain; }
+    double domainShare() const { return m_domainShare; }
     /// When the members changed last.
     TimePoint changedAt() const { return m_changedAt; }
 
@@ -42,22 +42,22 @@
     };
     struct Known
     {
-        bool isIn = false;
-        TimePoint lastIn;
+        bool isPresent = false;
+        TimePoint lastPresentAt;
     };
 
     template <typename IsWanted>
-    const Candidate *highest(const AccountName &account, const IsWanted &isWanted) const;
-    bool isIn(const DaemonId &daemon) const { return m_known.at(daemon).isIn; }
+    const Candidate *highestWeight(const AccountName &account, const IsWanted &isWanted) const;
+    bool isPresent(const DaemonId &daemon) const { return m_known.at(daemon).isPresent; }
     void forget(TimePoint now);
 
     const AccountLimitOptions &m_options;
     TimePoint m_startedAt;
     TimePoint m_changedAt;
-    std::size_t m_listed = 0;
+    std::size_t m_directorySize = 0;
     DaemonId m_self;
     DomainName m_domain;
-    double m_shareOfDomain = 1;
+    double m_domainShare = 1;
     std::vector<Candidate> m_candidates;
     std::unordered_map<DaemonId, Known> m_known;
 };
--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -17,7 +17,7 @@
     m_daemons = std::max(m_daemons, static_cast<double>(members.size()));
 }
 
-void EqualAccountLimits::setListed(std::size_t daemons)
+void EqualAccountLimits::setDirectorySize(std::size_t daemons)
 {
     m_daemons = std::max(m_daemons, static_cast<double>(daemons));
 }
--- a/src/coordination/accounts/internal/equalaccountlimits.h
+++ b/src/coordination/accounts/internal/equalaccountlimits.h
@@ -15,7 +15,7 @@
 
     void setMembers(TimePoint now, const DaemonId &self,
                     const std::vector<AccountMember> &members) override;
-    void setListed(std::size_t daemons) override;
+    void setDirectorySize(std::size_t daemons) override;
     void setLimits(TimePoint now, AccountLimits limits) override;
     AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) override;
     void giveBack(TimePoint now, const AccountName &account) override;
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -27,7 +27,7 @@
                                          const AccountLimitOptions &options)
     : m_random(random)
     , m_options(options)
-    , m_places(now, m_options)
+    , m_placement(now, m_options)
     , m_forgotAt(now)
 {
 }
@@ -37,10 +37,10 @@
 void SharedAccountLimits::setMembers(TimePoint now, const DaemonId &self,
                                      const std::vector<AccountMember> &members)
 {
-    m_places.setMembers(now, self, members);
+    m_placement.setMembers(now, self, members);
     m_peerStates.clear();
     for (auto it = m_homes.begin(); it != m_homes.end();) {
-        it = m_places.homeOf(it->first) == self ? std::next(it) : m_homes.erase(it);
+        it = m_placement.homeOf(it->first) == self ? std::next(it) : m_homes.erase(it);
     }
 }
 
@@ -136,10 +136,10 @@
     if (cache.pendingRequest() || !target) {
         return;
     }
-    const bool isForDeputy = *target != m_places.homeOf(account);
+    const bool isForDeputy = *target != m_placement.homeOf(account);
     cache.recordRequest({ ++m_lastNumber, *target, isForDeputy, now });
     const TokenDemand demand = cache.demand(now, account, limit, waiting);
-    if (*target == m_places.self()) {
+    if (*target == m_placement.self()) {
         cache.receive(now, answer(now, *target, isForDeputy, demand));
         return;
     }
@@ -149,11 +149,11 @@
 std::optional<DaemonId> SharedAccountLimits::requestTarget(TimePoint now,
                                                            const AccountName &account) const
 {
-    const DaemonId &home = m_places.homeOf(account);
+    const DaemonId &home = m_placement.homeOf(account);
     if (!isUnresponsive(now, home)) {
         return home;
     }
-    const DaemonId &deputy = m_places.deputyOf(account);
+    const DaemonId &deputy = m_placement.deputyOf(account);
     return isUnresponsive(now, deputy) ? std::nullopt : std::optional(deputy);
 }
 
@@ -175,7 +175,7 @@
                                        const TokenDemand &demand)
 {
     const AccountLimit *limit = limitOf(demand.account);
-    const bool isHome = m_places.homeOf(demand.account) == m_places.self();
+    const bool isHome = m_placement.homeOf(demand.account) == m_placement.self();
     if (!limit || (!isHome && !isForDeputy)) {
         TokenGrant grant;
         grant.account = demand.account;
@@ -183,10 +183,10 @@
         return grant;
     }
     auto &homes = isHome ? m_homes : m_deputies;
-    const TimePoint since = isHome ? m_places.changedAt() : now;
+    const TimePoint since = isHome ? m_placement.changedAt() : now;
     const auto home = homes
                           .emplace(std::piecewise_construct, std::forward_as_tuple(demand.account),
-                                   std::forward_as_tuple(since, !isHome, m_options, m_places))
+                                   std::forward_as_tuple(since, !isHome, m_options, m_placement))
                           .first;
     return home->second.give(now, *limit, entry, demand);
 }
@@ -253,7 +253,7 @@
         const AccountLimit *limit = limitOf(account);
         if (limit) {
             all.push_back({ account, *limit, cache.demandRate(now), cache.refusedRate(now),
-                            m_places.homeOf(account) == m_places.self(),
+                            m_placement.homeOf(account) == m_placement.self(),
                             !requestTarget(now, account) });
         }
     }
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -3,7 +3,7 @@
 #include <unordered_map>
 
 #include "coordination/accounts/internal/accounthome.h"
-#include "coordination/accounts/internal/accountplaces.h"
+#include "coordination/accounts/internal/accountplacement.h"
 #include "coordination/accounts/internal/accounttokencache.h"
 
 namespace ivyspar {
@@ -16,7 +16,7 @@
 
     void setMembers(TimePoint now, const DaemonId &self,
                     const std::vector<AccountMember> &members) override;
-    void setListed(std::size_t daemons) override { m_places.setListed(daemons); }
+    void setDirectorySize(std::size_t daemons) override { m_placement.setDirectorySize(daemons); }
     void setLimits(TimePoint now, AccountLimits limits) override;
     AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) override;
     void giveBack(TimePoint now, const AccountName &account) override;
@@ -54,7 +54,7 @@
 
     IRandom &m_random;
     AccountLimitOptions m_options;
-    AccountPlaces m_places;
+    AccountPlacement m_placement;
     AccountLimits m_limits;
     std::unordered_map<AccountName, AccountTokenCache> m_tokenCaches;
     /// Of the accounts whose home is here, and of those for whose home this daemon acts.
--- a/src/coordination/accounts/tests/mocks/accountfleet.h
+++ b/src/coordination/accounts/tests/mocks/accountfleet.h
@@ -137,7 +137,7 @@
     void restart(std::size_t index)
     {
         start(index);
-        m_nodes[index]->limits->setListed(m_nodes.size());
+        m_nodes[index]->limits->setDirectorySize(m_nodes.size());
         shareMembers();
         // It finds the others sooner than they notice that it was gone.
         m_nodes[index]->noticeAt =
