--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -11,8 +11,8 @@
 /// Below this share of the bucket, units go to requests that wait and not to stocks.
 constexpr double LOW_LEVEL = 0.25;
 /// Bounds on how long an entry is told not to ask.
-constexpr Duration SHORTEST_EMPTY = std::chrono::milliseconds(5);
-constexpr Duration LONGEST_EMPTY = std::chrono::milliseconds(200);
+constexpr Duration MIN_EMPTY_TIME = std::chrono::milliseconds(5);
+constexpr Duration MAX_EMPTY_TIME = std::chrono::milliseconds(200);
 
 Duration secondsOf(double seconds)
 {
@@ -41,17 +41,17 @@
     , m_isDeputy(isDeputy)
     , m_since(since)
     , m_refilledAt(since)
-    , m_askedAt(since)
+    , m_lastRequestAt(since)
 {
 }
 
-TokenGrant AccountHome::give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
-                             const TokenDemand &demand)
+TokenGrant AccountHome::grantTokens(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
+                                    const TokenDemand &demand)
 {
-    m_askedAt = now;
-    forget(now);
+    m_lastRequestAt = now;
+    removeExpired(now);
     refill(now, limit);
-    hear(now, entry, demand);
+    updateHolder(now, entry, demand);
     Holder &holder = m_holders[entry];
     TokenGrant grant;
     grant.account = demand.account;
@@ -63,13 +63,13 @@
         grant.emptyFor = emptyFor(now, limit);
         holder.emptyUntil = now + grant.emptyFor;
     }
-    grant.retryAfter = returnTime(limit);
+    grant.retryAfter = retryAfterFor(limit);
     grant.lease = lease(now, holder);
     grant.leaseLife = m_isDeputy ? demand.leaseLeft : m_options.leaseLife;
     return grant;
 }
 
-void AccountHome::hear(TimePoint now, const DaemonId &entry, const TokenDemand &demand)
+void AccountHome::updateHolder(TimePoint now, const DaemonId &entry, const TokenDemand &demand)
 {
     Holder &holder = m_holders[entry];
     holder.tokens = demand.held;
@@ -77,19 +77,19 @@
     holder.longTermRate = demand.longTermRate;
     holder.lease = demand.leaseLeft > Duration::zero() ? partOf(demand.lease) : 0;
     holder.leaseUntil = now + demand.leaseLeft + m_options.leaseMargin;
-    holder.askedAt = now;
+    holder.lastRequestAt = now;
     m_level += demand.returned;
-    settle(holder, demand.locallyAdmitted);
+    chargeLocalAdmissions(holder, demand.locallyAdmitted);
 }
 
 /// What it let in by its lease, while this daemon gave the whole rate to others, is taken from what
 /// comes next: an entry that loses some messages may do so all the time.
-void AccountHome::settle(Holder &holder, std::uint32_t locallyAdmitted)
+void AccountHome::chargeLocalAdmissions(Holder &holder, std::uint32_t locallyAdmitted)
 {
     const std::uint32_t before = holder.locallyAdmitted.value_or(locallyAdmitted);
     const double more = locallyAdmitted > before ? locallyAdmitted - before : 0;
-    m_level = std::max(m_level - std::max(more - holder.leftToIt, 0.0), -m_burst);
-    holder.leftToIt = 0;
+    m_level = std::max(m_level - std::max(more - holder.reservedTokens, 0.0), -m_burst);
+    holder.reservedTokens = 0;
     holder.locallyAdmitted = locallyAdmitted;
 }
 
@@ -98,13 +98,14 @@
 void AccountHome::refill(TimePoint now, const AccountLimit &limit)
 {
     m_burst = limit.burst;
-    const double share = mandate(now);
+    const double share = grantableShare(now);
     const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - m_refilledAt));
     m_refilledAt = now;
     for (auto &[daemon, holder] : m_holders) {
-        holder.leftToIt += isUnresponsive(now, holder) ? passed * limit.rate * holder.lease : 0;
+        holder.reservedTokens +=
+            isUnresponsive(now, holder) ? passed * limit.rate * holder.lease : 0;
     }
-    if (!std::exchange(m_isBegun, true) && share < 1) {
+    if (!std::exchange(m_isInitialized, true) && share < 1) {
         m_level = toleranceTokens(limit) * m_placement.domainShare() / 2;
     }
     const double most = (limit.burst + toleranceTokens(limit)) * share;
@@ -134,14 +135,14 @@
         return each.second.emptyUntil > now;
     });
     const double missing = static_cast<double>(before) + 1 - m_level;
-    const double rate = std::max(limit.rate * mandate(now), 1e-3);
-    return std::clamp(secondsOf(missing / rate), SHORTEST_EMPTY, LONGEST_EMPTY);
+    const double rate = std::max(limit.rate * grantableShare(now), 1e-3);
+    return std::clamp(secondsOf(missing / rate), MIN_EMPTY_TIME, MAX_EMPTY_TIME);
 }
 
 /// What is asked for in a second beyond the limit has room after this time, if nobody else came.
-Duration AccountHome::returnTime(const AccountLimit &limit) const
+Duration AccountHome::retryAfterFor(const AccountLimit &limit) const
 {
-    const double excess = std::max(askedRate() - limit.rate, 0.0) / limit.rate;
+    const double excess = std::max(totalDemandRate() - limit.rate, 0.0) / limit.rate;
     return std::clamp(secondsOf(excess), m_options.shortestReturn, m_options.longestReturn);
 }
 
@@ -173,19 +174,19 @@
     return sum;
 }
 
-double AccountHome::mandate(TimePoint now) const
+double AccountHome::grantableShare(TimePoint now) const
 {
     if (m_isDeputy) {
         // Not all that will ask have asked yet.
-        return std::min(std::max(leasesHere(), m_placement.domainShare() / 2), 1.0);
+        return std::min(std::max(reachableLeases(), m_placement.domainShare() / 2), 1.0);
     }
-    const double inReach = m_placement.reachableShare(now);
-    const bool isWhole = inReach >= m_options.wholeShare;
+    const double reachable = m_placement.reachableShare(now);
+    const bool isWhole = reachable >= m_options.wholeShare;
     if (isNew(now) && !isWhole) {
         // Whoever was the home before may be cut off, and still give to others what they have as
         // leases.
-        const double here = now - m_since < m_options.hearingTime ? 0 : leasesHere();
-        return here > 0 ? std::min(here, 1.0) : inReach;
+        const double here = now - m_since < m_options.hearingTime ? 0 : reachableLeases();
+        return here > 0 ? std::min(here, 1.0) : reachable;
     }
     const double gone = leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
         return !m_placement.isMember(daemon);
@@ -193,11 +194,11 @@
     const double unresponsive = leasesIf([this, now](const DaemonId &daemon, const Holder &holder) {
         return m_placement.isMember(daemon) && isUnresponsive(now, holder);
     });
-    const double mine = isWhole || gone > 0 ? 1 - gone : inReach;
+    const double mine = isWhole || gone > 0 ? 1 - gone : reachable;
     return std::max(mine - unresponsive, 0.0);
 }
 
-double AccountHome::leasesHere() const
+double AccountHome::reachableLeases() const
 {
     return leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
         return m_placement.isMember(daemon);
@@ -209,10 +210,10 @@
 bool AccountHome::isUnresponsive(TimePoint now, const Holder &holder) const
 {
     const Duration expected = secondsOf(m_options.missedAsks / std::max(holder.longTermRate, 1e-3));
-    return now - holder.askedAt > std::max(expected, m_options.shortestSilence);
+    return now - holder.lastRequestAt > std::max(expected, m_options.shortestSilence);
 }
 
-double AccountHome::askedRate() const
+double AccountHome::totalDemandRate() const
 {
     double rate = 0;
     for (const auto &[daemon, holder] : m_holders) {
@@ -239,16 +240,16 @@
     return tokens;
 }
 
-void AccountHome::forget(TimePoint now)
+void AccountHome::removeExpired(TimePoint now)
 {
     for (auto it = m_holders.begin(); it != m_holders.end();) {
         Holder &holder = it->second;
-        if (now - holder.askedAt > m_options.stockLife + m_options.leaseMargin) {
+        if (now - holder.lastRequestAt > m_options.stockLife + m_options.leaseMargin) {
             holder.tokens = 0;
             holder.rate = 0;
         }
-        const bool isOver = holder.tokens == 0 && now >= holder.leaseUntil;
-        it = isOver ? m_holders.erase(it) : std::next(it);
+        const bool isExpired = holder.tokens == 0 && now >= holder.leaseUntil;
+        it = isExpired ? m_holders.erase(it) : std::next(it);
     }
 }
 
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -17,10 +17,10 @@
     AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
                 const AccountPlacement &placement);
 
-    TokenGrant give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
-                    const TokenDemand &demand);
+    TokenGrant grantTokens(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
+                           const TokenDemand &demand);
     /// When an entry last asked.
-    TimePoint askedAt() const { return m_askedAt; }
+    TimePoint lastRequestAt() const { return m_lastRequestAt; }
 
 private:
     struct Holder
@@ -34,39 +34,39 @@
         /// As it told when it asked last; nothing before.
         std::optional<std::uint32_t> locallyAdmitted;
         /// Units that were left to it since.
-        double leftToIt = 0;
-        TimePoint askedAt;
+        double reservedTokens = 0;
+        TimePoint lastRequestAt;
         TimePoint emptyUntil;
     };
 
     void refill(TimePoint now, const AccountLimit &limit);
-    void settle(Holder &holder, std::uint32_t locallyAdmitted);
-    void hear(TimePoint now, const DaemonId &entry, const TokenDemand &demand);
+    void chargeLocalAdmissions(Holder &holder, std::uint32_t locallyAdmitted);
+    void updateHolder(TimePoint now, const DaemonId &entry, const TokenDemand &demand);
     double toleranceTokens(const AccountLimit &limit) const;
     std::uint32_t tokensFor(const TokenDemand &demand) const;
     Duration emptyFor(TimePoint now, const AccountLimit &limit) const;
-    Duration returnTime(const AccountLimit &limit) const;
+    Duration retryAfterFor(const AccountLimit &limit) const;
     RateShare lease(TimePoint now, Holder &holder);
     /// Of the rate, what this daemon may give.
-    double mandate(TimePoint now) const;
+    double grantableShare(TimePoint now) const;
     bool isNew(TimePoint now) const { return now - m_since < m_options.leaseLife; }
-    double askedRate() const;
+    double totalDemandRate() const;
     double longTermRate() const;
     double heldTokens() const;
     template <typename IsWanted> double leasesIf(const IsWanted &isWanted) const;
     /// Leases of the entries that can reach this daemon.
-    double leasesHere() const;
+    double reachableLeases() const;
     /// The entry should have asked long ago.
     bool isUnresponsive(TimePoint now, const Holder &holder) const;
-    void forget(TimePoint now);
+    void removeExpired(TimePoint now);
 
     const AccountLimitOptions &m_options;
     const AccountPlacement &m_placement;
     bool m_isDeputy;
-    bool m_isBegun = false;
+    bool m_isInitialized = false;
     TimePoint m_since;
     TimePoint m_refilledAt;
-    TimePoint m_askedAt;
+    TimePoint m_lastRequestAt;
     double m_level = 0;
     double m_capacity = 0;
     double m_burst = 0;
--- a/src/coordination/accounts/internal/accountplacement.cpp
+++ b/src/coordination/accounts/internal/accountplacement.cpp
@@ -64,7 +64,7 @@
     for (const Candidate &candidate : m_candidates) {
         m_known[candidate.daemon] = Known{ true, now };
     }
-    forget(now);
+    removeExpired(now);
 }
 
 template <typename IsWanted>
@@ -117,12 +117,12 @@
     return in == 0 ? 1 / m_options.startingDaemons : static_cast<double>(in) / all;
 }
 
-void AccountPlacement::forget(TimePoint now)
+void AccountPlacement::removeExpired(TimePoint now)
 {
     for (auto it = m_known.begin(); it != m_known.end();) {
-        const bool isForgotten =
+        const bool isExpired =
             !it->second.isPresent && now - it->second.lastPresentAt >= m_options.goneLife;
-        it = isForgotten ? m_known.erase(it) : std::next(it);
+        it = isExpired ? m_known.erase(it) : std::next(it);
     }
 }
 
--- a/src/coordination/accounts/internal/accountplacement.h
+++ b/src/coordination/accounts/internal/accountplacement.h
@@ -49,7 +49,7 @@
     template <typename IsWanted>
     const Candidate *highestWeight(const AccountName &account, const IsWanted &isWanted) const;
     bool isPresent(const DaemonId &daemon) const { return m_known.at(daemon).isPresent; }
-    void forget(TimePoint now);
+    void removeExpired(TimePoint now);
 
     const AccountLimitOptions &m_options;
     TimePoint m_startedAt;
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// How often what nobody uses is looked for.
-constexpr Duration FORGET_INTERVAL = std::chrono::seconds(5);
+constexpr Duration CLEANUP_INTERVAL = std::chrono::seconds(5);
 
 } // namespace
 
@@ -28,7 +28,7 @@
     : m_random(random)
     , m_options(options)
     , m_placement(now, m_options)
-    , m_forgotAt(now)
+    , m_cleanedUpAt(now)
 {
 }
 
@@ -56,7 +56,7 @@
     if (!limit) {
         return {};
     }
-    forget(now);
+    removeExpired(now);
     AccountTokenCache &cache = tokenCacheOf(now, account);
     if (since == now) {
         cache.recordDemand(now);
@@ -188,7 +188,7 @@
                           .emplace(std::piecewise_construct, std::forward_as_tuple(demand.account),
                                    std::forward_as_tuple(since, !isHome, m_options, m_placement))
                           .first;
-    return home->second.give(now, *limit, entry, demand);
+    return home->second.grantTokens(now, *limit, entry, demand);
 }
 
 void SharedAccountLimits::receive(TimePoint now, const DaemonId &from,
@@ -275,23 +275,23 @@
 }
 
 /// What is not used any more, so that memory does not grow with all accounts that ever came by.
-void SharedAccountLimits::forget(TimePoint now)
+void SharedAccountLimits::removeExpired(TimePoint now)
 {
-    if (now - m_forgotAt < FORGET_INTERVAL) {
+    if (now - m_cleanedUpAt < CLEANUP_INTERVAL) {
         return;
     }
-    m_forgotAt = now;
+    m_cleanedUpAt = now;
     for (auto it = m_tokenCaches.begin(); it != m_tokenCaches.end();) {
         const bool isIdle = now - it->second.lastUsedAt() > m_options.leaseLife;
         it = isIdle ? m_tokenCaches.erase(it) : std::next(it);
     }
-    const auto forgetHomes = [now](auto &homes, Duration life) {
+    const auto removeIdleHomes = [now](auto &homes, Duration life) {
         for (auto it = homes.begin(); it != homes.end();) {
-            it = now - it->second.askedAt() > life ? homes.erase(it) : std::next(it);
+            it = now - it->second.lastRequestAt() > life ? homes.erase(it) : std::next(it);
         }
     };
-    forgetHomes(m_homes, 2 * m_options.leaseLife);
-    forgetHomes(m_deputies, m_options.leaseLife);
+    removeIdleHomes(m_homes, 2 * m_options.leaseLife);
+    removeIdleHomes(m_deputies, m_options.leaseLife);
 }
 
 } // namespace ivyspar
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -50,7 +50,7 @@
                       const TokenDemand &demand);
     void receiveResponse(TimePoint now, const DaemonId &from, const TokenResponse &response,
                          std::vector<AccountName> &granted);
-    void forget(TimePoint now);
+    void removeExpired(TimePoint now);
 
     IRandom &m_random;
     AccountLimitOptions m_options;
@@ -63,7 +63,7 @@
     std::unordered_map<DaemonId, PeerState> m_peerStates;
     OutgoingAccountMessages m_outgoing;
     std::uint32_t m_lastNumber = 0;
-    TimePoint m_forgotAt;
+    TimePoint m_cleanedUpAt;
 };
 
 } // namespace ivyspar
