--- a/src/coordination/accounts/accountmessages.h
+++ b/src/coordination/accounts/accountmessages.h
@@ -49,7 +49,7 @@
     /// What the entry may let in by itself while it cannot reach the home, and for how long after
     /// the question was sent.
     RateShare lease;
-    Duration leaseLife{ 0 };
+    Duration leaseDuration{ 0 };
 };
 
 struct TokenRequest
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -93,43 +93,43 @@
     bool hasHomes = true;
     AccountTolerance tolerance;
     /// Time over which an entry's demand is averaged.
-    Duration memory = std::chrono::seconds(2);
+    Duration demandWindow = std::chrono::seconds(2);
     /// An entry keeps units for this time of its demand at hand …
-    Duration stock = std::chrono::milliseconds(150);
+    Duration prefetchTime = std::chrono::milliseconds(150);
     /// … and one at least, if its demand is larger. Of an account that is seldom asked for, units
     /// would lie about at all entries while the bucket is empty.
-    double leastStockRate = 0.7;
+    double minPrefetchRate = 0.7;
     /// Units at hand are worth nothing after this time without an answer of the home.
-    Duration stockLife = std::chrono::milliseconds(2500);
+    Duration cachedTokenLifetime = std::chrono::milliseconds(2500);
     /// A question without an answer is repeated after this time …
-    Duration askTimeout = std::chrono::milliseconds(60);
+    Duration requestTimeout = std::chrono::milliseconds(60);
     /// … and after so many the daemon is taken for silent, for this time.
-    std::uint32_t mostAsks = 2;
-    Duration silence = std::chrono::milliseconds(500);
+    std::uint32_t maxUnansweredRequests = 2;
+    Duration unresponsiveTime = std::chrono::milliseconds(500);
     /// Units of an answer that comes later than this are not used.
-    Duration grantLife = std::chrono::milliseconds(500);
+    Duration grantLifetime = std::chrono::milliseconds(500);
     /// How long a request may wait for a unit while the bucket is empty.
-    Duration longestWait = std::chrono::milliseconds(120);
-    Duration leaseLife = std::chrono::seconds(10);
+    Duration maxWait = std::chrono::milliseconds(120);
+    Duration leaseDuration = std::chrono::seconds(10);
     /// A lease is minded here for so much longer than where it is used.
     Duration leaseMargin = std::chrono::milliseconds(500);
     /// Daemons that are gone count for the division of limits for this long: they may be cut off,
     /// and still serve their callers.
-    Duration goneLife = std::chrono::seconds(30);
+    Duration departedRetention = std::chrono::seconds(30);
     /// After a start a daemon may not have found the others yet …
-    Duration settleTime = std::chrono::milliseconds(700);
+    Duration discoveryTime = std::chrono::milliseconds(700);
     /// … and takes itself for one of so many.
-    double startingDaemons = 64;
+    double assumedDaemons = 64;
     /// An entry seems cut off after this time, and that of so many requests, without a question.
-    Duration shortestSilence = std::chrono::milliseconds(250);
-    double missedAsks = 4;
+    Duration minUnresponsiveTime = std::chrono::milliseconds(250);
+    double missedRequests = 4;
     /// A new home has heard of most leases after this time.
-    Duration hearingTime = std::chrono::milliseconds(500);
+    Duration leaseReportTime = std::chrono::milliseconds(500);
     /// With a larger share of the known daemons in reach, nobody is thought to be cut off.
-    double wholeShare = 0.98;
+    double fullReachShare = 0.98;
     /// Bounds on what callers that are refused are told.
-    Duration shortestReturn = std::chrono::milliseconds(200);
-    Duration longestReturn = std::chrono::seconds(3);
+    Duration minRetryAfter = std::chrono::milliseconds(200);
+    Duration maxRetryAfter = std::chrono::seconds(3);
 };
 
 std::unique_ptr<IAccountLimits> makeAccountLimits(TimePoint now, IRandom &random,
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -65,7 +65,7 @@
     }
     grant.retryAfter = retryAfterFor(limit);
     grant.lease = lease(now, holder);
-    grant.leaseLife = m_isDeputy ? demand.leaseLeft : m_options.leaseLife;
+    grant.leaseDuration = m_isDeputy ? demand.leaseLeft : m_options.leaseDuration;
     return grant;
 }
 
@@ -143,7 +143,7 @@
 Duration AccountHome::retryAfterFor(const AccountLimit &limit) const
 {
     const double excess = std::max(totalDemandRate() - limit.rate, 0.0) / limit.rate;
-    return std::clamp(secondsOf(excess), m_options.shortestReturn, m_options.longestReturn);
+    return std::clamp(secondsOf(excess), m_options.minRetryAfter, m_options.maxRetryAfter);
 }
 
 /// A holder's lease grows only by what no other holder may still believe in.
@@ -161,7 +161,7 @@
     const double given = std::min(wanted, holder.lease + std::max(free, 0.0));
     const RateShare told = shareOf(given);
     holder.lease = std::max(holder.lease, given);
-    holder.leaseUntil = now + m_options.leaseLife + m_options.leaseMargin;
+    holder.leaseUntil = now + m_options.leaseDuration + m_options.leaseMargin;
     return told;
 }
 
@@ -181,11 +181,11 @@
         return std::min(std::max(reachableLeases(), m_placement.domainShare() / 2), 1.0);
     }
     const double reachable = m_placement.reachableShare(now);
-    const bool isWhole = reachable >= m_options.wholeShare;
+    const bool isWhole = reachable >= m_options.fullReachShare;
     if (isNew(now) && !isWhole) {
         // Whoever was the home before may be cut off, and still give to others what they have as
         // leases.
-        const double here = now - m_since < m_options.hearingTime ? 0 : reachableLeases();
+        const double here = now - m_since < m_options.leaseReportTime ? 0 : reachableLeases();
         return here > 0 ? std::min(here, 1.0) : reachable;
     }
     const double gone = leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
@@ -209,8 +209,9 @@
 /// others already let in what their leases allow.
 bool AccountHome::isUnresponsive(TimePoint now, const Holder &holder) const
 {
-    const Duration expected = secondsOf(m_options.missedAsks / std::max(holder.longTermRate, 1e-3));
-    return now - holder.lastRequestAt > std::max(expected, m_options.shortestSilence);
+    const Duration expected =
+        secondsOf(m_options.missedRequests / std::max(holder.longTermRate, 1e-3));
+    return now - holder.lastRequestAt > std::max(expected, m_options.minUnresponsiveTime);
 }
 
 double AccountHome::totalDemandRate() const
@@ -244,7 +245,7 @@
 {
     for (auto it = m_holders.begin(); it != m_holders.end();) {
         Holder &holder = it->second;
-        if (now - holder.lastRequestAt > m_options.stockLife + m_options.leaseMargin) {
+        if (now - holder.lastRequestAt > m_options.cachedTokenLifetime + m_options.leaseMargin) {
             holder.tokens = 0;
             holder.rate = 0;
         }
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -49,7 +49,7 @@
     RateShare lease(TimePoint now, Holder &holder);
     /// Of the rate, what this daemon may give.
     double grantableShare(TimePoint now) const;
-    bool isNew(TimePoint now) const { return now - m_since < m_options.leaseLife; }
+    bool isNew(TimePoint now) const { return now - m_since < m_options.leaseDuration; }
     double totalDemandRate() const;
     double longTermRate() const;
     double heldTokens() const;
--- a/src/coordination/accounts/internal/accountplacement.cpp
+++ b/src/coordination/accounts/internal/accountplacement.cpp
@@ -105,23 +105,23 @@
     std::size_t known = 0;
     for (const auto &[daemon, each] : m_known) {
         in += each.isPresent ? 1 : 0;
-        known += each.isPresent || now - each.lastPresentAt < m_options.goneLife ? 1 : 0;
+        known += each.isPresent || now - each.lastPresentAt < m_options.departedRetention ? 1 : 0;
     }
     const Duration age = std::chrono::duration_cast<Duration>(now - m_startedAt);
     // Whoever is cut off since before this daemon's start is not known from seeing it go.
-    auto all =
-        static_cast<double>(age < m_options.goneLife ? std::max(known, m_directorySize) : known);
-    if (age < m_options.settleTime) {
-        all = std::max(all, m_options.startingDaemons);
+    auto all = static_cast<double>(
+        age < m_options.departedRetention ? std::max(known, m_directorySize) : known);
+    if (age < m_options.discoveryTime) {
+        all = std::max(all, m_options.assumedDaemons);
     }
-    return in == 0 ? 1 / m_options.startingDaemons : static_cast<double>(in) / all;
+    return in == 0 ? 1 / m_options.assumedDaemons : static_cast<double>(in) / all;
 }
 
 void AccountPlacement::removeExpired(TimePoint now)
 {
     for (auto it = m_known.begin(); it != m_known.end();) {
         const bool isExpired =
-            !it->second.isPresent && now - it->second.lastPresentAt >= m_options.goneLife;
+            !it->second.isPresent && now - it->second.lastPresentAt >= m_options.departedRetention;
         it = isExpired ? m_known.erase(it) : std::next(it);
     }
 }
--- a/src/coordination/accounts/internal/accounttokencache.cpp
+++ b/src/coordination/accounts/internal/accounttokencache.cpp
@@ -13,20 +13,20 @@
     , m_leaseFilledAt(now)
 {
     // As though nobody had asked before: the first request alone tells of no rate.
-    m_demand.add(now - options.memory, 0, options.memory);
-    m_longTermDemand.add(now - options.leaseLife, 0, options.leaseLife);
+    m_demand.add(now - options.demandWindow, 0, options.demandWindow);
+    m_longTermDemand.add(now - options.leaseDuration, 0, options.leaseDuration);
 }
 
 void AccountTokenCache::recordDemand(TimePoint now)
 {
     m_lastUsedAt = now;
-    m_demand.add(now, 1, m_options.memory);
-    m_longTermDemand.add(now, 1, m_options.leaseLife);
+    m_demand.add(now, 1, m_options.demandWindow);
+    m_longTermDemand.add(now, 1, m_options.leaseDuration);
 }
 
 void AccountTokenCache::recordRefusal(TimePoint now)
 {
-    m_refused.add(now, 1, m_options.memory);
+    m_refused.add(now, 1, m_options.demandWindow);
 }
 
 bool AccountTokenCache::take(TimePoint now)
@@ -87,7 +87,7 @@
     demand.held = static_cast<std::uint32_t>(m_tokens);
     demand.returned = static_cast<std::uint32_t>(excess);
     demand.rate = demandRate(now);
-    demand.longTermRate = m_longTermDemand.rate(now, m_options.leaseLife);
+    demand.longTermRate = m_longTermDemand.rate(now, m_options.leaseDuration);
     demand.lease = m_lease;
     demand.locallyAdmitted = m_locallyAdmitted;
     demand.leaseLeft =
@@ -102,7 +102,7 @@
 
 std::optional<DaemonId> AccountTokenCache::expirePendingRequest(TimePoint now)
 {
-    if (!m_pendingRequest || now - m_pendingRequest->sentAt < m_options.askTimeout) {
+    if (!m_pendingRequest || now - m_pendingRequest->sentAt < m_options.requestTimeout) {
         return std::nullopt;
     }
     const DaemonId target = m_pendingRequest->target;
@@ -115,7 +115,7 @@
     const TimePoint sentAt = m_pendingRequest->sentAt;
     const bool isFromDeputy = m_pendingRequest->isForDeputy;
     m_pendingRequest.reset();
-    if (now - sentAt > m_options.grantLife) {
+    if (now - sentAt > m_options.grantLifetime) {
         return false;
     }
     m_tokens += grant.tokens;
@@ -123,7 +123,7 @@
     m_grantedAt = now;
     m_lease = grant.lease;
     // From when it was asked for: the home's own count of that time begins no earlier.
-    m_leaseUntil = sentAt + grant.leaseLife;
+    m_leaseUntil = sentAt + grant.leaseDuration;
     m_emptyUntil = now + grant.emptyFor;
     m_retryAfter = grant.retryAfter;
     return true;
@@ -135,8 +135,8 @@
 {
     const double most = std::max(1.0, limit.burst * leaseShare(now) / 2);
     const double rate = demandRate(now);
-    const double least = rate < m_options.leastStockRate ? 0 : 1;
-    return least * std::clamp(rate * toSeconds(m_options.stock), 1.0, most);
+    const double least = rate < m_options.minPrefetchRate ? 0 : 1;
+    return least * std::clamp(rate * toSeconds(m_options.prefetchTime), 1.0, most);
 }
 
 double AccountTokenCache::leaseShare(TimePoint now) const
@@ -151,7 +151,7 @@
 {
     const double passed =
         std::min(toSeconds(std::chrono::duration_cast<Duration>(now - m_leaseFilledAt)),
-                 toSeconds(m_options.silence));
+                 toSeconds(m_options.unresponsiveTime));
     m_leaseFilledAt = now;
     const double share = leaseShare(now);
     const double most = std::max(1.0, share * limit.burst / 2);
@@ -160,7 +160,7 @@
 
 void AccountTokenCache::expire(TimePoint now)
 {
-    if (now - m_grantedAt > m_options.stockLife) {
+    if (now - m_grantedAt > m_options.cachedTokenLifetime) {
         m_tokens = 0;
     }
 }
--- a/src/coordination/accounts/internal/accounttokencache.h
+++ b/src/coordination/accounts/internal/accounttokencache.h
@@ -18,8 +18,8 @@
     /// A request asks for the account, for the first time.
     void recordDemand(TimePoint now);
     void recordRefusal(TimePoint now);
-    double demandRate(TimePoint now) const { return m_demand.rate(now, m_options.memory); }
-    double refusedRate(TimePoint now) const { return m_refused.rate(now, m_options.memory); }
+    double demandRate(TimePoint now) const { return m_demand.rate(now, m_options.demandWindow); }
+    double refusedRate(TimePoint now) const { return m_refused.rate(now, m_options.demandWindow); }
     TimePoint lastUsedAt() const { return m_lastUsedAt; }
 
     /// Takes a unit at hand. False if there is none.
--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -7,7 +7,7 @@
 
 EqualAccountLimits::EqualAccountLimits(const AccountLimitOptions &options)
     : m_options(options)
-    , m_daemons(options.startingDaemons)
+    , m_daemons(options.assumedDaemons)
 {
 }
 
@@ -41,7 +41,7 @@
     bucket.tokens = std::min(bucket.tokens + passed * rate, most);
     bucket.filledAt = now;
     if (bucket.tokens < 1) {
-        return AccountDecision{ AccountAction::Refuse, now, m_options.longestReturn / 3 };
+        return AccountDecision{ AccountAction::Refuse, now, m_options.maxRetryAfter / 3 };
     }
     bucket.tokens -= 1;
     return {};
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -89,7 +89,7 @@
     }
     if (cache.pendingRequest()) {
         return AccountDecision{ AccountAction::Wait,
-                                cache.pendingRequest()->sentAt + m_options.askTimeout,
+                                cache.pendingRequest()->sentAt + m_options.requestTimeout,
                                 {} };
     }
     // This daemon is the home, and the bucket is empty.
@@ -99,7 +99,7 @@
 AccountDecision SharedAccountLimits::waitOrRefuse(TimePoint now, AccountTokenCache &cache,
                                                   TimePoint since)
 {
-    if (cache.emptyUntil() - since <= m_options.longestWait) {
+    if (cache.emptyUntil() - since <= m_options.maxWait) {
         return AccountDecision{ AccountAction::Wait, cache.emptyUntil(), {} };
     }
     return refuse(now, cache, cache.retryAfter());
@@ -112,9 +112,9 @@
         return {};
     }
     const Duration timeUntilToken =
-        cache.timeUntilLeaseToken(now, limit).value_or(m_options.longestReturn / 3);
+        cache.timeUntilLeaseToken(now, limit).value_or(m_options.maxRetryAfter / 3);
     return refuse(now, cache,
-                  std::clamp(timeUntilToken, m_options.shortestReturn, m_options.longestReturn));
+                  std::clamp(timeUntilToken, m_options.minRetryAfter, m_options.maxRetryAfter));
 }
 
 /// Spread by a quarter, so that callers that are refused together do not come back together.
@@ -166,8 +166,8 @@
 void SharedAccountLimits::recordUnanswered(TimePoint now, const DaemonId &daemon)
 {
     PeerState &state = m_peerStates[daemon];
-    if (++state.unanswered >= m_options.mostAsks) {
-        state.until = now + m_options.silence;
+    if (++state.unanswered >= m_options.maxUnansweredRequests) {
+        state.until = now + m_options.unresponsiveTime;
     }
 }
 
@@ -228,7 +228,7 @@
         }
         if (!grant.isFromHome) {
             // Either daemon has not heard yet who is there.
-            m_peerStates[from].until = now + m_options.askTimeout;
+            m_peerStates[from].until = now + m_options.requestTimeout;
         }
     }
 }
@@ -282,7 +282,7 @@
     }
     m_cleanedUpAt = now;
     for (auto it = m_tokenCaches.begin(); it != m_tokenCaches.end();) {
-        const bool isIdle = now - it->second.lastUsedAt() > m_options.leaseLife;
+        const bool isIdle = now - it->second.lastUsedAt() > m_options.leaseDuration;
         it = isIdle ? m_tokenCaches.erase(it) : std::next(it);
     }
     const auto removeIdleHomes = [now](auto &homes, Duration life) {
@@ -290,8 +290,8 @@
             it = now - it->second.lastRequestAt() > life ? homes.erase(it) : std::next(it);
         }
     };
-    removeIdleHomes(m_homes, 2 * m_options.leaseLife);
-    removeIdleHomes(m_deputies, m_options.leaseLife);
+    removeIdleHomes(m_homes, 2 * m_options.leaseDuration);
+    removeIdleHomes(m_deputies, m_options.leaseDuration);
 }
 
 } // namespace ivyspar
--- a/src/protocol/internal/accountexchange.cpp
+++ b/src/protocol/internal/accountexchange.cpp
@@ -58,7 +58,7 @@
         .add(microsOf(part.emptyFor))
         .add(microsOf(part.retryAfter))
         .add(part.lease)
-        .add(microsOf(part.leaseLife));
+        .add(microsOf(part.leaseDuration));
     return writer.take();
 }
 
@@ -136,7 +136,7 @@
     readMicros(reader, part.emptyFor);
     readMicros(reader, part.retryAfter);
     readLease(reader, part.lease);
-    readMicros(reader, part.leaseLife);
+    readMicros(reader, part.leaseDuration);
     return part;
 }
 
--- a/src/protocol/tests/accountexchangetest.cpp
+++ b/src/protocol/tests/accountexchangetest.cpp
@@ -44,7 +44,7 @@
     CHECK(part.emptyFor == 20ms);
     CHECK(part.retryAfter == 300ms);
     CHECK(part.lease == RateShare(12));
-    CHECK(part.leaseLife == 10s);
+    CHECK(part.leaseDuration == 10s);
 }
 
 // Guards against a daemon that grants, or believes in, more than the whole rate.
