--- a/src/app/internal/accounts/accountservice.cpp
+++ b/src/app/internal/accounts/accountservice.cpp
@@ -62,10 +62,10 @@
 Verdict AccountService::refuseKey() const
 {
     const std::optional<Duration> age = m_confirmation.age(m_loop.now());
-    if (age && *age <= m_options.certainty) {
+    if (age && *age <= m_options.maxConfirmationAge) {
         return Verdict{ Outcome::NotRun, Reason::UnknownKey, {} };
     }
-    return Verdict{ Outcome::NotRun, Reason::UncertainKey, m_options.uncertainReturn };
+    return Verdict{ Outcome::NotRun, Reason::UncertainKey, m_options.uncertainKeyRetryAfter };
 }
 
 std::optional<Verdict> AccountService::take(const AccountName &account)
@@ -81,11 +81,11 @@
             m_observers.metrics.add(Counter::LimitRefusals);
             return Verdict{ Outcome::NotRun, Reason::OverLimit, decision.retryAfter };
         }
-        waitFor(account, decision.until);
+        waitForTokens(account, decision.until);
     }
 }
 
-void AccountService::waitFor(const AccountName &account, TimePoint until)
+void AccountService::waitForTokens(const AccountName &account, TimePoint until)
 {
     constexpr Duration SHORTEST = std::chrono::milliseconds(1);
     OneShot<bool> granted(m_loop);
@@ -98,9 +98,9 @@
     }
 }
 
-void AccountService::giveBack(const AccountName &account)
+void AccountService::refund(const AccountName &account)
 {
-    m_limits->giveBack(m_loop.now(), account);
+    m_limits->refund(m_loop.now(), account);
 }
 
 void AccountService::receive(const DaemonId &from, const std::string &payload)
--- a/src/app/internal/accounts/accountservice.h
+++ b/src/app/internal/accounts/accountservice.h
@@ -22,9 +22,9 @@
 {
     AccountLimitOptions limits;
     /// A configuration that was the newest one no longer ago than this decides which keys exist.
-    Duration certainty = std::chrono::seconds(2);
+    Duration maxConfirmationAge = std::chrono::seconds(2);
     /// When callers whose key may be on its way are to come back.
-    Duration uncertainReturn = std::chrono::milliseconds(300);
+    Duration uncertainKeyRetryAfter = std::chrono::milliseconds(300);
 };
 
 /// Knows the client accounts of the configuration in force, and keeps them within their limits
@@ -52,13 +52,13 @@
     tl::expected<const AccountSpec *, Verdict>
     identify(const RuleSpec &rule, const std::optional<AccountKey> &key) const override;
     std::optional<Verdict> take(const AccountName &account) override;
-    void giveBack(const AccountName &account) override;
+    void refund(const AccountName &account) override;
 
 private:
     using Waiters = std::list<OneShot<bool> *>;
 
     Verdict refuseKey() const;
-    void waitFor(const AccountName &account, TimePoint until);
+    void waitForTokens(const AccountName &account, TimePoint until);
     void sendAll();
 
     IEventLoop &m_loop;
--- a/src/app/internal/accounts/iaccounts.h
+++ b/src/app/internal/accounts/iaccounts.h
@@ -25,7 +25,7 @@
     /// ms. Returns why the request is refused, if it is.
     virtual std::optional<Verdict> take(const AccountName &account) = 0;
     /// A request that took a unit was not run.
-    virtual void giveBack(const AccountName &account) = 0;
+    virtual void refund(const AccountName &account) = 0;
 };
 
 } // namespace ivyspar
--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -278,7 +278,7 @@
 void EntryService::giveUnitBack(Incoming &incoming)
 {
     if (std::exchange(incoming.hasUnit, false)) {
-        m_accounts.giveBack(incoming.account);
+        m_accounts.refund(incoming.account);
     }
 }
 
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -72,7 +72,7 @@
     AccountServiceOptions options;
     options.limits.hasHomes = !settings.ablations.limitHomes;
     options.limits.tolerance = settings.limitTolerance;
-    options.certainty = settings.applyWithin;
+    options.maxConfirmationAge = settings.applyWithin;
     return options;
 }
 
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -78,7 +78,7 @@
     /// Takes a unit for a request of the account, which asked for the first time at `since`.
     virtual AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) = 0;
     /// The request was not run after all.
-    virtual void giveBack(TimePoint now, const AccountName &account) = 0;
+    virtual void refund(TimePoint now, const AccountName &account) = 0;
     /// `granted` gets the accounts whose waiting requests are to ask again.
     virtual void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                          std::vector<AccountName> &granted) = 0;
--- a/src/coordination/accounts/internal/accounttokencache.cpp
+++ b/src/coordination/accounts/internal/accounttokencache.cpp
@@ -39,7 +39,7 @@
     return true;
 }
 
-void AccountTokenCache::giveBack(TimePoint now)
+void AccountTokenCache::refund(TimePoint now)
 {
     expire(now);
     m_tokens += 1;
--- a/src/coordination/accounts/internal/accounttokencache.h
+++ b/src/coordination/accounts/internal/accounttokencache.h
@@ -24,7 +24,7 @@
 
     /// Takes a unit at hand. False if there is none.
     bool take(TimePoint now);
-    void giveBack(TimePoint now);
+    void refund(TimePoint now);
     /// Takes a unit of what the lease allows while the home is silent.
     bool takeFromLease(TimePoint now, const AccountLimit &limit);
     /// Until there is one; nothing if there is no lease.
--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -47,7 +47,7 @@
     return {};
 }
 
-void EqualAccountLimits::giveBack(TimePoint /*now*/, const AccountName &account)
+void EqualAccountLimits::refund(TimePoint /*now*/, const AccountName &account)
 {
     const auto found = m_buckets.find(account);
     if (found != m_buckets.end()) {
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -238,11 +238,11 @@
     return std::exchange(m_outgoing, {});
 }
 
-void SharedAccountLimits::giveBack(TimePoint now, const AccountName &account)
+void SharedAccountLimits::refund(TimePoint now, const AccountName &account)
 {
     const auto found = m_tokenCaches.find(account);
     if (found != m_tokenCaches.end()) {
-        found->second.giveBack(now);
+        found->second.refund(now);
     }
 }
 
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -19,7 +19,7 @@
     void setDirectorySize(std::size_t daemons) override { m_placement.setDirectorySize(daemons); }
     void setLimits(TimePoint now, AccountLimits limits) override;
     AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) override;
-    void giveBack(TimePoint now, const AccountName &account) override;
+    void refund(TimePoint now, const AccountName &account) override;
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
     OutgoingAccountMessages takeOutgoing() override;
--- a/src/coordination/accounts/tests/accountlimitstest.cpp
+++ b/src/coordination/accounts/tests/accountlimitstest.cpp
@@ -190,7 +190,7 @@
         ++taken;
     }
     CHECK_COMPARE(taken, >=, 1);
-    limits->giveBack(now, account);
+    limits->refund(now, account);
     CHECK(limits->take(now, account, now).action == AccountAction::Admit);
     const AccountDecision decision = limits->take(now, account, now);
     CHECK(decision.action == AccountAction::Refuse);
