--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -310,7 +310,7 @@
     }
     const auto quarantined = std::count_if(
         traffic.suspects.begin(), traffic.suspects.end(), [](const SuspectStatus &suspect) {
-            return suspect.standing.suspicion == Suspicion::Quarantined;
+            return suspect.assessment.suspicion == Suspicion::Quarantined;
         });
     metrics.set(Gauge::SuspectRequests, static_cast<std::int64_t>(traffic.suspects.size()));
     metrics.set(Gauge::QuarantinedRequests, quarantined);
--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -78,8 +78,8 @@
                          { "trial", crash.isTrial } });
     }
     return Json{ { "fingerprint", suspect.record.fingerprint.value() },
-                 { "standing", toText(suspect.standing.suspicion) },
-                 { "crashes", suspect.standing.crashes },
+                 { "standing", toText(suspect.assessment.suspicion) },
+                 { "crashes", suspect.assessment.crashes },
                  { "first_s_ago", toSeconds(suspect.firstAge) },
                  { "last_s_ago", toSeconds(suspect.lastAge) },
                  { "runs", runs } };
--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -144,7 +144,7 @@
             return Refusal(rejectAccount(incoming, *verdict));
         }
     }
-    const Standing standing = standingOf(incoming);
+    const Assessment standing = standingOf(incoming);
     if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
         return Refusal(rejectSuspect(incoming, standing));
     }
@@ -339,9 +339,9 @@
 }
 
 /// Nothing is hashed while no request is suspected.
-Standing EntryService::standingOf(Incoming &incoming) const
+Assessment EntryService::standingOf(Incoming &incoming) const
 {
-    return m_quarantine.hasSuspects() ? m_quarantine.standing(fingerprintOf(incoming)) : Standing();
+    return m_quarantine.hasSuspects() ? m_quarantine.assess(fingerprintOf(incoming)) : Assessment();
 }
 
 const Fingerprint &EntryService::fingerprintOf(Incoming &incoming) const
@@ -353,7 +353,7 @@
 }
 
 /// One in quarantine is not told when to come back, as that would not help.
-Rejection EntryService::rejectSuspect(const Incoming &incoming, const Standing &standing) const
+Rejection EntryService::rejectSuspect(const Incoming &incoming, const Assessment &standing) const
 {
     const bool isFinal = standing.suspicion == Suspicion::Quarantined;
     const Verdict verdict{ Outcome::NotRun, isFinal ? Reason::Quarantined : Reason::Suspected,
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -124,9 +124,9 @@
     static Rejection reject(const EarlyRefusal &refusal);
     Rejection rejectionOf(const Incoming &incoming);
     /// Whether the request may have crashed servers.
-    Standing standingOf(Incoming &incoming) const;
+    Assessment standingOf(Incoming &incoming) const;
     const Fingerprint &fingerprintOf(Incoming &incoming) const;
-    Rejection rejectSuspect(const Incoming &incoming, const Standing &standing) const;
+    Rejection rejectSuspect(const Incoming &incoming, const Assessment &standing) const;
     void bookUsage(const Run &run, const AttemptAnswer &answer);
     /// Tells root admission that a request which it let in is over.
     void tellEnd(const Run &run);
--- a/src/app/internal/gate/suspectgate.cpp
+++ b/src/app/internal/gate/suspectgate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-SuspectRuling refuse(const Standing &standing)
+SuspectRuling refuse(const Assessment &standing)
 {
     const bool isFinal = standing.suspicion == Suspicion::Quarantined;
     const Reason reason = isFinal ? Reason::Quarantined : Reason::Suspected;
@@ -22,7 +22,7 @@
 
 SuspectRuling SuspectGate::admit(CallId call, CallMessage &message, const Announcement &server)
 {
-    const Standing standing = standingOf(message, server);
+    const Assessment standing = standingOf(message, server);
     if (standing.suspicion == Suspicion::None) {
         return {};
     }
@@ -43,7 +43,7 @@
 
 SuspectRuling SuspectGate::start(CallId call, CallMessage &message, const Announcement &server)
 {
-    const Standing standing = standingOf(message, server);
+    const Assessment standing = standingOf(message, server);
     if (standing.suspicion == Suspicion::None) {
         return {};
     }
@@ -57,7 +57,8 @@
                                                   : refuse(standing);
 }
 
-SuspectRuling SuspectGate::begin(CallId call, const CallMessage &message, const Standing &standing)
+SuspectRuling SuspectGate::begin(CallId call, const CallMessage &message,
+                                 const Assessment &standing)
 {
     m_isolations[message.service].begin(call);
     m_suspects[call] = Suspect{ message.service, false, standing.isTrial };
@@ -65,7 +66,7 @@
 }
 
 /// Nothing is hashed while nothing is suspected.
-Standing SuspectGate::standingOf(CallMessage &message, const Announcement &server) const
+Assessment SuspectGate::standingOf(CallMessage &message, const Announcement &server) const
 {
     if (!m_quarantine.hasSuspects()) {
         return {};
@@ -73,7 +74,7 @@
     if (message.fingerprint.value().empty()) {
         message.fingerprint = fingerprintOf(message.account, message.request);
     }
-    return m_quarantine.standing(message.fingerprint, kindOf(server));
+    return m_quarantine.assess(message.fingerprint, kindOf(server));
 }
 
 bool SuspectGate::isWaiting(CallId call) const
--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -66,8 +66,8 @@
         bool isTrial = false;
     };
 
-    Standing standingOf(CallMessage &message, const Announcement &server) const;
-    SuspectRuling begin(CallId call, const CallMessage &message, const Standing &standing);
+    Assessment standingOf(CallMessage &message, const Announcement &server) const;
+    SuspectRuling begin(CallId call, const CallMessage &message, const Assessment &standing);
 
     IQuarantine &m_quarantine;
     std::unordered_map<ServiceName, Isolation> m_isolations;
--- a/src/app/internal/quarantine/iquarantine.h
+++ b/src/app/internal/quarantine/iquarantine.h
@@ -23,9 +23,9 @@
     /// False: nothing need be asked, nor a fingerprint be worked out for it.
     virtual bool hasSuspects() const = 0;
     /// Before a server is chosen.
-    virtual Standing standing(const Fingerprint &fingerprint) const = 0;
+    virtual Assessment assess(const Fingerprint &fingerprint) const = 0;
     /// At a server of that kind.
-    virtual Standing standing(const Fingerprint &fingerprint, const ServerKind &kind) const = 0;
+    virtual Assessment assess(const Fingerprint &fingerprint, const ServerKind &kind) const = 0;
 
     /// The run of a server of this host ended while it worked on such a request.
     virtual void noteCrash(const Fingerprint &fingerprint, const Crash &crash) = 0;
--- a/src/app/internal/quarantine/quarantineservice.cpp
+++ b/src/app/internal/quarantine/quarantineservice.cpp
@@ -80,8 +80,8 @@
     std::vector<SuspectStatus> all;
     for (SuspectRecord &record : m_table->records()) {
         SuspectStatus status;
-        status.standing = m_table->standing(now, record.fingerprint);
-        if (status.standing.suspicion == Suspicion::None) {
+        status.assessment = m_table->assess(now, record.fingerprint);
+        if (status.assessment.suspicion == Suspicion::None) {
             continue;
         }
         TimePoint first = now;
@@ -94,7 +94,7 @@
         all.push_back(std::move(status));
     }
     std::stable_sort(all.begin(), all.end(), [](const SuspectStatus &a, const SuspectStatus &b) {
-        return a.standing.suspicion > b.standing.suspicion;
+        return a.assessment.suspicion > b.assessment.suspicion;
     });
     return all;
 }
@@ -104,14 +104,14 @@
     return !m_table->isEmpty();
 }
 
-Standing QuarantineService::standing(const Fingerprint &fingerprint) const
+Assessment QuarantineService::assess(const Fingerprint &fingerprint) const
 {
-    return m_table->standing(m_loop.now(), fingerprint);
+    return m_table->assess(m_loop.now(), fingerprint);
 }
 
-Standing QuarantineService::standing(const Fingerprint &fingerprint, const ServerKind &kind) const
+Assessment QuarantineService::assess(const Fingerprint &fingerprint, const ServerKind &kind) const
 {
-    return m_table->standing(m_loop.now(), fingerprint, kind);
+    return m_table->assess(m_loop.now(), fingerprint, kind);
 }
 
 void QuarantineService::noteCrash(const Fingerprint &fingerprint, const Crash &crash)
@@ -171,7 +171,7 @@
 void QuarantineService::record(const Fingerprint &fingerprint)
 {
     const auto found = m_table->find(fingerprint);
-    const Standing now = standing(fingerprint);
+    const Assessment now = assess(fingerprint);
     const bool wasQuarantined = m_quarantined.count(fingerprint) > 0;
     const bool isQuarantined = now.suspicion == Suspicion::Quarantined;
     if (!found || isQuarantined == wasQuarantined) {
--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -20,7 +20,7 @@
 struct SuspectStatus
 {
     SuspectRecord record;
-    Standing standing;
+    Assessment assessment;
     /// Since the first crash, and since the last.
     Duration firstAge{ 0 };
     Duration lastAge{ 0 };
@@ -57,8 +57,8 @@
     std::vector<SuspectStatus> status() const;
 
     bool hasSuspects() const override;
-    Standing standing(const Fingerprint &fingerprint) const override;
-    Standing standing(const Fingerprint &fingerprint, const ServerKind &kind) const override;
+    Assessment assess(const Fingerprint &fingerprint) const override;
+    Assessment assess(const Fingerprint &fingerprint, const ServerKind &kind) const override;
     void noteCrash(const Fingerprint &fingerprint, const Crash &crash) override;
     void noteCompletion(const Fingerprint &fingerprint, const ServerKind &kind) override;
     void noteServer(const ServerKind &kind) override;
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -159,7 +159,7 @@
 
 TEST(GateSuspects, OneThatIsHeldHearsWhenToComeBack)
 {
-    Standing held;
+    Assessment held;
     held.suspicion = Suspicion::Held;
     held.retryAfter = 1500ms;
     m_quarantine.standings[fingerprintOfPath("/bad")] = held;
@@ -268,7 +268,7 @@
 
 TEST(GateSuspects, TheCrashOfATrialIsToldAsSuch)
 {
-    Standing trial;
+    Assessment trial;
     trial.suspicion = Suspicion::Suspect;
     trial.isTrial = true;
     m_quarantine.standings[fingerprintOfPath("/bad")] = trial;
--- a/src/app/tests/mocks/fakequarantine.h
+++ b/src/app/tests/mocks/fakequarantine.h
@@ -12,7 +12,7 @@
 class FakeQuarantine : public IQuarantine
 {
 public:
-    std::map<Fingerprint, Standing> standings;
+    std::map<Fingerprint, Assessment> standings;
     std::vector<std::pair<Fingerprint, Crash>> crashes;
     std::vector<Fingerprint> completions;
 
@@ -25,14 +25,14 @@
     }
 
     bool hasSuspects() const override { return !standings.empty(); }
-    Standing standing(const Fingerprint &fingerprint) const override
+    Assessment assess(const Fingerprint &fingerprint) const override
     {
         const auto found = standings.find(fingerprint);
-        return found == standings.end() ? Standing() : found->second;
+        return found == standings.end() ? Assessment() : found->second;
     }
-    Standing standing(const Fingerprint &fingerprint, const ServerKind & /*kind*/) const override
+    Assessment assess(const Fingerprint &fingerprint, const ServerKind & /*kind*/) const override
     {
-        return standing(fingerprint);
+        return assess(fingerprint);
     }
     void noteCrash(const Fingerprint &fingerprint, const Crash &crash) override
     {
--- a/src/app/tests/mocks/noquarantine.h
+++ b/src/app/tests/mocks/noquarantine.h
@@ -9,8 +9,8 @@
 {
 public:
     bool hasSuspects() const override { return false; }
-    Standing standing(const Fingerprint & /*fingerprint*/) const override { return {}; }
-    Standing standing(const Fingerprint & /*fingerprint*/,
+    Assessment assess(const Fingerprint & /*fingerprint*/) const override { return {}; }
+    Assessment assess(const Fingerprint & /*fingerprint*/,
                       const ServerKind & /*kind*/) const override
     {
         return {};
--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -164,7 +164,7 @@
 {
     const Postponed postponed = *m_postponed;
     m_postponed.reset();
-    const Standing current = standing();
+    const Assessment current = standing();
     const bool isCleared = current.suspicion == Suspicion::None;
     if ((isCleared || current.crashes <= MOST_CRASHES) && mayRetry(now, postponed.end, false)) {
         Verdict failure;
@@ -175,9 +175,9 @@
     return finish(now, postponed.attempt, postponed.end.verdict);
 }
 
-Standing EntryCall::standing() const
+Assessment EntryCall::standing() const
 {
-    return m_terms.standing ? m_terms.standing() : Standing();
+    return m_terms.standing ? m_terms.standing() : Assessment();
 }
 
 EntryActions EntryCall::redirectTo(TimePoint now, const DaemonId &holder)
@@ -300,7 +300,7 @@
         }
         return launch(now, m_terms.pinned, "ticket");
     }
-    const Standing current = standing();
+    const Assessment current = standing();
     if (current.suspicion == Suspicion::Quarantined || current.suspicion == Suspicion::Held) {
         const bool isFinal = current.suspicion == Suspicion::Quarantined;
         failure.reason = isFinal ? Reason::Quarantined : Reason::Suspected;
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -32,7 +32,7 @@
     DaemonId pinned;
     /// Whether the request may have crashed servers, asked before each attempt. Empty: it is no
     /// suspect.
-    std::function<Standing()> standing = {};
+    std::function<Assessment()> standing = {};
     /// Of the request, while it is a suspect.
     std::function<Fingerprint()> fingerprint = {};
 };
@@ -69,7 +69,7 @@
     /// The server crashed: whether the call is to be repeated is seen a moment later.
     bool postpone(TimePoint now, AttemptIndex attempt, const AttemptEnd &end);
     EntryActions resume(TimePoint now);
-    Standing standing() const;
+    Assessment standing() const;
     std::optional<EntryAction> launch(TimePoint now, const DaemonId &target, const char *why);
     /// `isFromBelow`: the upstream answered with an error of its own or of a call that it made.
     bool mayRetry(TimePoint now, const AttemptEnd &end, bool isFromBelow);
--- a/src/coordination/calls/tests/suspectcalltest.cpp
+++ b/src/coordination/calls/tests/suspectcalltest.cpp
@@ -39,7 +39,7 @@
     SeededRandom m_random{ 1 };
     AttemptLedger m_ledger{ AttemptCount(9) };
     EntryCallTerms m_terms;
-    Standing m_standing;
+    Assessment m_standing;
     TimePoint m_now{ 1000ms };
 
     void setup() override
--- a/src/coordination/quarantine/internal/suspecttable.cpp
+++ b/src/coordination/quarantine/internal/suspecttable.cpp
@@ -108,23 +108,23 @@
 {
 }
 
-Standing SuspectTable::standing(TimePoint now, const Fingerprint &fingerprint,
+Assessment SuspectTable::assess(TimePoint now, const Fingerprint &fingerprint,
                                 const ServerKind &kind) const
 {
     const auto found = m_records.find(fingerprint);
-    return found == m_records.end() ? Standing() : judge(now, found->second, kind);
+    return found == m_records.end() ? Assessment() : assessRecord(now, found->second, kind);
 }
 
-Standing SuspectTable::standing(TimePoint now, const Fingerprint &fingerprint) const
+Assessment SuspectTable::assess(TimePoint now, const Fingerprint &fingerprint) const
 {
     const auto found = m_records.find(fingerprint);
     if (found == m_records.end() || found->second.crashes.empty()) {
         return {};
     }
     const SuspectRecord &record = found->second;
-    Standing least = judge(now, record, record.crashes.front().kind);
+    Assessment least = assessRecord(now, record, record.crashes.front().kind);
     const auto consider = [&](const ServerKind &kind) {
-        const Standing each = judge(now, record, kind);
+        const Assessment each = assessRecord(now, record, kind);
         least = each.suspicion < least.suspicion ? each : least;
     };
     for (const Crash &crash : record.crashes) {
@@ -135,34 +135,34 @@
     return least;
 }
 
-Standing SuspectTable::judge(TimePoint now, const SuspectRecord &record,
-                             const ServerKind &kind) const
+Assessment SuspectTable::assessRecord(TimePoint now, const SuspectRecord &record,
+                                      const ServerKind &kind) const
 {
-    Standing standing;
+    Assessment assessment;
     if (record.crashes.empty() || hasCompleted(record, kind)) {
-        return standing;
+        return assessment;
     }
     const std::size_t here = countCrashes(record, kind);
     const std::size_t elsewhere = countElsewhere(record, kind);
-    standing.crashes = here + elsewhere;
+    assessment.crashes = here + elsewhere;
     const bool isKnownElsewhere = elsewhere >= m_options.crashes;
     const bool isCondemnedHere = here >= m_options.crashes || (isKnownElsewhere && here > 0);
     const Duration since = std::chrono::duration_cast<Duration>(now - record.changedAt);
     if (isCondemnedHere || isKnownElsewhere) {
         const bool isDue = !isCondemnedHere || since >= m_options.trialPause;
         if (!isDue || countTrials(record) >= m_options.trials) {
-            standing.suspicion = Suspicion::Quarantined;
-            return standing;
+            assessment.suspicion = Suspicion::Quarantined;
+            return assessment;
         }
-        standing.isTrial = true;
+        assessment.isTrial = true;
     }
-    standing.suspicion = Suspicion::Suspect;
+    assessment.suspicion = Suspicion::Suspect;
     // Each crash takes a server from all other requests: the next one waits until it is back.
-    if (standing.crashes > 1 && since < m_options.recovery) {
-        standing.suspicion = Suspicion::Held;
-        standing.retryAfter = m_options.recovery - since;
+    if (assessment.crashes > 1 && since < m_options.recovery) {
+        assessment.suspicion = Suspicion::Held;
+        assessment.retryAfter = m_options.recovery - since;
     }
-    return standing;
+    return assessment;
 }
 
 bool SuspectTable::addCrash(TimePoint now, const Fingerprint &fingerprint, const Crash &crash)
--- a/src/coordination/quarantine/internal/suspecttable.h
+++ b/src/coordination/quarantine/internal/suspecttable.h
@@ -12,9 +12,9 @@
     explicit SuspectTable(const SuspectTableOptions &options);
 
     bool isEmpty() const override { return m_records.empty(); }
-    Standing standing(TimePoint now, const Fingerprint &fingerprint,
+    Assessment assess(TimePoint now, const Fingerprint &fingerprint,
                       const ServerKind &kind) const override;
-    Standing standing(TimePoint now, const Fingerprint &fingerprint) const override;
+    Assessment assess(TimePoint now, const Fingerprint &fingerprint) const override;
     bool addCrash(TimePoint now, const Fingerprint &fingerprint, const Crash &crash) override;
     bool addCompletion(const Fingerprint &fingerprint, const ServerKind &kind) override;
     bool addOffer(const Fingerprint &fingerprint, const ServerKind &kind) override;
@@ -28,7 +28,8 @@
 private:
     using Records = std::map<Fingerprint, SuspectRecord>;
 
-    Standing judge(TimePoint now, const SuspectRecord &record, const ServerKind &kind) const;
+    Assessment assessRecord(TimePoint now, const SuspectRecord &record,
+                            const ServerKind &kind) const;
     bool isCondemned(const SuspectRecord &record) const;
     bool isCleared(const SuspectRecord &record) const;
     bool isExpired(TimePoint now, const SuspectRecord &record) const;
--- a/src/coordination/quarantine/isuspecttable.h
+++ b/src/coordination/quarantine/isuspecttable.h
@@ -47,11 +47,11 @@
 
     virtual bool isEmpty() const = 0;
     /// At a server of that kind.
-    virtual Standing standing(TimePoint now, const Fingerprint &fingerprint,
+    virtual Assessment assess(TimePoint now, const Fingerprint &fingerprint,
                               const ServerKind &kind) const = 0;
     /// Before a server is chosen: the least of the suspicions at the kinds of servers that are
     /// known.
-    virtual Standing standing(TimePoint now, const Fingerprint &fingerprint) const = 0;
+    virtual Assessment assess(TimePoint now, const Fingerprint &fingerprint) const = 0;
 
     /// These return whether anything new was learnt.
     virtual bool addCrash(TimePoint now, const Fingerprint &fingerprint, const Crash &crash) = 0;
--- a/src/coordination/quarantine/suspect.h
+++ b/src/coordination/quarantine/suspect.h
@@ -67,7 +67,7 @@
 const char *toText(Suspicion suspicion);
 
 /// What is to be done with a request.
-struct Standing
+struct Assessment
 {
     Suspicion suspicion = Suspicion::None;
     /// A suspect that was in quarantine.
--- a/src/coordination/quarantine/tests/mocks/suspectfleet.h
+++ b/src/coordination/quarantine/tests/mocks/suspectfleet.h
@@ -63,13 +63,13 @@
     bool sendCrasher(std::size_t entry)
     {
         Node &from = *m_nodes[entry];
-        const Suspicion here = from.table->standing(m_now, CRASHER).suspicion;
+        const Suspicion here = from.table->assess(m_now, CRASHER).suspicion;
         if (here == Suspicion::Held || here == Suspicion::Quarantined) {
             return false;
         }
         const std::size_t target = here == Suspicion::Suspect ? firstUp(entry) : randomUp(entry);
         Node &gate = *m_nodes[target];
-        const Suspicion there = gate.table->standing(m_now, CRASHER, KIND).suspicion;
+        const Suspicion there = gate.table->assess(m_now, CRASHER, KIND).suspicion;
         const bool isRefused = there == Suspicion::Held || there == Suspicion::Quarantined
             || (there == Suspicion::Suspect && !isIdle(gate));
         if (isRefused || m_now < gate.upAt) {
@@ -83,7 +83,7 @@
 
     bool isQuarantinedAt(std::size_t index) const
     {
-        return m_nodes[index]->table->standing(m_now, CRASHER).suspicion == Suspicion::Quarantined;
+        return m_nodes[index]->table->assess(m_now, CRASHER).suspicion == Suspicion::Quarantined;
     }
     std::size_t countQuarantining() const
     {
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -28,11 +28,11 @@
     }
     Suspicion at(const ServerKind &kind, const Fingerprint &fingerprint = REQUEST)
     {
-        return m_table->standing(m_now, fingerprint, kind).suspicion;
+        return m_table->assess(m_now, fingerprint, kind).suspicion;
     }
     Suspicion anywhere(const Fingerprint &fingerprint = REQUEST)
     {
-        return m_table->standing(m_now, fingerprint).suspicion;
+        return m_table->assess(m_now, fingerprint).suspicion;
     }
     void condemn()
     {
@@ -54,7 +54,7 @@
     crash(REQUEST, "i-3");
     CHECK(at(KIND) == Suspicion::Quarantined);
     CHECK(anywhere() == Suspicion::Quarantined);
-    CHECK(m_table->standing(m_now, REQUEST).retryAfter == Duration::zero());
+    CHECK(m_table->assess(m_now, REQUEST).retryAfter == Duration::zero());
 }
 
 // Guards against one crash that counts as several because several daemons tell of it.
@@ -67,7 +67,7 @@
         CHECK(copy->merge(m_now, record));
         CHECK_FALSE(copy->merge(m_now, record));
     }
-    LONGS_EQUAL(1, copy->standing(m_now, REQUEST, KIND).crashes);
+    LONGS_EQUAL(1, copy->assess(m_now, REQUEST, KIND).crashes);
     CHECK(copy->digest() == m_table->digest());
 }
 
@@ -109,7 +109,7 @@
     CHECK(m_table->addOffer(REQUEST, NEXT_KIND));
     CHECK_FALSE(m_table->addOffer(REQUEST, OTHER_SERVICE));
     m_now += 3s;
-    CHECK(m_table->standing(m_now, REQUEST, NEXT_KIND).isTrial);
+    CHECK(m_table->assess(m_now, REQUEST, NEXT_KIND).isTrial);
     CHECK(anywhere() == Suspicion::Suspect);
     CHECK(at(KIND) == Suspicion::Quarantined);
     crash(REQUEST, "i-4", NEXT_KIND, true);
@@ -134,7 +134,7 @@
     for (int version = 2; version < 5; ++version) {
         m_now += 1min;
         const ServerKind kind{ KIND.service, UpstreamVersion("v" + std::to_string(version)) };
-        CHECK(m_table->standing(m_now, REQUEST, kind).isTrial);
+        CHECK(m_table->assess(m_now, REQUEST, kind).isTrial);
         crash(REQUEST, "i-v" + std::to_string(version), kind, true);
     }
     m_now += 1h;
@@ -148,7 +148,7 @@
     m_now += 9min;
     CHECK(at(KIND) == Suspicion::Quarantined);
     m_now += 1min;
-    CHECK(m_table->standing(m_now, REQUEST, KIND).isTrial);
+    CHECK(m_table->assess(m_now, REQUEST, KIND).isTrial);
     crash(REQUEST, "i-4", KIND, true);
     CHECK(at(KIND) == Suspicion::Quarantined);
 }
@@ -163,7 +163,7 @@
     // What another daemon still holds against it does not come back.
     CHECK_FALSE(m_table->merge(m_now, *other->find(REQUEST)));
     CHECK(other->merge(m_now, *m_table->find(REQUEST)));
-    CHECK(other->standing(m_now, REQUEST, KIND).suspicion == Suspicion::None);
+    CHECK(other->assess(m_now, REQUEST, KIND).suspicion == Suspicion::None);
     crash(REQUEST, "i-9");
     CHECK(at(KIND) == Suspicion::Suspect);
 }
