--- a/src/app/internal/quarantine/quarantineservice.cpp
+++ b/src/app/internal/quarantine/quarantineservice.cpp
@@ -27,7 +27,7 @@
     , m_send(std::move(send))
     , m_options(options)
     , m_table(makeSuspectTable(options.table))
-    , m_spread(*m_table, random)
+    , m_gossip(*m_table, random)
 {
 }
 
@@ -45,7 +45,7 @@
             peers.push_back(member.id);
         }
     }
-    m_spread.setPeers(m_loop.now(), peers);
+    m_gossip.setPeers(m_loop.now(), peers);
     armCompare();
 }
 
@@ -56,7 +56,7 @@
         return;
     }
     std::vector<Fingerprint> changed;
-    const SuspectSends sends = m_spread.receive(m_loop.now(), from, *message, changed);
+    const OutgoingSuspectMessages sends = m_gossip.receive(m_loop.now(), from, *message, changed);
     for (const Fingerprint &fingerprint : changed) {
         onChanged(fingerprint);
     }
@@ -69,7 +69,7 @@
 {
     const bool isKnown = m_table->lift(m_loop.now(), fingerprint);
     if (isKnown) {
-        onOwnNews(fingerprint);
+        onLocalUpdate(fingerprint);
     }
     return isKnown;
 }
@@ -117,14 +117,14 @@
 void QuarantineService::noteCrash(const Fingerprint &fingerprint, const Crash &crash)
 {
     if (m_options.isOn && m_table->addCrash(m_loop.now(), fingerprint, crash)) {
-        onOwnNews(fingerprint);
+        onLocalUpdate(fingerprint);
     }
 }
 
 void QuarantineService::noteCompletion(const Fingerprint &fingerprint, const ServerKind &kind)
 {
     if (m_table->addCompletion(fingerprint, kind)) {
-        onOwnNews(fingerprint);
+        onLocalUpdate(fingerprint);
     }
 }
 
@@ -138,9 +138,9 @@
     }
 }
 
-void QuarantineService::onOwnNews(const Fingerprint &fingerprint)
+void QuarantineService::onLocalUpdate(const Fingerprint &fingerprint)
 {
-    m_spread.noteOwn(fingerprint);
+    m_gossip.addLocalUpdate(fingerprint);
     onChanged(fingerprint);
     armFlush();
     armCompare();
@@ -160,7 +160,7 @@
 {
     for (const ServerKind &kind : m_servers) {
         if (m_table->addOffer(fingerprint, kind)) {
-            m_spread.noteOwn(fingerprint);
+            m_gossip.addLocalUpdate(fingerprint);
             armFlush();
         }
     }
@@ -199,18 +199,18 @@
 
 void QuarantineService::armFlush()
 {
-    if (!m_spread.hasNews() || std::exchange(m_isFlushArmed, true)) {
+    if (!m_gossip.hasUpdates() || std::exchange(m_isFlushArmed, true)) {
         return;
     }
     m_flushTimer = m_loop.callLater(m_options.flushDelay, [this] {
         m_isFlushArmed = false;
-        sendAll(m_spread.flush());
+        sendAll(m_gossip.flush());
     });
 }
 
 void QuarantineService::armCompare()
 {
-    const bool isWanted = m_options.isOn && m_spread.wantsToCompare(m_loop.now());
+    const bool isWanted = m_options.isOn && m_gossip.needsComparison(m_loop.now());
     if (!isWanted || std::exchange(m_isCompareArmed, true)) {
         return;
     }
@@ -224,13 +224,13 @@
     for (auto it = m_quarantined.begin(); it != m_quarantined.end();) {
         it = m_table->find(*it) ? std::next(it) : m_quarantined.erase(it);
     }
-    sendAll(m_spread.compare());
+    sendAll(m_gossip.compare());
     armCompare();
 }
 
-void QuarantineService::sendAll(const SuspectSends &sends)
+void QuarantineService::sendAll(const OutgoingSuspectMessages &sends)
 {
-    for (const SuspectSend &send : sends) {
+    for (const OutgoingSuspectMessage &send : sends) {
         m_send(send.to, encodeSuspectMessage(send.message, m_loop.now()));
     }
 }
--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -9,7 +9,7 @@
 #include "app/internal/logs/observers.h"
 #include "app/internal/quarantine/iquarantine.h"
 #include "coordination/quarantine/isuspecttable.h"
-#include "coordination/quarantine/suspectspread.h"
+#include "coordination/quarantine/suspectgossip.h"
 #include "state/irandom.h"
 #include "state/member.h"
 #include "transport/ieventloop.h"
@@ -65,21 +65,21 @@
     void setListener(ISuspectListener *listener) override { m_listener = listener; }
 
 private:
-    void onOwnNews(const Fingerprint &fingerprint);
+    void onLocalUpdate(const Fingerprint &fingerprint);
     void onChanged(const Fingerprint &fingerprint);
     void offer(const Fingerprint &fingerprint);
     void record(const Fingerprint &fingerprint);
     void armFlush();
     void armCompare();
     void compare();
-    void sendAll(const SuspectSends &sends);
+    void sendAll(const OutgoingSuspectMessages &sends);
 
     IEventLoop &m_loop;
     Observers m_observers;
     Send m_send;
     QuarantineOptions m_options;
     std::unique_ptr<ISuspectTable> m_table;
-    SuspectSpread m_spread;
+    SuspectGossip m_gossip;
     ISuspectListener *m_listener = nullptr;
     std::set<ServerKind> m_servers;
     /// Those that the log says are in quarantine.
--- a/src/coordination/quarantine/suspectmessages.h
+++ b/src/coordination/quarantine/suspectmessages.h
@@ -15,20 +15,20 @@
     std::uint64_t digest = 0;
 };
 
-struct SuspectNews
+struct SuspectUpdate
 {
     std::vector<SuspectRecord> records;
 };
 
 /// All that the sender knows.
-struct SuspectState
+struct SuspectSnapshot
 {
     std::uint64_t digest = 0;
     /// The sender asks for what the receiver knows besides.
-    bool isAnswerWanted = false;
+    bool isReplyRequested = false;
     std::vector<SuspectRecord> records;
 };
 
-using SuspectMessage = std::variant<SuspectDigest, SuspectNews, SuspectState>;
+using SuspectMessage = std::variant<SuspectDigest, SuspectUpdate, SuspectSnapshot>;
 
 } // namespace ivyspar
--- a/src/coordination/quarantine/tests/mocks/suspectfleet.h
+++ b/src/coordination/quarantine/tests/mocks/suspectfleet.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "coordination/quarantine/isuspecttable.h"
-#include "coordination/quarantine/suspectspread.h"
+#include "coordination/quarantine/suspectgossip.h"
 #include "state/internal/seededrandom.h"
 
 namespace ivyspar {
@@ -104,7 +104,7 @@
     {
         std::unique_ptr<SeededRandom> random;
         std::unique_ptr<ISuspectTable> table;
-        std::unique_ptr<SuspectSpread> spread;
+        std::unique_ptr<SuspectGossip> gossip;
         TimePoint compareAt;
         TimePoint crashAt = TimePoint::max();
         /// What runs was a suspect when it was sent.
@@ -133,7 +133,7 @@
         auto node = std::make_unique<Node>();
         node->random = std::make_unique<SeededRandom>(m_random.next() + index);
         node->table = makeSuspectTable();
-        node->spread = std::make_unique<SuspectSpread>(*node->table, *node->random);
+        node->gossip = std::make_unique<SuspectGossip>(*node->table, *node->random);
         node->compareAt = m_now + Duration(m_random.below(COMPARE.count()));
         return node;
     }
@@ -151,7 +151,7 @@
                 peers.push_back(idOf(i));
             }
         }
-        m_nodes[index]->spread->setPeers(m_now, peers);
+        m_nodes[index]->gossip->setPeers(m_now, peers);
     }
 
     void shareMembers()
@@ -183,9 +183,9 @@
         return entry;
     }
 
-    void post(std::size_t from, const SuspectSends &sends)
+    void post(std::size_t from, const OutgoingSuspectMessages &sends)
     {
-        for (const SuspectSend &send : sends) {
+        for (const OutgoingSuspectMessage &send : sends) {
             const std::size_t to = indexOf(send.to);
             ++m_messages;
             if (areLinked(from, to) && m_random.unit() >= m_lossShare) {
@@ -212,7 +212,7 @@
     {
         std::vector<Fingerprint> changed;
         post(message.to,
-             m_nodes[message.to]->spread->receive(m_now, idOf(message.from), message.message,
+             m_nodes[message.to]->gossip->receive(m_now, idOf(message.from), message.message,
                                                   changed));
     }
 
@@ -224,14 +224,14 @@
             node.upAt = m_now + DOWN_TIME;
             const UpstreamId run("run-" + std::to_string(++m_crashes));
             node.table->addCrash(m_now, CRASHER, Crash{ run, KIND, m_now, node.isAlone, false });
-            node.spread->noteOwn(CRASHER);
+            node.gossip->addLocalUpdate(CRASHER);
         }
-        if (node.spread->hasNews()) {
-            post(index, node.spread->flush());
+        if (node.gossip->hasUpdates()) {
+            post(index, node.gossip->flush());
         }
-        if (m_now >= node.compareAt && node.spread->wantsToCompare(m_now)) {
+        if (m_now >= node.compareAt && node.gossip->needsComparison(m_now)) {
             node.compareAt = m_now + COMPARE;
-            post(index, node.spread->compare());
+            post(index, node.gossip->compare());
         }
     }
 
--- a/src/coordination/quarantine/tests/suspectspreadtest.cpp
+++ b/src/coordination/quarantine/tests/suspectgossiptest.cpp
@@ -44,10 +44,10 @@
 
 } // namespace
 
-TEST_GROUP(SuspectSpread){};
+TEST_GROUP(SuspectGossip){};
 
 // Guards against daemons that still send a request on, seconds after it has crashed three servers.
-TEST(SuspectSpread, ThreeCrashesEndIt)
+TEST(SuspectGossip, ThreeCrashesEndIt)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
         SuspectFleet fleet(SMALL, seed, MANY_LOST);
@@ -57,7 +57,7 @@
     }
 }
 
-TEST(SuspectSpread, ThreeCrashesEndItAtSize)
+TEST(SuspectGossip, ThreeCrashesEndItAtSize)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         SuspectFleet fleet(LARGE, seed, MANY_LOST);
@@ -68,7 +68,7 @@
 }
 
 // Guards against a domain that sends on what it could not hear of while it was cut off.
-TEST(SuspectSpread, WhoWasCutOffLearnsItWhenItIsBack)
+TEST(SuspectGossip, WhoWasCutOffLearnsItWhenItIsBack)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
         SuspectFleet fleet(SMALL, seed, MANY_LOST);
@@ -82,7 +82,7 @@
 }
 
 // Guards against a daemon that starts, knows nothing, and sends the request on.
-TEST(SuspectSpread, WhoStartsLateLearnsItWithItsFirstExchange)
+TEST(SuspectGossip, WhoStartsLateLearnsItWithItsFirstExchange)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
         SuspectFleet fleet(SMALL, seed, 0);
@@ -93,7 +93,7 @@
     }
 }
 
-TEST(SuspectSpread, WhoStartsLateAtSizeLearnsItInTime)
+TEST(SuspectGossip, WhoStartsLateAtSizeLearnsItInTime)
 {
     SuspectFleet fleet(LARGE, 7, MANY_LOST);
     crashThree(fleet, LARGE);
@@ -105,7 +105,7 @@
 }
 
 // Guards against an exchange that costs all the time what is needed at crashes only.
-TEST(SuspectSpread, NothingIsSentWhileNothingIsSuspected)
+TEST(SuspectGossip, NothingIsSentWhileNothingIsSuspected)
 {
     SuspectFleet fleet(SMALL, 1, 0);
     fleet.advance(CONTACT);
--- a/src/protocol/internal/suspectexchange.cpp
+++ b/src/protocol/internal/suspectexchange.cpp
@@ -81,15 +81,15 @@
     return startMessage(MessageKind::Digest).add(digest.digest).take().bytes;
 }
 
-std::string encodeOne(const SuspectNews &news, TimePoint now)
+std::string encodeOne(const SuspectUpdate &news, TimePoint now)
 {
     return startMessage(MessageKind::News).add(writeRecords(news.records, now)).take().bytes;
 }
 
-std::string encodeOne(const SuspectState &state, TimePoint now)
+std::string encodeOne(const SuspectSnapshot &state, TimePoint now)
 {
     FieldWriter writer = startMessage(MessageKind::State);
-    writer.add(state.digest).add(state.isAnswerWanted).add(writeRecords(state.records, now));
+    writer.add(state.digest).add(state.isReplyRequested).add(writeRecords(state.records, now));
     return writer.take().bytes;
 }
 
@@ -168,12 +168,12 @@
 SuspectMessage readBody(MessageKind kind, FieldReader &reader, TimePoint now)
 {
     if (kind == MessageKind::News) {
-        return SuspectNews{ readRecords(reader, now) };
+        return SuspectUpdate{ readRecords(reader, now) };
     }
     if (kind == MessageKind::State) {
-        SuspectState state;
+        SuspectSnapshot state;
         reader.read(state.digest);
-        reader.read(state.isAnswerWanted);
+        reader.read(state.isReplyRequested);
         state.records = readRecords(reader, now);
         return state;
     }
--- a/src/protocol/tests/suspectexchangetest.cpp
+++ b/src/protocol/tests/suspectexchangetest.cpp
@@ -34,11 +34,11 @@
 
 TEST(SuspectExchange, RecordsArriveWithTheirAges)
 {
-    const std::string payload = encodeSuspectMessage(SuspectNews{ { makeRecord() } }, THEN);
+    const std::string payload = encodeSuspectMessage(SuspectUpdate{ { makeRecord() } }, THEN);
     CHECK(isSuspectMessage(payload));
     const auto read = decodeSuspectMessage(payload, NOW);
     CHECK(read.has_value());
-    const SuspectRecord &record = std::get<SuspectNews>(*read).records.at(0);
+    const SuspectRecord &record = std::get<SuspectUpdate>(*read).records.at(0);
     CHECK(record.fingerprint == Fingerprint("4f00"));
     LONGS_EQUAL(2, record.epoch);
     CHECK(record.crashes.at(0).at == NOW - 7s);
@@ -53,10 +53,10 @@
 
 TEST(SuspectExchange, StatesAndDigestsAreKept)
 {
-    const SuspectState state{ 77, true, { makeRecord(), makeRecord() } };
+    const SuspectSnapshot state{ 77, true, { makeRecord(), makeRecord() } };
     const auto read = decodeSuspectMessage(encodeSuspectMessage(state, THEN), NOW);
-    CHECK(std::get<SuspectState>(*read).isAnswerWanted);
-    LONGS_EQUAL(2, std::get<SuspectState>(*read).records.size());
+    CHECK(std::get<SuspectSnapshot>(*read).isReplyRequested);
+    LONGS_EQUAL(2, std::get<SuspectSnapshot>(*read).records.size());
     const auto digest = decodeSuspectMessage(encodeSuspectMessage(SuspectDigest{ 9 }, THEN), NOW);
     LONGS_EQUAL(9, std::get<SuspectDigest>(*digest).digest);
 }
@@ -74,7 +74,7 @@
 TEST(SuspectExchange, DamagedMessagesAreRefusedOrHarmless)
 {
     const std::string whole =
-        encodeSuspectMessage(SuspectState{ 7, false, { makeRecord() } }, THEN);
+        encodeSuspectMessage(SuspectSnapshot{ 7, false, { makeRecord() } }, THEN);
     for (std::size_t length = 0; length < whole.size(); ++length) {
         CHECK_FALSE(decodeSuspectMessage(whole.substr(0, length), NOW).has_value());
     }
@@ -93,6 +93,6 @@
     record.crashes.pop_back();
     record.offered.clear();
     record.crashes.front().run = UpstreamId("i-1234567890");
-    const SuspectNews news{ std::vector<SuspectRecord>(8, record) };
+    const SuspectUpdate news{ std::vector<SuspectRecord>(8, record) };
     CHECK_COMPARE(encodeSuspectMessage(news, THEN).size(), <, 1100);
 }
