--- a/src/coordination/quarantine/internal/suspecttable.cpp
+++ b/src/coordination/quarantine/internal/suspecttable.cpp
@@ -145,12 +145,12 @@
     const std::size_t here = countCrashes(record, kind);
     const std::size_t elsewhere = countElsewhere(record, kind);
     assessment.crashes = here + elsewhere;
-    const bool isKnownElsewhere = elsewhere >= m_options.crashes;
-    const bool isCondemnedHere = here >= m_options.crashes || (isKnownElsewhere && here > 0);
+    const bool isKnownElsewhere = elsewhere >= m_options.crashThreshold;
+    const bool isCondemnedHere = here >= m_options.crashThreshold || (isKnownElsewhere && here > 0);
     const Duration since = std::chrono::duration_cast<Duration>(now - record.changedAt);
     if (isCondemnedHere || isKnownElsewhere) {
-        const bool isDue = !isCondemnedHere || since >= m_options.trialPause;
-        if (!isDue || countTrials(record) >= m_options.trials) {
+        const bool isDue = !isCondemnedHere || since >= m_options.trialInterval;
+        if (!isDue || countTrials(record) >= m_options.maxTrials) {
             assessment.suspicion = Suspicion::Quarantined;
             return assessment;
         }
@@ -158,9 +158,9 @@
     }
     assessment.suspicion = Suspicion::Suspect;
     // Each crash takes a server from all other requests: the next one waits until it is back.
-    if (assessment.crashes > 1 && since < m_options.recovery) {
+    if (assessment.crashes > 1 && since < m_options.recoveryTime) {
         assessment.suspicion = Suspicion::Held;
-        assessment.retryAfter = m_options.recovery - since;
+        assessment.retryAfter = m_options.recoveryTime - since;
     }
     return assessment;
 }
@@ -246,11 +246,11 @@
         return isNew;
     }
     // The same ones are left out everywhere, or daemons would never know the same.
-    if (crashes.size() >= m_options.mostCrashes && place == crashes.end()) {
+    if (crashes.size() >= m_options.maxCrashesPerRecord && place == crashes.end()) {
         return false;
     }
     crashes.insert(place, crash);
-    if (crashes.size() > m_options.mostCrashes) {
+    if (crashes.size() > m_options.maxCrashesPerRecord) {
         crashes.pop_back();
     }
     into.changedAt = std::max(into.changedAt, crash.at);
@@ -279,17 +279,17 @@
 
 bool SuspectTable::isExpired(TimePoint now, const SuspectRecord &record) const
 {
-    const Duration memory = isCleared(record) ? m_options.clearedMemory
-        : isCondemned(record)                 ? m_options.quarantineMemory
-                                              : m_options.suspectMemory;
-    return now - record.changedAt >= memory;
+    const Duration retention = isCleared(record) ? m_options.clearedRetention
+        : isCondemned(record)                    ? m_options.quarantineRetention
+                                                 : m_options.suspectRetention;
+    return now - record.changedAt >= retention;
 }
 
 bool SuspectTable::isCondemned(const SuspectRecord &record) const
 {
     return std::any_of(record.crashes.begin(), record.crashes.end(), [&](const Crash &crash) {
         return !hasCompleted(record, crash.kind)
-            && countCrashes(record, crash.kind) >= m_options.crashes;
+            && countCrashes(record, crash.kind) >= m_options.crashThreshold;
     });
 }
 
--- a/src/coordination/quarantine/isolation.h
+++ b/src/coordination/quarantine/isolation.h
@@ -15,10 +15,10 @@
 {
 public:
     /// Calls that may wait.
-    static constexpr std::size_t MOST_WAITING = 64;
+    static constexpr std::size_t MAX_WAITING_CALLS = 64;
 
     bool isFree() const { return !m_running; }
-    bool hasRoom() const { return m_waiting.size() < MOST_WAITING; }
+    bool hasRoom() const { return m_waiting.size() < MAX_WAITING_CALLS; }
     /// The call runs, and no other suspect until it has left. Only while free.
     void begin(CallId call);
     /// The call waits for its turn. Only while there is room.
--- a/src/coordination/quarantine/isuspecttable.h
+++ b/src/coordination/quarantine/isuspecttable.h
@@ -12,23 +12,23 @@
 struct SuspectTableOptions
 {
     /// Servers of one kind that a request may crash before it is quarantined there.
-    std::size_t crashes = 3;
+    std::size_t crashThreshold = 3;
     /// In this time a crashed server is usually back.
-    Duration recovery = std::chrono::seconds(3);
+    Duration recoveryTime = std::chrono::seconds(3);
     /// A quarantined request is tried again after this time without a crash …
-    Duration trialPause = std::chrono::minutes(10);
+    Duration trialInterval = std::chrono::minutes(10);
     /// … or on servers of another kind, as of a new version; so often in all.
-    std::size_t trials = 3;
+    std::size_t maxTrials = 3;
 
     /// For how long a request is remembered after its last crash: one that has completed since, …
-    Duration clearedMemory = std::chrono::seconds(60);
+    Duration clearedRetention = std::chrono::seconds(60);
     /// … one that has not, …
-    Duration suspectMemory = std::chrono::minutes(5);
+    Duration suspectRetention = std::chrono::minutes(5);
     /// … and one in quarantine.
-    Duration quarantineMemory = std::chrono::hours(24);
+    Duration quarantineRetention = std::chrono::hours(24);
     std::size_t mostRecords = 1024;
     /// In one record.
-    std::size_t mostCrashes = 16;
+    std::size_t maxCrashesPerRecord = 16;
 };
 
 /// Which requests may have crashed servers, and which do. Plain object.
--- a/src/coordination/quarantine/tests/isolationtest.cpp
+++ b/src/coordination/quarantine/tests/isolationtest.cpp
@@ -48,7 +48,7 @@
 TEST(Isolation, TheQueueIsBounded)
 {
     m_isolation.begin(CallId(1));
-    for (std::uint64_t i = 0; i < Isolation::MOST_WAITING; ++i) {
+    for (std::uint64_t i = 0; i < Isolation::MAX_WAITING_CALLS; ++i) {
         CHECK(m_isolation.hasRoom());
         m_isolation.wait(CallId(2 + i), m_a);
     }
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -208,6 +208,6 @@
             m_now, REQUEST,
             Crash{ UpstreamId("i-" + std::to_string(39 - i)), KIND, m_now, true, false });
     }
-    LONGS_EQUAL(SuspectTableOptions().mostCrashes, m_table->find(REQUEST)->crashes.size());
+    LONGS_EQUAL(SuspectTableOptions().maxCrashesPerRecord, m_table->find(REQUEST)->crashes.size());
     CHECK(other->digest() == m_table->digest());
 }
