--- a/src/app/internal/quarantine/quarantineservice.cpp
+++ b/src/app/internal/quarantine/quarantineservice.cpp
@@ -134,7 +134,7 @@
         return;
     }
     for (const SuspectRecord &record : m_table->records()) {
-        offer(record.fingerprint);
+        addUntriedKinds(record.fingerprint);
     }
 }
 
@@ -148,7 +148,7 @@
 
 void QuarantineService::onChanged(const Fingerprint &fingerprint)
 {
-    offer(fingerprint);
+    addUntriedKinds(fingerprint);
     record(fingerprint);
     if (m_listener) {
         m_listener->onSuspectChanged(fingerprint);
@@ -156,10 +156,10 @@
 }
 
 /// Entries send a request in quarantine to a new version only once they know that there is one.
-void QuarantineService::offer(const Fingerprint &fingerprint)
+void QuarantineService::addUntriedKinds(const Fingerprint &fingerprint)
 {
     for (const ServerKind &kind : m_servers) {
-        if (m_table->addOffer(fingerprint, kind)) {
+        if (m_table->addUntried(fingerprint, kind)) {
             m_gossip.addLocalUpdate(fingerprint);
             armFlush();
         }
--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -67,7 +67,7 @@
 private:
     void onLocalUpdate(const Fingerprint &fingerprint);
     void onChanged(const Fingerprint &fingerprint);
-    void offer(const Fingerprint &fingerprint);
+    void addUntriedKinds(const Fingerprint &fingerprint);
     void record(const Fingerprint &fingerprint);
     void armFlush();
     void armCompare();
--- a/src/coordination/quarantine/internal/suspecttable.cpp
+++ b/src/coordination/quarantine/internal/suspecttable.cpp
@@ -51,7 +51,7 @@
 }
 
 /// The most crashes at servers of one kind other than this.
-std::size_t countElsewhere(const SuspectRecord &record, const ServerKind &kind)
+std::size_t countCrashesElsewhere(const SuspectRecord &record, const ServerKind &kind)
 {
     std::size_t most = 0;
     for (const Crash &crash : record.crashes) {
@@ -90,7 +90,7 @@
     for (const ServerKind &kind : record.completed) {
         text += '\r' + textOf(kind);
     }
-    for (const ServerKind &kind : record.offered) {
+    for (const ServerKind &kind : record.untried) {
         text += '\t' + textOf(kind);
     }
     return XXH3_64bits(text.data(), text.size());
@@ -131,7 +131,7 @@
         consider(crash.kind);
     }
     std::for_each(record.completed.begin(), record.completed.end(), consider);
-    std::for_each(record.offered.begin(), record.offered.end(), consider);
+    std::for_each(record.untried.begin(), record.untried.end(), consider);
     return least;
 }
 
@@ -143,13 +143,14 @@
         return assessment;
     }
     const std::size_t here = countCrashes(record, kind);
-    const std::size_t elsewhere = countElsewhere(record, kind);
+    const std::size_t elsewhere = countCrashesElsewhere(record, kind);
     assessment.crashes = here + elsewhere;
-    const bool isKnownElsewhere = elsewhere >= m_options.crashThreshold;
-    const bool isCondemnedHere = here >= m_options.crashThreshold || (isKnownElsewhere && here > 0);
+    const bool isQuarantinedElsewhere = elsewhere >= m_options.crashThreshold;
+    const bool isQuarantinedHere =
+        here >= m_options.crashThreshold || (isQuarantinedElsewhere && here > 0);
     const Duration since = std::chrono::duration_cast<Duration>(now - record.changedAt);
-    if (isCondemnedHere || isKnownElsewhere) {
-        const bool isDue = !isCondemnedHere || since >= m_options.trialInterval;
+    if (isQuarantinedHere || isQuarantinedElsewhere) {
+        const bool isDue = !isQuarantinedHere || since >= m_options.trialInterval;
         if (!isDue || countTrials(record) >= m_options.maxTrials) {
             assessment.suspicion = Suspicion::Quarantined;
             return assessment;
@@ -182,36 +183,36 @@
     return found != m_records.end() && addKind(found->second.completed, kind);
 }
 
-bool SuspectTable::addOffer(const Fingerprint &fingerprint, const ServerKind &kind)
+bool SuspectTable::addUntried(const Fingerprint &fingerprint, const ServerKind &kind)
 {
     const auto found = m_records.find(fingerprint);
-    if (found == m_records.end() || !isCondemned(found->second)
+    if (found == m_records.end() || !reachesCrashThreshold(found->second)
         || !hasCrashedService(found->second, kind.service)
         || countCrashes(found->second, kind) > 0) {
         return false;
     }
-    return addKind(found->second.offered, kind);
+    return addKind(found->second.untried, kind);
 }
 
 bool SuspectTable::merge(TimePoint now, const SuspectRecord &record)
 {
     const auto found = m_records.find(record.fingerprint);
     if (found != m_records.end()) {
-        return unite(record, found->second);
+        return mergeInto(record, found->second);
     }
-    if (isExpired(now, record) || !makeRoom()) {
+    if (isExpired(now, record) || !evictOldest()) {
         return false;
     }
     SuspectRecord added;
     added.fingerprint = record.fingerprint;
     added.epoch = record.epoch;
     added.changedAt = record.changedAt;
-    unite(record, added);
+    mergeInto(record, added);
     m_records.emplace(record.fingerprint, std::move(added));
     return true;
 }
 
-bool SuspectTable::unite(const SuspectRecord &from, SuspectRecord &into) const
+bool SuspectTable::mergeInto(const SuspectRecord &from, SuspectRecord &into) const
 {
     if (from.epoch < into.epoch) {
         return false;
@@ -222,18 +223,18 @@
         into.epoch = from.epoch;
         into.crashes.clear();
         into.completed.clear();
-        into.offered.clear();
+        into.untried.clear();
         into.changedAt = from.changedAt;
     }
     for (const Crash &crash : from.crashes) {
-        isNew = insert(crash, into) || isNew;
+        isNew = insertCrash(crash, into) || isNew;
     }
     isNew = addKinds(into.completed, from.completed) || isNew;
-    isNew = addKinds(into.offered, from.offered) || isNew;
+    isNew = addKinds(into.untried, from.untried) || isNew;
     return isNew;
 }
 
-bool SuspectTable::insert(const Crash &crash, SuspectRecord &into) const
+bool SuspectTable::insertCrash(const Crash &crash, SuspectRecord &into) const
 {
     auto &crashes = into.crashes;
     const auto place =
@@ -267,7 +268,7 @@
     lifted.fingerprint = fingerprint;
     lifted.epoch = found->second.epoch + 1;
     lifted.changedAt = now;
-    return unite(lifted, found->second);
+    return mergeInto(lifted, found->second);
 }
 
 void SuspectTable::expire(TimePoint now)
@@ -280,12 +281,12 @@
 bool SuspectTable::isExpired(TimePoint now, const SuspectRecord &record) const
 {
     const Duration retention = isCleared(record) ? m_options.clearedRetention
-        : isCondemned(record)                    ? m_options.quarantineRetention
+        : reachesCrashThreshold(record)          ? m_options.quarantineRetention
                                                  : m_options.suspectRetention;
     return now - record.changedAt >= retention;
 }
 
-bool SuspectTable::isCondemned(const SuspectRecord &record) const
+bool SuspectTable::reachesCrashThreshold(const SuspectRecord &record) const
 {
     return std::any_of(record.crashes.begin(), record.crashes.end(), [&](const Crash &crash) {
         return !hasCompleted(record, crash.kind)
@@ -300,7 +301,7 @@
 }
 
 /// The oldest harmless ones go; a flood of suspects must not free one that is in quarantine.
-bool SuspectTable::makeRoom()
+bool SuspectTable::evictOldest()
 {
     if (m_records.size() < m_options.mostRecords) {
         return true;
@@ -309,7 +310,7 @@
     for (auto it = m_records.begin(); it != m_records.end(); ++it) {
         const bool isOlder =
             oldest == m_records.end() || it->second.changedAt < oldest->second.changedAt;
-        if (isOlder && !isCondemned(it->second)) {
+        if (isOlder && !reachesCrashThreshold(it->second)) {
             oldest = it;
         }
     }
--- a/src/coordination/quarantine/internal/suspecttable.h
+++ b/src/coordination/quarantine/internal/suspecttable.h
@@ -17,7 +17,7 @@
     Assessment assess(TimePoint now, const Fingerprint &fingerprint) const override;
     bool addCrash(TimePoint now, const Fingerprint &fingerprint, const Crash &crash) override;
     bool addCompletion(const Fingerprint &fingerprint, const ServerKind &kind) override;
-    bool addOffer(const Fingerprint &fingerprint, const ServerKind &kind) override;
+    bool addUntried(const Fingerprint &fingerprint, const ServerKind &kind) override;
     bool merge(TimePoint now, const SuspectRecord &record) override;
     bool lift(TimePoint now, const Fingerprint &fingerprint) override;
     void expire(TimePoint now) override;
@@ -30,13 +30,13 @@
 
     Assessment assessRecord(TimePoint now, const SuspectRecord &record,
                             const ServerKind &kind) const;
-    bool isCondemned(const SuspectRecord &record) const;
+    bool reachesCrashThreshold(const SuspectRecord &record) const;
     bool isCleared(const SuspectRecord &record) const;
     bool isExpired(TimePoint now, const SuspectRecord &record) const;
-    bool unite(const SuspectRecord &from, SuspectRecord &into) const;
-    bool insert(const Crash &crash, SuspectRecord &into) const;
+    bool mergeInto(const SuspectRecord &from, SuspectRecord &into) const;
+    bool insertCrash(const Crash &crash, SuspectRecord &into) const;
     /// False if there is no room for one more.
-    bool makeRoom();
+    bool evictOldest();
 
     SuspectTableOptions m_options;
     Records m_records;
--- a/src/coordination/quarantine/isuspecttable.h
+++ b/src/coordination/quarantine/isuspecttable.h
@@ -58,7 +58,7 @@
     virtual bool addCompletion(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
     /// There is a server of that kind. Learns of it if the request is in quarantine, crashed
     /// servers of that service, and none of that kind.
-    virtual bool addOffer(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
+    virtual bool addUntried(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
     virtual bool merge(TimePoint now, const SuspectRecord &record) = 0;
     /// Forgets all that is held against the request, here and wherever the record is merged.
     virtual bool lift(TimePoint now, const Fingerprint &fingerprint) = 0;
--- a/src/coordination/quarantine/suspect.h
+++ b/src/coordination/quarantine/suspect.h
@@ -51,7 +51,7 @@
     /// Servers that have answered such a request, in order.
     std::vector<ServerKind> completed;
     /// Servers that have not run it since it is in quarantine, in order.
-    std::vector<ServerKind> offered;
+    std::vector<ServerKind> untried;
     /// Of the last crash, or of the lifting.
     TimePoint changedAt;
 };
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -34,7 +34,7 @@
     {
         return m_table->assess(m_now, fingerprint).suspicion;
     }
-    void condemn()
+    void quarantine()
     {
         crash(REQUEST, "i-1");
         crash(REQUEST, "i-2");
@@ -105,9 +105,9 @@
 // Guards against a request that is quarantined for ever though its service was mended.
 TEST(SuspectTable, ServersOfAnotherKindGetOneTryEach)
 {
-    condemn();
-    CHECK(m_table->addOffer(REQUEST, NEXT_KIND));
-    CHECK_FALSE(m_table->addOffer(REQUEST, OTHER_SERVICE));
+    quarantine();
+    CHECK(m_table->addUntried(REQUEST, NEXT_KIND));
+    CHECK_FALSE(m_table->addUntried(REQUEST, OTHER_SERVICE));
     m_now += 3s;
     CHECK(m_table->assess(m_now, REQUEST, NEXT_KIND).isTrial);
     CHECK(anywhere() == Suspicion::Suspect);
@@ -119,8 +119,8 @@
 
 TEST(SuspectTable, AMendedServiceEndsTheQuarantine)
 {
-    condemn();
-    m_table->addOffer(REQUEST, NEXT_KIND);
+    quarantine();
+    m_table->addUntried(REQUEST, NEXT_KIND);
     m_table->addCompletion(REQUEST, NEXT_KIND);
     CHECK(at(NEXT_KIND) == Suspicion::None);
     CHECK(anywhere() == Suspicion::None);
@@ -130,7 +130,7 @@
 // Guards against tries that together crash more servers than the quarantine was to save.
 TEST(SuspectTable, TriesAreBounded)
 {
-    condemn();
+    quarantine();
     for (int version = 2; version < 5; ++version) {
         m_now += 1min;
         const ServerKind kind{ KIND.service, UpstreamVersion("v" + std::to_string(version)) };
@@ -144,7 +144,7 @@
 
 TEST(SuspectTable, AfterALongTimeItIsTriedAgain)
 {
-    condemn();
+    quarantine();
     m_now += 9min;
     CHECK(at(KIND) == Suspicion::Quarantined);
     m_now += 1min;
@@ -155,7 +155,7 @@
 
 TEST(SuspectTable, AnOperatorLiftsAQuarantineEverywhere)
 {
-    condemn();
+    quarantine();
     const auto other = makeSuspectTable();
     other->merge(m_now, *m_table->find(REQUEST));
     CHECK(m_table->lift(m_now, REQUEST));
@@ -188,7 +188,7 @@
 // Guards against callers who free a request from quarantine with a flood of suspects.
 TEST(SuspectTable, AFloodOfSuspectsFreesNoneFromQuarantine)
 {
-    condemn();
+    quarantine();
     for (int i = 0; i < 5000; ++i) {
         m_now += 1ms;
         crash(Fingerprint("flood-" + std::to_string(i)), "i-" + std::to_string(i));
--- a/src/protocol/internal/suspectexchange.cpp
+++ b/src/protocol/internal/suspectexchange.cpp
@@ -63,7 +63,7 @@
     FieldWriter writer;
     writer.add(record.fingerprint).add(std::uint64_t(record.epoch));
     writer.add(ageOf(record.changedAt, now)).add(crashes.take());
-    writer.add(writeKinds(record.completed)).add(writeKinds(record.offered));
+    writer.add(writeKinds(record.completed)).add(writeKinds(record.untried));
     return writer.take();
 }
 
@@ -154,7 +154,7 @@
     readItems(reader, MOST_ITEMS,
               [&](FieldReader &fields) { readCrash(fields, now, record.crashes.emplace_back()); });
     readKinds(reader, record.completed);
-    readKinds(reader, record.offered);
+    readKinds(reader, record.untried);
 }
 
 std::vector<SuspectRecord> readRecords(FieldReader &reader, TimePoint now)
--- a/src/protocol/tests/suspectexchangetest.cpp
+++ b/src/protocol/tests/suspectexchangetest.cpp
@@ -23,7 +23,7 @@
     record.crashes = { Crash{ UpstreamId("i-1"), KIND, THEN - 7s, false, false },
                        Crash{ UpstreamId("i-2"), KIND, THEN - 1s, true, true } };
     record.completed = { KIND };
-    record.offered = { { ServiceName("catalogo"), UpstreamVersion("v2") } };
+    record.untried = { { ServiceName("catalogo"), UpstreamVersion("v2") } };
     record.changedAt = THEN - 1s;
     return record;
 }
@@ -47,7 +47,7 @@
     CHECK(record.crashes.at(1).isTrial);
     CHECK(record.crashes.at(1).run == UpstreamId("i-2"));
     CHECK(record.completed.at(0) == KIND);
-    CHECK(record.offered.at(0).version == UpstreamVersion("v2"));
+    CHECK(record.untried.at(0).version == UpstreamVersion("v2"));
     CHECK(record.changedAt == NOW - 1s);
 }
 
@@ -91,7 +91,7 @@
     SuspectRecord record = makeRecord();
     record.fingerprint = Fingerprint(std::string(32, 'f'));
     record.crashes.pop_back();
-    record.offered.clear();
+    record.untried.clear();
     record.crashes.front().run = UpstreamId("i-1234567890");
     const SuspectUpdate news{ std::vector<SuspectRecord>(8, record) };
     CHECK_COMPARE(encodeSuspectMessage(news, THEN).size(), <, 1100);
