--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -74,7 +74,7 @@
         runs.push_back({ { "run", crash.run.value() },
                          { "service", crash.kind.service.value() },
                          { "version", crash.kind.version.value() },
-                         { "alone", crash.isAlone },
+                         { "alone", crash.wasIsolated },
                          { "trial", crash.isTrial } });
     }
     return Json{ { "fingerprint", suspect.record.fingerprint.value() },
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -111,7 +111,7 @@
     LONGS_EQUAL(1, m_quarantine.crashes.size());
     CHECK(m_quarantine.crashes[0].first == fingerprintOfPath("/a"));
     CHECK(m_quarantine.crashes[0].second.run == INSTANCE);
-    CHECK_FALSE(m_quarantine.crashes[0].second.isAlone);
+    CHECK_FALSE(m_quarantine.crashes[0].second.wasIsolated);
     CHECK(m_quarantine.crashes[0].second.kind.version == UpstreamVersion("v1"));
 }
 
@@ -274,6 +274,6 @@
     m_quarantine.standings[fingerprintOfPath("/bad")] = trial;
     breakOff(false);
     call("/bad");
-    CHECK(m_quarantine.crashes.at(0).second.isAlone);
+    CHECK(m_quarantine.crashes.at(0).second.wasIsolated);
     CHECK(m_quarantine.crashes.at(0).second.isTrial);
 }
--- a/src/coordination/quarantine/internal/suspecttable.cpp
+++ b/src/coordination/quarantine/internal/suspecttable.cpp
@@ -39,15 +39,15 @@
 /// Of servers of one kind, as evidence against the request.
 std::size_t countCrashes(const SuspectRecord &record, const ServerKind &kind)
 {
-    std::size_t alone = 0;
-    bool isAmongOthers = false;
+    std::size_t isolated = 0;
+    bool hasUnisolated = false;
     for (const Crash &crash : record.crashes) {
         if (crash.kind == kind) {
-            alone += crash.isAlone ? 1 : 0;
-            isAmongOthers = isAmongOthers || !crash.isAlone;
+            isolated += crash.wasIsolated ? 1 : 0;
+            hasUnisolated = hasUnisolated || !crash.wasIsolated;
         }
     }
-    return alone + (isAmongOthers ? 1 : 0);
+    return isolated + (hasUnisolated ? 1 : 0);
 }
 
 /// The most crashes at servers of one kind other than this.
@@ -84,8 +84,8 @@
 {
     std::string text = record.fingerprint.value() + '\n' + std::to_string(record.epoch);
     for (const Crash &crash : record.crashes) {
-        text += '\n' + crash.run.value() + (crash.isAlone ? '+' : '-') + (crash.isTrial ? '+' : '-')
-            + textOf(crash.kind);
+        text += '\n' + crash.run.value() + (crash.wasIsolated ? '+' : '-')
+            + (crash.isTrial ? '+' : '-') + textOf(crash.kind);
     }
     for (const ServerKind &kind : record.completed) {
         text += '\r' + textOf(kind);
@@ -241,9 +241,10 @@
         std::lower_bound(crashes.begin(), crashes.end(), crash,
                          [](const Crash &a, const Crash &b) { return a.run < b.run; });
     if (place != crashes.end() && place->run == crash.run) {
-        const bool isNew = (crash.isTrial && !place->isTrial) || (crash.isAlone && !place->isAlone);
+        const bool isNew =
+            (crash.isTrial && !place->isTrial) || (crash.wasIsolated && !place->wasIsolated);
         place->isTrial = place->isTrial || crash.isTrial;
-        place->isAlone = place->isAlone || crash.isAlone;
+        place->wasIsolated = place->wasIsolated || crash.wasIsolated;
         return isNew;
     }
     // The same ones are left out everywhere, or daemons would never know the same.
--- a/src/coordination/quarantine/suspect.h
+++ b/src/coordination/quarantine/suspect.h
@@ -33,7 +33,7 @@
     ServerKind kind;
     TimePoint at;
     /// The request was a suspect when it was sent, and ran alone among suspects.
-    bool isAlone = false;
+    bool wasIsolated = false;
     /// The request was in quarantine and was let through to see whether that is still needed.
     bool isTrial = false;
 };
--- a/src/coordination/quarantine/tests/mocks/suspectfleet.h
+++ b/src/coordination/quarantine/tests/mocks/suspectfleet.h
@@ -75,7 +75,7 @@
         if (isRefused || m_now < gate.upAt) {
             return false;
         }
-        gate.isAlone = there == Suspicion::Suspect || (gate.isAlone && !isIdle(gate));
+        gate.wasIsolated = there == Suspicion::Suspect || (gate.wasIsolated && !isIdle(gate));
         gate.crashAt = std::min(gate.crashAt, m_now + RUN_TIME);
         ++m_sends;
         return true;
@@ -108,7 +108,7 @@
         TimePoint compareAt;
         TimePoint crashAt = TimePoint::max();
         /// What runs was a suspect when it was sent.
-        bool isAlone = false;
+        bool wasIsolated = false;
         TimePoint upAt;
     };
     struct Message
@@ -223,7 +223,8 @@
             node.crashAt = TimePoint::max();
             node.upAt = m_now + DOWN_TIME;
             const UpstreamId run("run-" + std::to_string(++m_crashes));
-            node.table->addCrash(m_now, CRASHER, Crash{ run, KIND, m_now, node.isAlone, false });
+            node.table->addCrash(m_now, CRASHER,
+                                 Crash{ run, KIND, m_now, node.wasIsolated, false });
             node.gossip->addLocalUpdate(CRASHER);
         }
         if (node.gossip->hasUpdates()) {
--- a/src/protocol/internal/suspectexchange.cpp
+++ b/src/protocol/internal/suspectexchange.cpp
@@ -40,7 +40,7 @@
         .add(crash.kind.service)
         .add(crash.kind.version)
         .add(ageOf(crash.at, now))
-        .add(crash.isAlone)
+        .add(crash.wasIsolated)
         .add(crash.isTrial);
     return writer.take();
 }
@@ -142,7 +142,7 @@
     readText(reader, crash.run);
     readKind(reader, crash.kind);
     readTime(reader, now, crash.at);
-    reader.read(crash.isAlone);
+    reader.read(crash.wasIsolated);
     reader.read(crash.isTrial);
 }
 
--- a/src/protocol/tests/suspectexchangetest.cpp
+++ b/src/protocol/tests/suspectexchangetest.cpp
@@ -42,8 +42,8 @@
     CHECK(record.fingerprint == Fingerprint("4f00"));
     LONGS_EQUAL(2, record.epoch);
     CHECK(record.crashes.at(0).at == NOW - 7s);
-    CHECK_FALSE(record.crashes.at(0).isAlone);
-    CHECK(record.crashes.at(1).isAlone);
+    CHECK_FALSE(record.crashes.at(0).wasIsolated);
+    CHECK(record.crashes.at(1).wasIsolated);
     CHECK(record.crashes.at(1).isTrial);
     CHECK(record.crashes.at(1).run == UpstreamId("i-2"));
     CHECK(record.completed.at(0) == KIND);
