--- a/src/app/internal/gate/crashreporter.cpp
+++ b/src/app/internal/gate/crashreporter.cpp
@@ -30,7 +30,7 @@
 void CrashReporter::onAnnounced(const Announcement &server)
 {
     m_watch.onAnnounced(server);
-    m_quarantine.noteServer(kindOf(server));
+    m_quarantine.recordServer(kindOf(server));
 }
 
 bool CrashReporter::hasCrashed(const Announcement &server, const HttpResult &result,
@@ -57,7 +57,7 @@
     } else if (isAbandoned(end.verdict)) {
         remember(server, fingerprintOf(account, request));
     } else if (end.verdict.outcome == Outcome::Answered && m_quarantine.hasSuspects()) {
-        m_quarantine.noteCompletion(fingerprintOf(account, request), kindOf(server));
+        m_quarantine.recordCompletion(fingerprintOf(account, request), kindOf(server));
     }
 }
 
--- a/src/app/internal/quarantine/iquarantine.h
+++ b/src/app/internal/quarantine/iquarantine.h
@@ -30,9 +30,9 @@
     /// The run of a server of this host ended while it worked on such a request.
     virtual void noteCrash(const Fingerprint &fingerprint, const Crash &crash) = 0;
     /// A server of this host has answered such a request.
-    virtual void noteCompletion(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
+    virtual void recordCompletion(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
     /// A server of this host takes calls.
-    virtual void noteServer(const ServerKind &kind) = 0;
+    virtual void recordServer(const ServerKind &kind) = 0;
     /// May be null; replaces the one before.
     virtual void setListener(ISuspectListener *listener) = 0;
 };
--- a/src/app/internal/quarantine/quarantineservice.cpp
+++ b/src/app/internal/quarantine/quarantineservice.cpp
@@ -121,14 +121,14 @@
     }
 }
 
-void QuarantineService::noteCompletion(const Fingerprint &fingerprint, const ServerKind &kind)
+void QuarantineService::recordCompletion(const Fingerprint &fingerprint, const ServerKind &kind)
 {
     if (m_table->addCompletion(fingerprint, kind)) {
         onLocalUpdate(fingerprint);
     }
 }
 
-void QuarantineService::noteServer(const ServerKind &kind)
+void QuarantineService::recordServer(const ServerKind &kind)
 {
     if (!m_servers.insert(kind).second) {
         return;
@@ -149,7 +149,7 @@
 void QuarantineService::onChanged(const Fingerprint &fingerprint)
 {
     addUntriedKinds(fingerprint);
-    record(fingerprint);
+    logQuarantineChange(fingerprint);
     if (m_listener) {
         m_listener->onSuspectChanged(fingerprint);
     }
@@ -168,7 +168,7 @@
 
 /// Of the many that are suspects for a moment only those are told that are found guilty, and those
 /// that no longer are.
-void QuarantineService::record(const Fingerprint &fingerprint)
+void QuarantineService::logQuarantineChange(const Fingerprint &fingerprint)
 {
     const auto found = m_table->find(fingerprint);
     const Assessment now = assess(fingerprint);
--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -19,7 +19,7 @@
 /// One record of suspects, for operators.
 struct SuspectStatus
 {
-    SuspectRecord record;
+    SuspectRecord logQuarantineChange;
     Assessment assessment;
     /// Since the first crash, and since the last.
     Duration firstAge{ 0 };
@@ -60,15 +60,15 @@
     Assessment assess(const Fingerprint &fingerprint) const override;
     Assessment assess(const Fingerprint &fingerprint, const ServerKind &kind) const override;
     void noteCrash(const Fingerprint &fingerprint, const Crash &crash) override;
-    void noteCompletion(const Fingerprint &fingerprint, const ServerKind &kind) override;
-    void noteServer(const ServerKind &kind) override;
+    void recordCompletion(const Fingerprint &fingerprint, const ServerKind &kind) override;
+    void recordServer(const ServerKind &kind) override;
     void setListener(ISuspectListener *listener) override { m_listener = listener; }
 
 private:
     void onLocalUpdate(const Fingerprint &fingerprint);
     void onChanged(const Fingerprint &fingerprint);
     void addUntriedKinds(const Fingerprint &fingerprint);
-    void record(const Fingerprint &fingerprint);
+    void logQuarantineChange(const Fingerprint &fingerprint);
     void armFlush();
     void armCompare();
     void compare();
--- a/src/app/tests/mocks/fakequarantine.h
+++ b/src/app/tests/mocks/fakequarantine.h
@@ -38,11 +38,11 @@
     {
         crashes.emplace_back(fingerprint, crash);
     }
-    void noteCompletion(const Fingerprint &fingerprint, const ServerKind & /*kind*/) override
+    void recordCompletion(const Fingerprint &fingerprint, const ServerKind & /*kind*/) override
     {
         completions.push_back(fingerprint);
     }
-    void noteServer(const ServerKind & /*kind*/) override { }
+    void recordServer(const ServerKind & /*kind*/) override { }
     void setListener(ISuspectListener *listener) override { m_listener = listener; }
 
 private:
--- a/src/app/tests/mocks/noquarantine.h
+++ b/src/app/tests/mocks/noquarantine.h
@@ -16,10 +16,10 @@
         return {};
     }
     void noteCrash(const Fingerprint & /*fingerprint*/, const Crash & /*crash*/) override { }
-    void noteCompletion(const Fingerprint & /*fingerprint*/, const ServerKind & /*kind*/) override
+    void recordCompletion(const Fingerprint & /*fingerprint*/, const ServerKind & /*kind*/) override
     {
     }
-    void noteServer(const ServerKind & /*kind*/) override { }
+    void recordServer(const ServerKind & /*kind*/) override { }
     void setListener(ISuspectListener * /*listener*/) override { }
 };
 
