--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -19,7 +19,7 @@
 /// One record of suspects, for operators.
 struct SuspectStatus
 {
-    SuspectRecord logQuarantineChange;
+    SuspectRecord record;
     Assessment assessment;
     /// Since the first crash, and since the last.
     Duration firstAge{ 0 };
