--- a/src/app/internal/gate/crashreporter.cpp
+++ b/src/app/internal/gate/crashreporter.cpp
@@ -83,7 +83,7 @@
 void CrashReporter::tell(const Announcement &server, const Fingerprint &fingerprint,
                          const SuspectRun &run)
 {
-    m_quarantine.noteCrash(
+    m_quarantine.recordCrash(
         fingerprint,
         Crash{ m_watch.runOf(server), kindOf(server), m_loop.now(), run.isAlone, run.isTrial });
 }
--- a/src/app/internal/quarantine/iquarantine.h
+++ b/src/app/internal/quarantine/iquarantine.h
@@ -28,7 +28,7 @@
     virtual Assessment assess(const Fingerprint &fingerprint, const ServerKind &kind) const = 0;
 
     /// The run of a server of this host ended while it worked on such a request.
-    virtual void noteCrash(const Fingerprint &fingerprint, const Crash &crash) = 0;
+    virtual void recordCrash(const Fingerprint &fingerprint, const Crash &crash) = 0;
     /// A server of this host has answered such a request.
     virtual void recordCompletion(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
     /// A server of this host takes calls.
--- a/src/app/internal/quarantine/quarantineservice.cpp
+++ b/src/app/internal/quarantine/quarantineservice.cpp
@@ -114,7 +114,7 @@
     return m_table->assess(m_loop.now(), fingerprint, kind);
 }
 
-void QuarantineService::noteCrash(const Fingerprint &fingerprint, const Crash &crash)
+void QuarantineService::recordCrash(const Fingerprint &fingerprint, const Crash &crash)
 {
     if (m_options.isOn && m_table->addCrash(m_loop.now(), fingerprint, crash)) {
         onLocalUpdate(fingerprint);
--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -59,7 +59,7 @@
     bool hasSuspects() const override;
     Assessment assess(const Fingerprint &fingerprint) const override;
     Assessment assess(const Fingerprint &fingerprint, const ServerKind &kind) const override;
-    void noteCrash(const Fingerprint &fingerprint, const Crash &crash) override;
+    void recordCrash(const Fingerprint &fingerprint, const Crash &crash) override;
     void recordCompletion(const Fingerprint &fingerprint, const ServerKind &kind) override;
     void recordServer(const ServerKind &kind) override;
     void setListener(ISuspectListener *listener) override { m_listener = listener; }
--- a/src/app/tests/mocks/fakequarantine.h
+++ b/src/app/tests/mocks/fakequarantine.h
@@ -34,7 +34,7 @@
     {
         return assess(fingerprint);
     }
-    void noteCrash(const Fingerprint &fingerprint, const Crash &crash) override
+    void recordCrash(const Fingerprint &fingerprint, const Crash &crash) override
     {
         crashes.emplace_back(fingerprint, crash);
     }
--- a/src/app/tests/mocks/noquarantine.h
+++ b/src/app/tests/mocks/noquarantine.h
@@ -15,7 +15,7 @@
     {
         return {};
     }
-    void noteCrash(const Fingerprint & /*fingerprint*/, const Crash & /*crash*/) override { }
+    void recordCrash(const Fingerprint & /*fingerprint*/, const Crash & /*crash*/) override { }
     void recordCompletion(const Fingerprint & /*fingerprint*/, const ServerKind & /*kind*/) override
     {
     }
