--- a/src/coordination/quarantine/internal/suspecttable.cpp
+++ b/src/coordination/quarantine/internal/suspecttable.cpp
@@ -304,7 +304,7 @@
 /// The oldest harmless ones go; a flood of suspects must not free one that is in quarantine.
 bool SuspectTable::evictOldest()
 {
-    if (m_records.size() < m_options.mostRecords) {
+    if (m_records.size() < m_options.maxRecords) {
         return true;
     }
     auto oldest = m_records.end();
--- a/src/coordination/quarantine/isuspecttable.h
+++ b/src/coordination/quarantine/isuspecttable.h
@@ -26,7 +26,7 @@
     Duration suspectRetention = std::chrono::minutes(5);
     /// … and one in quarantine.
     Duration quarantineRetention = std::chrono::hours(24);
-    std::size_t mostRecords = 1024;
+    std::size_t maxRecords = 1024;
     /// In one record.
     std::size_t maxCrashesPerRecord = 16;
 };
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -194,7 +194,7 @@
         crash(Fingerprint("flood-" + std::to_string(i)), "i-" + std::to_string(i));
     }
     CHECK(at(KIND) == Suspicion::Quarantined);
-    LONGS_EQUAL(SuspectTableOptions().mostRecords, m_table->records().size());
+    LONGS_EQUAL(SuspectTableOptions().maxRecords, m_table->records().size());
     CHECK(at(KIND, Fingerprint("flood-4999")) == Suspicion::Suspect);
 }
 
