--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -235,8 +235,8 @@
             traffic.receiveAccounts(from, payload);
         });
     };
-    port.setDirectorySize = [this](std::size_t daemons) {
-        onTraffic([daemons](TrafficNode &traffic) { traffic.setDirectorySize(daemons); });
+    port.setListed = [this](std::size_t daemons) {
+        onTraffic([daemons](TrafficNode &traffic) { traffic.setListed(daemons); });
     };
     port.confirm = [this](TimePoint asOf) { m_confirmation.note(asOf); };
     port.liftQuarantine = [this](Fingerprint fingerprint, std::function<void(bool)> callback) {
--- a/src/coordination/calls/internal/parentfinder.cpp
+++ b/src/coordination/calls/internal/parentfinder.cpp
@@ -24,13 +24,13 @@
 
 void ParentFinder::onStart(CallId call, const RuleName &rule, TimePoint deadline)
 {
-    m_placement[call] = m_running.emplace(deadline, Run{ call, rule });
+    m_places[call] = m_running.emplace(deadline, Run{ call, rule });
 }
 
 void ParentFinder::onEnd(TimePoint now, CallId call)
 {
-    const auto found = m_placement.find(call);
-    if (found == m_placement.end()) {
+    const auto found = m_places.find(call);
+    if (found == m_places.end()) {
         return;
     }
     dropOldAnswers(now);
@@ -42,7 +42,7 @@
     learn(found->second->second.rule, answered);
     m_lastEndAt = now;
     m_running.erase(found->second);
-    m_placement.erase(found);
+    m_places.erase(found);
 }
 
 void ParentFinder::onInnerAnswer(TimePoint now, const RuleName &rule)
--- a/src/coordination/calls/internal/parentfinder.h
+++ b/src/coordination/calls/internal/parentfinder.h
@@ -63,7 +63,7 @@
 
     ParentFinderOptions m_options;
     Running m_running;
-    std::unordered_map<CallId, Running::iterator> m_placement;
+    std::unordered_map<CallId, Running::iterator> m_places;
     std::optional<TimePoint> m_lastEndAt;
     std::unordered_map<RuleName, Inner> m_inner;
     /// Answers to inner calls on which no server has gone on yet.
--- a/src/coordination/once/internal/claimtable.cpp
+++ b/src/coordination/once/internal/claimtable.cpp
@@ -61,7 +61,7 @@
             // the first until the horizon has passed the gap, so nothing runs twice.
             m_completeFrom = m_end;
         } else if (own == m_standing.end()) {
-            m_standing.emplace(hash, Assessment{ offset, owner, entry.nonce });
+            m_standing.emplace(hash, Standing{ offset, owner, entry.nonce });
             m_order.emplace_back(offset, hash);
         }
     }
@@ -126,10 +126,10 @@
 std::optional<ClaimHolder> ClaimTable::blocker(const KeyHash &hash, LogOffset from,
                                                const Owner *owner, std::uint64_t nonce) const
 {
-    const Assessment *earliest = nullptr;
+    const Standing *earliest = nullptr;
     const auto [begin, end] = m_standing.equal_range(hash);
     for (auto it = begin; it != end; ++it) {
-        const Assessment &claim = it->second;
+        const Standing &claim = it->second;
         const bool isOwn = claim.owner == owner && claim.nonce == nonce;
         if (isOwn || claim.offset < from) {
             continue;
--- a/src/coordination/once/internal/claimtable.h
+++ b/src/coordination/once/internal/claimtable.h
@@ -44,14 +44,14 @@
     {
         std::size_t operator()(const KeyHash &hash) const { return hash.low; }
     };
-    struct Assessment
+    struct Standing
     {
         LogOffset offset;
         /// Points into `m_owners`.
         const Owner *owner = nullptr;
         std::uint64_t nonce = 0;
     };
-    using StandingClaims = std::unordered_multimap<KeyHash, Assessment, KeyHashHash>;
+    using StandingClaims = std::unordered_multimap<KeyHash, Standing, KeyHashHash>;
     /// At `at`, this observer had seen all records below `offset`.
     struct SeenMark
     {
