--- a/src/app/internal/accounts/accountservice.cpp
+++ b/src/app/internal/accounts/accountservice.cpp
@@ -57,8 +57,8 @@
                                        : Verdict{ Outcome::NotRun, Reason::UnknownKey, {} });
 }
 
-/// That a key does not exist is final: callers do not come back. A daemon that may be behind must
-/// not say it of one that a newer configuration has.
+/// `UnknownKey` is final: callers do not retry. A daemon whose configuration may be outdated must
+/// not return it for a key that a newer configuration may contain.
 Verdict AccountService::refuseKey() const
 {
     const std::optional<Duration> age = m_confirmation.age(m_loop.now());
--- a/src/app/internal/accounts/accountservice.h
+++ b/src/app/internal/accounts/accountservice.h
@@ -21,18 +21,19 @@
 struct AccountServiceOptions
 {
     AccountLimitOptions limits;
-    /// A configuration that was the newest one no longer ago than this decides which keys exist.
+    /// A key that is missing in the configuration is rejected as unknown only if the configuration
+    /// was confirmed as the newest one within this time.
     Duration maxConfirmationAge = std::chrono::seconds(2);
-    /// When callers whose key may be on its way are to come back.
+    /// Retry delay for callers whose key may be in a newer configuration.
     Duration uncertainKeyRetryAfter = std::chrono::milliseconds(300);
 };
 
-/// Knows the client accounts of the configuration in force, and keeps them within their limits
-/// together with other daemons. Traffic thread only.
+/// Identifies the client accounts of the current configuration and enforces their limits together
+/// with the other daemons. Traffic thread only.
 class AccountService : public IAccounts
 {
 public:
-    /// Sends a control payload to another daemon. May be lost.
+    /// Sends a control payload to another daemon. Delivery is not guaranteed.
     using Send = std::function<void(DaemonId, std::string)>;
 
     /// All references outlive the service.
@@ -40,12 +41,12 @@
                    Observers observers, Send send, const AccountServiceOptions &options);
 
     void setConfiguration(ConfigurationPtr configuration);
-    /// How many daemons the platform's directory lists.
+    /// Number of daemons in the platform's directory.
     void setDirectorySize(std::size_t daemons) { m_limits->setDirectorySize(daemons); }
     void setMembers(const DaemonId &self, const std::vector<Member> &members);
-    /// A payload of the exchange of accounts.
+    /// Handles a payload of the account exchange; ignores payloads that cannot be decoded.
     void receive(const DaemonId &from, const std::string &payload);
-    /// Those that ask here for more than they may have first.
+    /// Sorted by rate of refused requests, highest first.
     std::vector<AccountStatus> statuses() const;
 
     bool needsKey(const RuleSpec &rule) const override;
--- a/src/app/internal/accounts/iaccounts.h
+++ b/src/app/internal/accounts/iaccounts.h
@@ -9,22 +9,22 @@
 
 namespace ivyspar {
 
-/// What a caller must show and may send, as entries ask. Traffic thread only.
+/// Authenticates callers and enforces account limits at entries. Traffic thread only.
 class IAccounts
 {
 public:
     virtual ~IAccounts() = default;
 
-    /// Whether callers of the rule must show a key.
+    /// Whether calls that match the rule need a key.
     virtual bool needsKey(const RuleSpec &rule) const = 0;
-    /// The account that holds the key, null where none is needed and none was shown; or why the
-    /// caller is refused. The account lives as long as the configuration.
+    /// Returns the account that holds the key, null if no account does and the rule needs no key,
+    /// or the reason why the caller is refused. The account lives as long as the configuration.
     virtual tl::expected<const AccountSpec *, Verdict>
     identify(const RuleSpec &rule, const std::optional<AccountKey> &key) const = 0;
-    /// Takes a unit of the account's limit for one request; may suspend the calling fiber for some
-    /// ms. Returns why the request is refused, if it is.
+    /// Takes a token of the account's limit for one request. May suspend the calling fiber for some
+    /// milliseconds. Returns the reason if the request is refused.
     virtual std::optional<Verdict> take(const AccountName &account) = 0;
-    /// A request that took a unit was not run.
+    /// Returns the token of a request that was not run.
     virtual void refund(const AccountName &account) = 0;
 };
 
--- a/src/app/internal/quarantine/iquarantine.h
+++ b/src/app/internal/quarantine/iquarantine.h
@@ -4,7 +4,7 @@
 
 namespace ivyspar {
 
-/// Told when something was learnt of a request.
+/// Notified when the record of a request has changed.
 class ISuspectListener
 {
 public:
@@ -13,27 +13,28 @@
     virtual void onSuspectChanged(const Fingerprint &fingerprint) = 0;
 };
 
-/// What this daemon knows of requests that crash servers, as entries and gates ask and tell it.
-/// Traffic thread only.
+/// Access of entries and gates to this daemon's records of requests that crash servers. Traffic
+/// thread only.
 class IQuarantine
 {
 public:
     virtual ~IQuarantine() = default;
 
-    /// False: nothing need be asked, nor a fingerprint be worked out for it.
+    /// If false, every assessment is `Suspicion::None`, and callers can skip computing the
+    /// fingerprint.
     virtual bool hasSuspects() const = 0;
-    /// Before a server is chosen.
+    /// Assesses the request before a server is chosen.
     virtual Assessment assess(const Fingerprint &fingerprint) const = 0;
-    /// At a server of that kind.
+    /// Assesses the request for a server of that kind.
     virtual Assessment assess(const Fingerprint &fingerprint, const ServerKind &kind) const = 0;
 
-    /// The run of a server of this host ended while it worked on such a request.
+    /// A server of this host crashed while such a request was in progress there.
     virtual void recordCrash(const Fingerprint &fingerprint, const Crash &crash) = 0;
-    /// A server of this host has answered such a request.
+    /// A server of this host has completed such a request.
     virtual void recordCompletion(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
-    /// A server of this host takes calls.
+    /// A server of this host accepts calls.
     virtual void recordServer(const ServerKind &kind) = 0;
-    /// May be null; replaces the one before.
+    /// Replaces the current listener; may be null. The listener must outlive its registration.
     virtual void setListener(ISuspectListener *listener) = 0;
 };
 
--- a/src/app/internal/quarantine/quarantineservice.cpp
+++ b/src/app/internal/quarantine/quarantineservice.cpp
@@ -155,7 +155,7 @@
     }
 }
 
-/// Entries send a request in quarantine to a new version only once they know that there is one.
+/// Entries send a quarantined request to a new version only once its servers are in the record.
 void QuarantineService::addUntriedKinds(const Fingerprint &fingerprint)
 {
     for (const ServerKind &kind : m_servers) {
@@ -166,8 +166,7 @@
     }
 }
 
-/// Of the many that are suspects for a moment only those are told that are found guilty, and those
-/// that no longer are.
+/// Logs only the begin and end of a quarantine: many requests are suspects for a moment.
 void QuarantineService::logQuarantineChange(const Fingerprint &fingerprint)
 {
     const auto found = m_table->find(fingerprint);
--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -16,32 +16,32 @@
 
 namespace ivyspar {
 
-/// One record of suspects, for operators.
+/// A record of the table of suspects, for operators.
 struct SuspectStatus
 {
     SuspectRecord record;
     Assessment assessment;
-    /// Since the first crash, and since the last.
+    /// Time since the first crash in the record, and since its last change.
     Duration firstAge{ 0 };
     Duration lastAge{ 0 };
 };
 
 struct QuarantineOptions
 {
-    /// Off, for measurements: no request is ever suspected.
+    /// If false, no request is ever suspected; for measurements.
     bool isOn = true;
-    /// News of one moment are sent together.
+    /// Updates within this time are sent together.
     Duration flushDelay = std::chrono::milliseconds(1);
-    /// Between comparisons with other daemons, while there is anything to compare.
+    /// Interval between comparisons with other daemons, while `SuspectGossip::needsComparison`.
     Duration compareInterval = std::chrono::milliseconds(300);
     SuspectTableOptions table;
 };
 
-/// Keeps the table of suspects of this daemon and spreads what it learns. Traffic thread only.
+/// Owns this daemon's table of suspects and replicates it. Traffic thread only.
 class QuarantineService : public IQuarantine
 {
 public:
-    /// Sends a control payload to another daemon. May be lost.
+    /// Sends a control payload to another daemon. Delivery is not guaranteed.
     using Send = std::function<void(DaemonId, std::string)>;
 
     QuarantineService(IEventLoop &loop, IRandom &random, Observers observers, Send send,
@@ -49,11 +49,11 @@
     ~QuarantineService() override;
 
     void setMembers(const DaemonId &self, const std::vector<Member> &members);
-    /// A payload of the exchange of suspects.
+    /// Handles a payload of the suspect exchange; ignores payloads that cannot be decoded.
     void receive(const DaemonId &from, const std::string &payload);
-    /// Lifts the quarantine of the fingerprint. False if nothing is known of it.
+    /// Lifts the quarantine of the fingerprint. False if there is no record of it.
     bool lift(const Fingerprint &fingerprint);
-    /// Those that still count as suspects, the most severe first.
+    /// Records of requests that are still suspects, the most severe first.
     std::vector<SuspectStatus> status() const;
 
     bool hasSuspects() const override;
@@ -82,7 +82,7 @@
     SuspectGossip m_gossip;
     ISuspectListener *m_listener = nullptr;
     std::set<ServerKind> m_servers;
-    /// Those that the log says are in quarantine.
+    /// Requests whose quarantine has been logged, and whose end has not.
     std::set<Fingerprint> m_quarantined;
     TimerId m_flushTimer;
     TimerId m_compareTimer;
--- a/src/coordination/accounts/accountmessages.h
+++ b/src/coordination/accounts/accountmessages.h
@@ -9,55 +9,59 @@
 
 namespace ivyspar {
 
-/// Of an account's rate, in parts of `WHOLE_RATE`.
+/// A share of an account's rate limit, in millionths (`WHOLE_RATE` is all of it).
 using RateShare = StrongType<std::uint32_t, struct RateShareTag>;
 constexpr RateShare WHOLE_RATE{ 1'000'000 };
 
-/// What an entry asks of the home of an account.
+/// The state of one account at an entry, and the tokens that the entry requests from the account's
+/// home.
 struct TokenDemand
 {
     AccountName account;
-    /// Requests that wait for a unit now.
+    /// Requests that are waiting for a token.
     std::uint32_t waiting = 0;
-    /// Units that it wants to have at hand besides.
+    /// Further tokens that the entry wants to keep in its cache.
     std::uint32_t prefetch = 0;
-    /// Units at hand, and units that it gives back besides.
+    /// Tokens left in the entry's cache.
     std::uint32_t held = 0;
+    /// Surplus tokens that the entry returns; not included in `held`.
     std::uint32_t returned = 0;
-    /// Requests a second that ask for the account there.
+    /// Requests per second for the account at the entry, averaged over
+    /// `AccountLimitOptions::demandWindow`.
     double rate = 0;
-    /// The same over the life of a lease.
+    /// The same, averaged over the duration of a lease.
     double longTermRate = 0;
-    /// Its lease, and for how long that is still good.
+    /// The entry's lease and its remaining validity; zero if it has expired.
     RateShare lease;
     Duration leaseLeft{ 0 };
-    /// Requests that it let in without units of the home, since it began to count.
+    /// Requests admitted without tokens from the home (by lease or from a deputy); a running total.
     std::uint32_t locallyAdmitted = 0;
 };
 
-/// What the home gives to an entry.
+/// What the home grants to an entry for one account.
 struct TokenGrant
 {
     AccountName account;
-    /// False: the receiver is not the account's home, as far as it knows.
+    /// False if the receiver of the request does not consider itself the account's home. The other
+    /// fields, except `account`, then have their defaults.
     bool isFromHome = true;
     std::uint32_t tokens = 0;
-    /// Nothing will be given for this long; zero if all that was asked for was given.
+    /// For how long the entry should not request again; zero if all waiting requests got a token.
     Duration emptyFor{ 0 };
-    /// When callers that are refused are to come back.
+    /// Retry delay for callers that are refused.
     Duration retryAfter{ 0 };
-    /// What the entry may let in by itself while it cannot reach the home, and for how long after
-    /// the question was sent.
+    /// Share of the rate that the entry may admit on its own while it cannot reach the home, and
+    /// how long this is valid, counted from when the request was sent.
     RateShare lease;
     Duration leaseDuration{ 0 };
 };
 
 struct TokenRequest
 {
-    /// Repeated in the answer.
+    /// Matches the response to its request.
     std::uint32_t number = 0;
-    /// The home is silent: the receiver is asked to act for it, with no more than the leases of
-    /// those that ask it.
+    /// The home is unresponsive; the receiver acts as its deputy and grants no more than the pooled
+    /// leases of the entries that request from it.
     bool isForDeputy = false;
     std::vector<TokenDemand> demands;
 };
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -17,22 +17,24 @@
 struct AccountDecision
 {
     AccountAction action = AccountAction::Admit;
-    /// With `Wait`: ask again then at the latest, and whenever something was granted.
+    /// For `Wait`: call `take` again at this time, or earlier when `receive` reports a grant.
     TimePoint until;
-    /// With `Refuse`: when there may be room.
+    /// For `Refuse`: when the caller may try again.
     Duration retryAfter{ 0 };
 };
 
-/// How an account stands at this daemon, for operators.
+/// State of an account at this daemon, for operators.
 struct AccountStatus
 {
     AccountName account;
     AccountLimit limit;
-    /// Requests a second that asked for it here, and those of them that were refused.
+    /// Requests per second for the account at this daemon, including the refused ones.
     double rate = 0;
+    /// Refused requests per second at this daemon.
     double refused = 0;
     bool isHome = false;
-    /// Its home cannot be reached: this daemon lets in what its lease allows.
+    /// Neither the account's home nor its deputy responds; this daemon admits what its lease
+    /// allows.
     bool isOnLease = false;
 };
 
@@ -42,92 +44,95 @@
     DomainName domain;
 };
 
-/// What may be let in beyond a limit within the time over which operators look at it.
+/// How far a limit may be exceeded within the operators' observation window.
 struct AccountTolerance
 {
-    /// Of what rate and burst allow.
+    /// As a fraction of what rate and burst allow.
     double overage = 0.1;
-    /// Requests besides.
+    /// Plus this number of requests.
     double slack = 20;
 };
 
 using AccountLimits = std::unordered_map<AccountName, AccountLimit>;
 
-/// Keeps each client account within its limit, which holds over all daemons together.
+/// Enforces the rate limit of each client account across all daemons.
 ///
-/// One daemon, the account's home, counts the units of its bucket and hands them to entries ahead
-/// of need. It also leases each entry a share of the rate. An entry that cannot reach the home lets
-/// in what its lease allows, and the home leaves that much to the entries that it lost until their
-/// leases are over. A new home begins with what entries that reach it hold as leases. So the parts
-/// never add up to more than the whole, however the daemons are separated; docs/ACCOUNTS.md has the
-/// exceptions. Until a silent home is known to be gone, a deputy in the own failure domain pools
-/// the leases of those that ask it. Plain object.
+/// One daemon, the account's home, owns its token bucket and grants tokens to entries ahead of
+/// demand. It also leases a share of the rate to each entry. An entry that cannot reach the home
+/// admits requests within its lease, and the home reserves that share for unreachable entries until
+/// their leases expire. A new home starts with the sum of the leases of the entries that reach it.
+/// The shares therefore never add up to more than the limit under any network partition;
+/// docs/ACCOUNTS.md lists the exceptions. Until an unresponsive home is known to be gone, a deputy
+/// in the entry's failure domain pools the leases of the entries that contact it. Plain object.
 class IAccountLimits
 {
 public:
     virtual ~IAccountLimits() = default;
 
-    /// The daemons that are taken for alive, with this one.
+    /// The daemons considered alive, including this one.
     virtual void setMembers(TimePoint now, const DaemonId &self,
                             const std::vector<AccountMember> &members) = 0;
-    /// How many daemons the platform's directory lists. Counts while this daemon has not been there
-    /// long enough to know who may be cut off.
+    /// Number of daemons in the platform's directory. Used until this daemon has run for
+    /// `AccountLimitOptions::departedRetention` and knows the partitioned daemons itself.
     virtual void setDirectorySize(std::size_t daemons) = 0;
-    /// Accounts that are not among them have no limit.
+    /// Accounts that are not in `limits` are unlimited.
     virtual void setLimits(TimePoint now, AccountLimits limits) = 0;
-    /// Takes a unit for a request of the account, which asked for the first time at `since`.
+    /// Takes a token for a request of the account. `since` is the time of the request's first call;
+    /// only that call counts as demand.
     virtual AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) = 0;
-    /// The request was not run after all.
+    /// Returns the token of a request that was not run.
     virtual void refund(TimePoint now, const AccountName &account) = 0;
-    /// `granted` gets the accounts whose waiting requests are to ask again.
+    /// Appends to `granted` the accounts whose waiting requests should call `take` again.
     virtual void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                          std::vector<AccountName> &granted) = 0;
-    /// What is to be sent now.
+    /// Takes the messages that are due to be sent.
     virtual OutgoingAccountMessages takeOutgoing() = 0;
     virtual std::vector<AccountStatus> statuses(TimePoint now) const = 0;
 };
 
 struct AccountLimitOptions
 {
-    /// Off, for measurements: each daemon counts an equal part of each limit.
+    /// If false, each daemon enforces an equal share of each limit on its own; for measurements.
     bool hasHomes = true;
     AccountTolerance tolerance;
-    /// Time over which an entry's demand is averaged.
+    /// Averaging window of an entry's demand.
     Duration demandWindow = std::chrono::seconds(2);
-    /// An entry keeps units for this time of its demand at hand …
+    /// An entry caches tokens for this much of its demand …
     Duration prefetchTime = std::chrono::milliseconds(150);
-    /// … and one at least, if its demand is larger. Of an account that is seldom asked for, units
-    /// would lie about at all entries while the bucket is empty.
+    /// … but at least one, or none below this rate in requests per second: cached tokens of rarely
+    /// used accounts would sit idle at all entries while the bucket is empty.
     double minPrefetchRate = 0.7;
-    /// Units at hand are worth nothing after this time without an answer of the home.
+    /// Cached tokens expire after this time without a response from the home.
     Duration cachedTokenLifetime = std::chrono::milliseconds(2500);
-    /// A question without an answer is repeated after this time …
+    /// A request without a response is given up after this time …
     Duration requestTimeout = std::chrono::milliseconds(60);
-    /// … and after so many the daemon is taken for silent, for this time.
+    /// … and after this many in a row the daemon is considered unresponsive, for
+    /// `unresponsiveTime`.
     std::uint32_t maxUnansweredRequests = 2;
     Duration unresponsiveTime = std::chrono::milliseconds(500);
-    /// Units of an answer that comes later than this are not used.
+    /// Tokens in a response that arrives later than this after its request are discarded.
     Duration grantLifetime = std::chrono::milliseconds(500);
-    /// How long a request may wait for a unit while the bucket is empty.
+    /// How long a request may wait for a token while the bucket is empty.
     Duration maxWait = std::chrono::milliseconds(120);
     Duration leaseDuration = std::chrono::seconds(10);
-    /// A lease is minded here for so much longer than where it is used.
+    /// The home honors a lease for this much longer than the entry that uses it.
     Duration leaseMargin = std::chrono::milliseconds(500);
-    /// Daemons that are gone count for the division of limits for this long: they may be cut off,
-    /// and still serve their callers.
+    /// Departed daemons count in the division of limits for this long: they may be partitioned and
+    /// still serving their callers.
     Duration departedRetention = std::chrono::seconds(30);
-    /// After a start a daemon may not have found the others yet …
+    /// For this time after its start a daemon may not have discovered the others yet …
     Duration discoveryTime = std::chrono::milliseconds(700);
-    /// … and takes itself for one of so many.
+    /// … and assumes that there are at least this many.
     double assumedDaemons = 64;
-    /// An entry seems cut off after this time, and that of so many requests, without a question.
+    /// The home considers an entry unreachable after this time without a token request, and after
+    /// the time in which it usually gets this many client requests, whichever is longer.
     Duration minUnresponsiveTime = std::chrono::milliseconds(250);
     double missedRequests = 4;
-    /// A new home has heard of most leases after this time.
+    /// By this time after it took over, a new home has been told of most leases.
     Duration leaseReportTime = std::chrono::milliseconds(500);
-    /// With a larger share of the known daemons in reach, nobody is thought to be cut off.
+    /// With at least this share of the known daemons reachable, none is considered partitioned.
     double fullReachShare = 0.98;
-    /// Bounds on what callers that are refused are told.
+    /// Bounds of the retry delay for refused callers.
     Duration minRetryAfter = std::chrono::milliseconds(200);
     Duration maxRetryAfter = std::chrono::seconds(3);
 };
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Below this share of the bucket, units go to requests that wait and not to stocks.
+/// Below this share of the bucket's capacity, tokens go to waiting requests only, not to caches.
 constexpr double LOW_LEVEL = 0.25;
-/// Bounds on how long an entry is told not to ask.
+/// Bounds on how long an entry is told not to request again.
 constexpr Duration MIN_EMPTY_TIME = std::chrono::milliseconds(5);
 constexpr Duration MAX_EMPTY_TIME = std::chrono::milliseconds(200);
 
@@ -57,7 +57,7 @@
     grant.account = demand.account;
     grant.tokens = tokensFor(demand);
     m_level -= grant.tokens;
-    // Requests that wait use theirs at once.
+    // Waiting requests consume their tokens at once.
     holder.tokens += grant.tokens - std::min(grant.tokens, demand.waiting);
     if (grant.tokens < demand.waiting) {
         grant.emptyFor = emptyFor(now, limit);
@@ -82,8 +82,9 @@
     chargeLocalAdmissions(holder, demand.locallyAdmitted);
 }
 
-/// What it let in by its lease, while this daemon gave the whole rate to others, is taken from what
-/// comes next: an entry that loses some messages may do so all the time.
+/// Requests admitted by lease beyond what was reserved for it are charged to the bucket: the home
+/// granted the full rate to others meanwhile, and an entry with message loss may use its lease all
+/// the time.
 void AccountHome::chargeLocalAdmissions(Holder &holder, std::uint32_t locallyAdmitted)
 {
     const std::uint32_t before = holder.locallyAdmitted.value_or(locallyAdmitted);
@@ -93,8 +94,9 @@
     holder.locallyAdmitted = locallyAdmitted;
 }
 
-/// What entries have at hand counts as if it were still in the bucket. Half of what operators
-/// tolerate makes up for the division: else a small account's burst would lie about at entries.
+/// Tokens cached at entries still count towards the bucket's capacity. Half of the operators'
+/// tolerance is added to compensate for the distribution: otherwise the burst of a small account
+/// would sit unused at entries.
 void AccountHome::refill(TimePoint now, const AccountLimit &limit)
 {
     m_burst = limit.burst;
@@ -113,7 +115,8 @@
     m_level = std::min(m_level + passed * limit.rate * share, m_capacity);
 }
 
-/// A part of a bucket begins with something: it would else refuse what comes in its first moment.
+/// Also the initial fill of a bucket with less than the full rate, which would otherwise refuse all
+/// requests at first.
 double AccountHome::toleranceTokens(const AccountLimit &limit) const
 {
     return (m_options.tolerance.slack + m_options.tolerance.overage * limit.burst) / 2;
@@ -128,7 +131,7 @@
     return static_cast<std::uint32_t>(std::max(urgent + prefetch, 0.0));
 }
 
-/// Entries that were told to wait come in turn.
+/// Entries that were told to wait are served one after the other.
 Duration AccountHome::emptyFor(TimePoint now, const AccountLimit &limit) const
 {
     const auto before = std::count_if(m_holders.begin(), m_holders.end(), [now](const auto &each) {
@@ -139,14 +142,14 @@
     return std::clamp(secondsOf(missing / rate), MIN_EMPTY_TIME, MAX_EMPTY_TIME);
 }
 
-/// What is asked for in a second beyond the limit has room after this time, if nobody else came.
+/// The time in which the limit can serve one second's excess demand, without further requests.
 Duration AccountHome::retryAfterFor(const AccountLimit &limit) const
 {
     const double excess = std::max(totalDemandRate() - limit.rate, 0.0) / limit.rate;
     return std::clamp(secondsOf(excess), m_options.minRetryAfter, m_options.maxRetryAfter);
 }
 
-/// A holder's lease grows only by what no other holder may still believe in.
+/// A holder's lease grows only by shares that no other holder may still consider valid.
 RateShare AccountHome::lease(TimePoint now, Holder &holder)
 {
     if (m_isDeputy) {
@@ -177,14 +180,14 @@
 double AccountHome::grantableShare(TimePoint now) const
 {
     if (m_isDeputy) {
-        // Not all that will ask have asked yet.
+        // Not all entries that use this deputy have contacted it yet.
         return std::min(std::max(reachableLeases(), m_placement.domainShare() / 2), 1.0);
     }
     const double reachable = m_placement.reachableShare(now);
     const bool isWhole = reachable >= m_options.fullReachShare;
     if (isNew(now) && !isWhole) {
-        // Whoever was the home before may be cut off, and still give to others what they have as
-        // leases.
+        // The previous home may be partitioned and still granting tokens to other entries against
+        // their leases.
         const double here = now - m_since < m_options.leaseReportTime ? 0 : reachableLeases();
         return here > 0 ? std::min(here, 1.0) : reachable;
     }
@@ -205,8 +208,8 @@
     });
 }
 
-/// Before a cut is noticed, a home would give the whole rate to the entries on its side, while the
-/// others already let in what their leases allow.
+/// Until a partition is detected, the home would otherwise grant the full rate to the entries on
+/// its side, while the other entries already admit requests by lease.
 bool AccountHome::isUnresponsive(TimePoint now, const Holder &holder) const
 {
     const Duration expected =
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -8,18 +8,20 @@
 
 namespace ivyspar {
 
-/// The bucket of one account at its home, and what entries have of it. Plain object.
+/// Token bucket of one account at its home, with the tokens and leases that entries hold.
+/// Plain object.
 class AccountHome
 {
 public:
-    /// `since`: nobody else has been the account's home from then on. `isDeputy`: it acts for a
-    /// home that may well be there.
+    /// `since`: the time from which no other daemon has been the account's home. `isDeputy`: this
+    /// daemon stands in for a home that may still be running. `options` and `placement` outlive
+    /// the object.
     AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
                 const AccountPlacement &placement);
 
     TokenGrant grantTokens(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
                            const TokenDemand &demand);
-    /// When an entry last asked.
+    /// When an entry last requested tokens.
     TimePoint lastRequestAt() const { return m_lastRequestAt; }
 
 private:
@@ -28,12 +30,12 @@
         double tokens = 0;
         double rate = 0;
         double longTermRate = 0;
-        /// The largest lease that it may believe in.
+        /// The largest lease that the entry may still consider valid.
         double lease = 0;
         TimePoint leaseUntil;
-        /// As it told when it asked last; nothing before.
+        /// As reported with its last request; unset before the first.
         std::optional<std::uint32_t> locallyAdmitted;
-        /// Units that were left to it since.
+        /// Tokens reserved for its lease since then.
         double reservedTokens = 0;
         TimePoint lastRequestAt;
         TimePoint emptyUntil;
@@ -47,16 +49,16 @@
     Duration emptyFor(TimePoint now, const AccountLimit &limit) const;
     Duration retryAfterFor(const AccountLimit &limit) const;
     RateShare lease(TimePoint now, Holder &holder);
-    /// Of the rate, what this daemon may give.
+    /// The share of the rate that this daemon may grant.
     double grantableShare(TimePoint now) const;
     bool isNew(TimePoint now) const { return now - m_since < m_options.leaseDuration; }
     double totalDemandRate() const;
     double longTermRate() const;
     double heldTokens() const;
     template <typename IsWanted> double leasesIf(const IsWanted &isWanted) const;
-    /// Leases of the entries that can reach this daemon.
+    /// Sum of the leases of the entries that are members, as this daemon sees it.
     double reachableLeases() const;
-    /// The entry should have asked long ago.
+    /// Whether the entry has made no request for longer than expected.
     bool isUnresponsive(TimePoint now, const Holder &holder) const;
     void removeExpired(TimePoint now);
 
--- a/src/coordination/accounts/internal/accountplacement.cpp
+++ b/src/coordination/accounts/internal/accountplacement.cpp
@@ -108,7 +108,7 @@
         known += each.isPresent || now - each.lastPresentAt < m_options.departedRetention ? 1 : 0;
     }
     const Duration age = std::chrono::duration_cast<Duration>(now - m_startedAt);
-    // Whoever is cut off since before this daemon's start is not known from seeing it go.
+    // Daemons partitioned since before this daemon's start were never members here.
     auto all = static_cast<double>(
         age < m_options.departedRetention ? std::max(known, m_directorySize) : known);
     if (age < m_options.discoveryTime) {
--- a/src/coordination/accounts/internal/accountplacement.h
+++ b/src/coordination/accounts/internal/accountplacement.h
@@ -8,8 +8,8 @@
 
 namespace ivyspar {
 
-/// Which daemon is the home of an account: each daemon finds out for itself, by rendezvous hashing
-/// over those that it takes for alive. Plain object.
+/// Maps accounts to their home daemons. Each daemon computes this locally, by rendezvous hashing
+/// over the daemons that it considers alive. Plain object.
 class AccountPlacement
 {
 public:
@@ -19,18 +19,19 @@
     void setDirectorySize(std::size_t daemons) { m_directorySize = daemons; }
     const DaemonId &self() const { return m_self; }
     const DaemonId &homeOf(const AccountName &account) const;
-    /// Who acts for the home while it is silent: another daemon of this failure domain.
+    /// The daemon that stands in for an unresponsive home: another daemon of this failure domain,
+    /// or this daemon itself if there is none.
     const DaemonId &deputyOf(const AccountName &account) const;
     bool isMember(const DaemonId &daemon) const
     {
         return m_known.count(daemon) > 0 && isPresent(daemon);
     }
-    /// Of the daemons that were there lately, the share that still is. A daemon that has just
-    /// started takes itself for one of many.
+    /// The share of the recently seen daemons that are still members. A daemon that has just
+    /// started assumes a large deployment.
     double reachableShare(TimePoint now) const;
-    /// Of the members, the share that is in this daemon's failure domain.
+    /// The share of the members that are in this daemon's failure domain.
     double domainShare() const { return m_domainShare; }
-    /// When the members changed last.
+    /// When the members last changed.
     TimePoint changedAt() const { return m_changedAt; }
 
 private:
--- a/src/coordination/accounts/internal/accounttokencache.cpp
+++ b/src/coordination/accounts/internal/accounttokencache.cpp
@@ -12,7 +12,7 @@
     , m_grantedAt(now)
     , m_leaseFilledAt(now)
 {
-    // As though nobody had asked before: the first request alone tells of no rate.
+    // Start with a full window of zero demand: a single request does not define a rate.
     m_demand.add(now - options.demandWindow, 0, options.demandWindow);
     m_longTermDemand.add(now - options.leaseDuration, 0, options.leaseDuration);
 }
@@ -122,15 +122,15 @@
     m_locallyAdmitted += isFromDeputy ? grant.tokens : 0;
     m_grantedAt = now;
     m_lease = grant.lease;
-    // From when it was asked for: the home's own count of that time begins no earlier.
+    // Counted from when the request was sent: the home starts its own count no earlier.
     m_leaseUntil = sentAt + grant.leaseDuration;
     m_emptyUntil = now + grant.emptyFor;
     m_retryAfter = grant.retryAfter;
     return true;
 }
 
-/// At most half of what the burst has for this entry's part of the demand: more would lie about at
-/// entries while others run out.
+/// At most half of this entry's share of the burst: more would sit idle at entries while others run
+/// out of tokens.
 double AccountTokenCache::targetTokens(TimePoint now, const AccountLimit &limit) const
 {
     const double most = std::max(1.0, limit.burst * leaseShare(now) / 2);
@@ -146,7 +146,8 @@
         : 0;
 }
 
-/// Little is saved up for the time in which others could still be asked.
+/// Accumulates tokens for at most `unresponsiveTime`: before that, home or deputy could still be
+/// reached.
 void AccountTokenCache::refillLease(TimePoint now, const AccountLimit &limit)
 {
     const double passed =
--- a/src/coordination/accounts/internal/accounttokencache.h
+++ b/src/coordination/accounts/internal/accounttokencache.h
@@ -8,34 +8,38 @@
 
 namespace ivyspar {
 
-/// What an entry has at hand of one account, and how it stands with the account's home. Plain
-/// object.
+/// Tokens and lease of one account at an entry, and the pending request to the account's home.
+/// Plain object.
 class AccountTokenCache
 {
 public:
+    /// `options` outlives the object.
     AccountTokenCache(TimePoint now, const AccountLimitOptions &options);
 
-    /// A request asks for the account, for the first time.
+    /// Counts a client request of the account; once per request.
     void recordDemand(TimePoint now);
     void recordRefusal(TimePoint now);
     double demandRate(TimePoint now) const { return m_demand.rate(now, m_options.demandWindow); }
     double refusedRate(TimePoint now) const { return m_refused.rate(now, m_options.demandWindow); }
     TimePoint lastUsedAt() const { return m_lastUsedAt; }
 
-    /// Takes a unit at hand. False if there is none.
+    /// Takes a cached token. False if there is none.
     bool take(TimePoint now);
     void refund(TimePoint now);
-    /// Takes a unit of what the lease allows while the home is silent.
+    /// Takes a token out of the lease, while home and deputy are unresponsive. False if there is
+    /// none.
     bool takeFromLease(TimePoint now, const AccountLimit &limit);
-    /// Until there is one; nothing if there is no lease.
+    /// Time until the lease yields a token; unset without a valid lease.
     std::optional<Duration> timeUntilLeaseToken(TimePoint now, const AccountLimit &limit) const;
 
-    /// Whether units are to be asked for ahead of need.
+    /// Whether tokens should be requested ahead of demand.
     bool isLow(TimePoint now, const AccountLimit &limit) const;
+    /// The demand to send to the home; moves surplus tokens out of the cache into it. `waiting` is
+    /// the number of requests that wait for a token.
     TokenDemand demand(TimePoint now, const AccountName &account, const AccountLimit &limit,
                        std::uint32_t waiting);
 
-    /// The question that has no answer yet.
+    /// A token request that has no response yet.
     struct PendingRequest
     {
         std::uint32_t number = 0;
@@ -45,12 +49,12 @@
     };
     const std::optional<PendingRequest> &pendingRequest() const { return m_pendingRequest; }
     void recordRequest(const PendingRequest &pendingRequest);
-    /// Gives the question up when it has waited too long; names the daemon that did not answer.
+    /// Drops the pending request if it has timed out, and returns the daemon that did not respond.
     std::optional<DaemonId> expirePendingRequest(TimePoint now);
-    /// Nothing can be had before.
+    /// The home has no tokens to grant before this time.
     TimePoint emptyUntil() const { return m_emptyUntil; }
     Duration retryAfter() const { return m_retryAfter; }
-    /// The answer to the question; false if it came too late.
+    /// Handles the response to the pending request. False if it arrived too late.
     bool receive(TimePoint now, const TokenGrant &grant);
 
 private:
--- a/src/coordination/accounts/internal/equalaccountlimits.h
+++ b/src/coordination/accounts/internal/equalaccountlimits.h
@@ -6,8 +6,8 @@
 
 namespace ivyspar {
 
-/// Each daemon counts an equal part of each limit by itself, with a burst of one request at least.
-/// Sends nothing; what is kept for daemons that nobody asks is lost to the others.
+/// Each daemon enforces an equal share of each limit locally, with a burst of at least one request.
+/// Sends no messages; the shares of idle daemons are unused.
 class EqualAccountLimits : public IAccountLimits
 {
 public:
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How often what nobody uses is looked for.
+/// Interval between removals of unused accounts.
 constexpr Duration CLEANUP_INTERVAL = std::chrono::seconds(5);
 
 } // namespace
@@ -32,8 +32,8 @@
 {
 }
 
-/// An account that has another home now is forgotten here: if it comes back, what was counted
-/// meanwhile is not known.
+/// Drops the buckets of accounts whose home moved away: should it move back, their state would be
+/// outdated.
 void SharedAccountLimits::setMembers(TimePoint now, const DaemonId &self,
                                      const std::vector<AccountMember> &members)
 {
@@ -117,7 +117,7 @@
                   std::clamp(timeUntilToken, m_options.minRetryAfter, m_options.maxRetryAfter));
 }
 
-/// Spread by a quarter, so that callers that are refused together do not come back together.
+/// Adds jitter of ±25 %, so that callers that are refused together do not retry together.
 AccountDecision SharedAccountLimits::refuse(TimePoint now, AccountTokenCache &cache,
                                             Duration retryAfter)
 {
@@ -227,7 +227,7 @@
             granted.push_back(grant.account);
         }
         if (!grant.isFromHome) {
-            // Either daemon has not heard yet who is there.
+            // One of the two daemons has an outdated list of members.
             m_peerStates[from].until = now + m_options.requestTimeout;
         }
     }
@@ -274,7 +274,7 @@
         .first->second;
 }
 
-/// What is not used any more, so that memory does not grow with all accounts that ever came by.
+/// Removes unused entries, so that memory does not grow with every account ever seen.
 void SharedAccountLimits::removeExpired(TimePoint now)
 {
     if (now - m_cleanedUpAt < CLEANUP_INTERVAL) {
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// Limits of accounts, each counted at its home.
+/// Account limits whose token buckets are kept at the accounts' homes.
 class SharedAccountLimits : public IAccountLimits
 {
 public:
@@ -42,7 +42,8 @@
     AccountDecision refuse(TimePoint now, AccountTokenCache &cache, Duration retryAfter);
     void requestTokens(TimePoint now, const AccountName &account, const AccountLimit &limit,
                        AccountTokenCache &cache, std::uint32_t waiting);
-    /// The daemon to ask: the home, its deputy while that is silent, or nobody.
+    /// The daemon to request tokens from: the home, the deputy while the home is unresponsive, or
+    /// none.
     std::optional<DaemonId> requestTarget(TimePoint now, const AccountName &account) const;
     bool isUnresponsive(TimePoint now, const DaemonId &daemon) const;
     void recordUnanswered(TimePoint now, const DaemonId &daemon);
@@ -57,7 +58,7 @@
     AccountPlacement m_placement;
     AccountLimits m_limits;
     std::unordered_map<AccountName, AccountTokenCache> m_tokenCaches;
-    /// Of the accounts whose home is here, and of those for whose home this daemon acts.
+    /// Accounts whose home is this daemon, and accounts for whose home it is the deputy.
     std::unordered_map<AccountName, AccountHome> m_homes;
     std::unordered_map<AccountName, AccountHome> m_deputies;
     std::unordered_map<DaemonId, PeerState> m_peerStates;
--- a/src/coordination/quarantine/internal/suspectgossip.cpp
+++ b/src/coordination/quarantine/internal/suspectgossip.cpp
@@ -13,8 +13,8 @@
 {
 }
 
-/// A single newcomer asks for itself, as all others are new to it: when one joins hundreds, they do
-/// not all write to it.
+/// A single new peer starts the comparison itself, since all others are new to it; this keeps
+/// hundreds of daemons from contacting it at once.
 void SuspectGossip::setPeers(TimePoint now, const std::vector<DaemonId> &peers)
 {
     const std::set<DaemonId> known(m_peers.begin(), m_peers.end());
--- a/src/coordination/quarantine/internal/suspecttable.cpp
+++ b/src/coordination/quarantine/internal/suspecttable.cpp
@@ -16,7 +16,7 @@
     return std::binary_search(record.completed.begin(), record.completed.end(), kind);
 }
 
-/// Keeps their order. False if the kind is there.
+/// Keeps the kinds sorted. False if the kind is present already.
 bool addKind(Kinds &kinds, const ServerKind &kind)
 {
     const auto place = std::lower_bound(kinds.begin(), kinds.end(), kind);
@@ -36,7 +36,8 @@
     return isNew;
 }
 
-/// Of servers of one kind, as evidence against the request.
+/// Counts the crashes of servers of one kind as evidence against the request. Crashes at which it
+/// was not isolated count as one.
 std::size_t countCrashes(const SuspectRecord &record, const ServerKind &kind)
 {
     std::size_t isolated = 0;
@@ -50,7 +51,7 @@
     return isolated + (hasUnisolated ? 1 : 0);
 }
 
-/// The most crashes at servers of one kind other than this.
+/// The highest count of crashes over the other kinds of servers.
 std::size_t countCrashesElsewhere(const SuspectRecord &record, const ServerKind &kind)
 {
     std::size_t most = 0;
@@ -158,7 +159,7 @@
         assessment.isTrial = true;
     }
     assessment.suspicion = Suspicion::Suspect;
-    // Each crash takes a server from all other requests: the next one waits until it is back.
+    // Each crash costs all other requests a server; wait until it is back before risking another.
     if (assessment.crashes > 1 && since < m_options.recoveryTime) {
         assessment.suspicion = Suspicion::Held;
         assessment.retryAfter = m_options.recoveryTime - since;
@@ -247,7 +248,8 @@
         place->wasIsolated = place->wasIsolated || crash.wasIsolated;
         return isNew;
     }
-    // The same ones are left out everywhere, or daemons would never know the same.
+    // All daemons drop the same crashes (those with the highest runs); otherwise their digests
+    // would never match.
     if (crashes.size() >= m_options.maxCrashesPerRecord && place == crashes.end()) {
         return false;
     }
@@ -301,7 +303,8 @@
                        [&](const Crash &crash) { return hasCompleted(record, crash.kind); });
 }
 
-/// The oldest harmless ones go; a flood of suspects must not free one that is in quarantine.
+/// Evicts the oldest record that is not quarantined: a flood of suspects must not release a request
+/// from quarantine.
 bool SuspectTable::evictOldest()
 {
     if (m_records.size() < m_options.maxRecords) {
--- a/src/coordination/quarantine/internal/suspecttable.h
+++ b/src/coordination/quarantine/internal/suspecttable.h
@@ -35,7 +35,7 @@
     bool isExpired(TimePoint now, const SuspectRecord &record) const;
     bool mergeInto(const SuspectRecord &from, SuspectRecord &into) const;
     bool insertCrash(const Crash &crash, SuspectRecord &into) const;
-    /// False if there is no room for one more.
+    /// Makes room for one more record. False if all are quarantined.
     bool evictOldest();
 
     SuspectTableOptions m_options;
--- a/src/coordination/quarantine/isolation.h
+++ b/src/coordination/quarantine/isolation.h
@@ -9,25 +9,25 @@
 
 namespace ivyspar {
 
-/// Lets one suspect at a time run at a server. When the server ends, the suspect that ran there is
-/// the one that matters; two at once would both be held responsible. Plain object.
+/// Runs suspects at a server one at a time. If the server crashes, the running suspect is the
+/// likely cause; with two at once, both would be blamed. Plain object.
 class Isolation
 {
 public:
-    /// Calls that may wait.
+    /// Bound on the calls in the queue.
     static constexpr std::size_t MAX_WAITING_CALLS = 64;
 
     bool isFree() const { return !m_running; }
     bool hasRoom() const { return m_waiting.size() < MAX_WAITING_CALLS; }
-    /// The call runs, and no other suspect until it has left. Only while free.
+    /// Marks the call as running; no other suspect runs until it leaves. Only while `isFree`.
     void begin(CallId call);
-    /// The call waits for its turn. Only while there is room.
+    /// Queues the call. Only while `hasRoom`.
     void wait(CallId call, const Fingerprint &fingerprint);
-    /// The call runs or waits no more. True if it was here.
+    /// Removes a running or queued call. False if it is neither.
     bool leave(CallId call);
-    /// Takes the call whose turn it is, while free; nothing if none waits.
+    /// Dequeues the oldest call. Unset while another one runs or if the queue is empty.
     std::optional<CallId> takeNext();
-    /// Takes all that wait with this fingerprint.
+    /// Dequeues all calls with this fingerprint.
     std::vector<CallId> take(const Fingerprint &fingerprint);
 
 private:
--- a/src/coordination/quarantine/isuspecttable.h
+++ b/src/coordination/quarantine/isuspecttable.h
@@ -11,62 +11,67 @@
 
 struct SuspectTableOptions
 {
-    /// Servers of one kind that a request may crash before it is quarantined there.
+    /// Number of crashes of servers of one kind at which a request is quarantined there.
     std::size_t crashThreshold = 3;
-    /// In this time a crashed server is usually back.
+    /// Time within which a crashed server usually has restarted.
     Duration recoveryTime = std::chrono::seconds(3);
-    /// A quarantined request is tried again after this time without a crash …
+    /// A quarantined request gets a trial after this time without a crash …
     Duration trialInterval = std::chrono::minutes(10);
-    /// … or on servers of another kind, as of a new version; so often in all.
+    /// … or at servers of another kind, such as a new version. After this many trials with a crash
+    /// there are no more.
     std::size_t maxTrials = 3;
 
-    /// For how long a request is remembered after its last crash: one that has completed since, …
+    /// Retention of a record after its last crash: of a request that has completed since at every
+    /// kind of server that crashed, …
     Duration clearedRetention = std::chrono::seconds(60);
-    /// … one that has not, …
+    /// … of one that has not, …
     Duration suspectRetention = std::chrono::minutes(5);
-    /// … and one in quarantine.
+    /// … and of one in quarantine.
     Duration quarantineRetention = std::chrono::hours(24);
     std::size_t maxRecords = 1024;
-    /// In one record.
     std::size_t maxCrashesPerRecord = 16;
 };
 
-/// Which requests may have crashed servers, and which do. Plain object.
+/// Tracks which requests may have crashed servers, and which are quarantined for it. Plain object.
 ///
-/// All that a server works on ends with it, so each crash makes suspects of all these requests. One
-/// that completes on a server of the same kind is none any more; one that has never completed
-/// there, and was there when several runs of servers ended, is what ended them. Crashes are counted
-/// by runs of servers, as a set that daemons unite: what is told twice counts once.
+/// A crash makes suspects of all requests that were in progress at the server. A suspect that
+/// completes at a server of the same kind is cleared. One that has never completed there, and was
+/// in progress at several crashes, is taken for their cause. Crashes are kept as a set of server
+/// runs that daemons merge by union, so a crash that is reported twice counts once.
 ///
-/// Runs under which a request was not yet a suspect count as one together: when several servers end
-/// at once, of whatever, a request in demand is under way at all of them.
+/// Crashes at which the request was not yet a suspect count as one in total: when several servers
+/// crash at once for another reason, a frequent request is in progress at all of them.
 class ISuspectTable
 {
 public:
     virtual ~ISuspectTable() = default;
 
     virtual bool isEmpty() const = 0;
-    /// At a server of that kind.
+    /// Assesses the request for a server of that kind.
     virtual Assessment assess(TimePoint now, const Fingerprint &fingerprint,
                               const ServerKind &kind) const = 0;
-    /// Before a server is chosen: the least of the suspicions at the kinds of servers that are
-    /// known.
+    /// Assesses the request before a server is chosen: the mildest assessment over the kinds of
+    /// servers in its record.
     virtual Assessment assess(TimePoint now, const Fingerprint &fingerprint) const = 0;
 
-    /// These return whether anything new was learnt.
+    /// Adds a crash. This and the following functions return whether the table has changed.
     virtual bool addCrash(TimePoint now, const Fingerprint &fingerprint, const Crash &crash) = 0;
+    /// Clears the request for that kind of server. Ignored for requests without a record.
     virtual bool addCompletion(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
-    /// There is a server of that kind. Learns of it if the request is in quarantine, crashed
-    /// servers of that service, and none of that kind.
+    /// Records that there are servers of that kind, if the request is quarantined and has crashed
+    /// servers of that service, but none of that kind.
     virtual bool addUntried(const Fingerprint &fingerprint, const ServerKind &kind) = 0;
+    /// Merges a record from another daemon.
     virtual bool merge(TimePoint now, const SuspectRecord &record) = 0;
-    /// Forgets all that is held against the request, here and wherever the record is merged.
+    /// Clears the request's record here, and at all daemons that merge the new record. False if
+    /// there is none.
     virtual bool lift(TimePoint now, const Fingerprint &fingerprint) = 0;
+    /// Removes the records whose retention is over.
     virtual void expire(TimePoint now) = 0;
 
     virtual std::optional<SuspectRecord> find(const Fingerprint &fingerprint) const = 0;
     virtual std::vector<SuspectRecord> records() const = 0;
-    /// The same at daemons that know the same.
+    /// Hash of all records; equal at daemons with equal records.
     virtual std::uint64_t digest() const = 0;
 };
 
--- a/src/coordination/quarantine/suspect.h
+++ b/src/coordination/quarantine/suspect.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// Servers that run requests alike.
+/// Servers of one service and version, which are expected to treat a request the same way.
 struct ServerKind
 {
     ServiceName service;
@@ -25,55 +25,56 @@
     }
 };
 
-/// A run of a server that ended while it worked on such a request.
+/// Crash of a server while a request with the record's fingerprint was in progress there.
 struct Crash
 {
-    /// Unique over all servers and all time.
+    /// The run of the server's process; unique over all servers and all time.
     UpstreamId run;
     ServerKind kind;
     TimePoint at;
-    /// The request was a suspect when it was sent, and ran alone among suspects.
+    /// The request was already a suspect when it was sent, and no other suspect ran at the server.
     bool wasIsolated = false;
-    /// The request was in quarantine and was let through to see whether that is still needed.
+    /// The request was in quarantine and was admitted as a trial, to see whether it still crashes
+    /// servers.
     bool isTrial = false;
 };
 
-/// What is known of requests of one fingerprint. Records of one fingerprint are
-/// merged: of two epochs the
-/// later one counts, within one epoch crashes and completions are united.
+/// What is known about requests with one fingerprint. When two records are merged, the later epoch
+/// wins; within one epoch, crashes and kinds of servers are merged by union.
 struct SuspectRecord
 {
     Fingerprint fingerprint;
-    /// Grows when an operator lifts the quarantine: what was known before counts no more.
+    /// Incremented when an operator lifts the quarantine; invalidates everything known before.
     std::uint32_t epoch = 0;
-    /// In the order of their runs' ids; no two of one run.
+    /// Sorted by `run`, without duplicates.
     std::vector<Crash> crashes;
-    /// Servers that have answered such a request, in order.
+    /// Kinds of servers that have completed such a request, sorted.
     std::vector<ServerKind> completed;
-    /// Servers that have not run it since it is in quarantine, in order.
+    /// Kinds of servers that have not run such a request since it was quarantined, sorted.
     std::vector<ServerKind> untried;
-    /// Of the last crash, or of the lifting.
+    /// Time of the last crash, or of the lift if there was none since.
     TimePoint changedAt;
 };
 
 enum class Suspicion {
     None,
-    Suspect, ///< It may have crashed a server: it runs alone among its like.
-    Held, ///< It may have crashed several servers, one of them just now: not before these are back.
-    Quarantined, ///< It crashes the servers that run it.
+    Suspect, ///< May have crashed a server; runs at servers one suspect at a time.
+    Held, ///< May have crashed several servers, one recently; does not run until they are back.
+    Quarantined, ///< Crashes the servers that run it; does not run.
 };
 
-/// Text that lives as long as the program.
+/// The name in logs and status documents. Has static lifetime.
 const char *toText(Suspicion suspicion);
 
-/// What is to be done with a request.
+/// How a request is to be handled.
 struct Assessment
 {
     Suspicion suspicion = Suspicion::None;
-    /// A suspect that was in quarantine.
+    /// A quarantined request that gets a trial as a suspect.
     bool isTrial = false;
-    /// When to come back, if it is held.
+    /// Retry delay of a held request.
     Duration retryAfter{ 0 };
+    /// Crashes that count as evidence against the request.
     std::size_t crashes = 0;
 };
 
--- a/src/coordination/quarantine/suspectgossip.h
+++ b/src/coordination/quarantine/suspectgossip.h
@@ -11,18 +11,18 @@
 
 struct SuspectGossipOptions
 {
-    /// Daemons that are told of news by the daemon where they arose. Below this many all are.
+    /// Number of peers to which a daemon sends its own updates; all peers if there are fewer.
     std::size_t initialFanout = 24;
-    /// Daemons to which news are passed on, where not all could be told at first …
+    /// Number of peers to which a received update is relayed, if the deployment is larger …
     std::size_t relayFanout = 4;
-    /// … and where they could: for what is lost on the way.
+    /// … and if it is not, to compensate for message loss.
     std::size_t redundantRelayFanout = 1;
-    /// After many daemons are new, as at the start or at the end of a cut, what others know is
-    /// asked for in this time, also while nothing is known here.
+    /// After many peers have joined, as after a start or a partition, digests are compared for this
+    /// time even while the table is empty.
     Duration syncPeriod = std::chrono::seconds(3);
-    /// Many: one of so many.
+    /// Many: at least one of this many peers.
     std::size_t massJoinDivisor = 8;
-    /// Records in one message: it fits into a datagram.
+    /// Records per message, so that it fits into a datagram.
     std::size_t maxRecordsPerUpdate = 8;
 };
 
@@ -33,26 +33,27 @@
 };
 using OutgoingSuspectMessages = std::vector<OutgoingSuspectMessage>;
 
-/// Spreads what a daemon's table of suspects learns. News go to other daemons at once and are
-/// passed on; digests that are compared all the while mend what was lost, and tell daemons that
-/// were cut off or have just started. Plain object.
+/// Replicates a daemon's table of suspects by gossip. Updates are pushed to peers at once and
+/// relayed; periodic comparison of digests repairs losses and brings daemons up to date that were
+/// partitioned or have just started. Plain object.
 class SuspectGossip
 {
 public:
-    /// Both outlive it.
+    /// `table` and `random` outlive the object.
     SuspectGossip(ISuspectTable &table, IRandom &random, const SuspectGossipOptions &options = {});
 
-    /// The other daemons that are taken for alive.
+    /// The other daemons that are considered alive.
     void setPeers(TimePoint now, const std::vector<DaemonId> &peers);
-    /// The table has learnt of it from this daemon's own servers.
+    /// The record was changed by an event at this daemon and is due to be sent.
     void addLocalUpdate(const Fingerprint &fingerprint) { m_localUpdates.insert(fingerprint); }
     bool hasUpdates() const { return !m_localUpdates.empty() || !m_relayedUpdates.empty(); }
-    /// Sends the news.
+    /// The pending updates, to be sent now.
     OutgoingSuspectMessages flush();
-    /// Whether `compare` is to be called regularly.
+    /// Whether `compare` should be called periodically.
     bool needsComparison(TimePoint now) const { return !m_table.isEmpty() || now < m_syncUntil; }
+    /// The digest, to be sent to a random peer.
     OutgoingSuspectMessages compare();
-    /// `changed` gets the records of which something new was learnt.
+    /// Returns the replies. Appends to `changed` the fingerprints of the records that have changed.
     OutgoingSuspectMessages receive(TimePoint now, const DaemonId &from,
                                     const SuspectMessage &message,
                                     std::vector<Fingerprint> &changed);
--- a/src/coordination/quarantine/suspectmessages.h
+++ b/src/coordination/quarantine/suspectmessages.h
@@ -8,23 +8,23 @@
 
 namespace ivyspar {
 
-/// The sender knows what this digest stands for. Whoever knows something else answers with all that
-/// it knows.
+/// `ISuspectTable::digest` of the sender. A receiver with another digest replies with its snapshot.
 struct SuspectDigest
 {
     std::uint64_t digest = 0;
 };
 
+/// Records that have changed.
 struct SuspectUpdate
 {
     std::vector<SuspectRecord> records;
 };
 
-/// All that the sender knows.
+/// All records of the sender.
 struct SuspectSnapshot
 {
     std::uint64_t digest = 0;
-    /// The sender asks for what the receiver knows besides.
+    /// The sender wants the receiver's snapshot in return, if their digests still differ.
     bool isReplyRequested = false;
     std::vector<SuspectRecord> records;
 };
