--- a/src/coordination/accounts/tests/accountlimitstest.cpp
+++ b/src/coordination/accounts/tests/accountlimitstest.cpp
@@ -16,15 +16,15 @@
 /// Limits over the usual demand.
 constexpr double HEADROOM = 1.6;
 /// What is asked for, the goals for what is let in of it.
-constexpr double CALM_GOAL = 0.98;
-constexpr double CUT_GOAL = 0.95;
+constexpr double MIN_SHARE_UNDISTURBED = 0.98;
+constexpr double MIN_SHARE_AFTER_FAULT = 0.95;
 
-AccountFleet::Account makeAccount(const std::string &name, double usual, std::size_t daemons)
+AccountFleet::Account makeAccount(const std::string &name, double usualDemand, std::size_t daemons)
 {
     AccountFleet::Account account;
     account.name = AccountName(name);
-    account.demand = usual;
-    account.limit.rate = std::floor(usual * HEADROOM);
+    account.demand = usualDemand;
+    account.limit.rate = std::floor(usualDemand * HEADROOM);
     account.limit.burst = account.limit.rate;
     for (std::size_t i = 0; i < daemons; ++i) {
         account.callers.push_back(i);
@@ -53,11 +53,11 @@
     }
 }
 
-double letInWhile(AccountFleet &fleet, Duration time)
+double admittedShareDuring(AccountFleet &fleet, Duration time)
 {
     fleet.resetCounts();
     fleet.advance(time);
-    return fleet.shareLetIn();
+    return fleet.admittedShare();
 }
 
 } // namespace
@@ -71,24 +71,24 @@
     AccountFleet fleet({}, 1);
     addAccounts(fleet);
     fleet.advance(5s);
-    CHECK_COMPARE(letInWhile(fleet, 5s), >=, CALM_GOAL);
+    CHECK_COMPARE(admittedShareDuring(fleet, 5s), >=, MIN_SHARE_UNDISTURBED);
     setDemands(fleet, 1.5);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CALM_GOAL);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_UNDISTURBED);
     setDemands(fleet, 2.7);
-    CHECK_COMPARE(letInWhile(fleet, 5s), >=, CALM_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 5s), >=, MIN_SHARE_UNDISTURBED);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
 // The other way that was built, under the same load.
 TEST(AccountLimits, EqualPartsRefuseMuchOfWhatIsWithinTheLimit)
 {
-    AccountFleet::Terms terms;
-    terms.options.hasHomes = false;
-    AccountFleet fleet(terms, 1);
+    AccountFleet::Parameters parameters;
+    parameters.options.hasHomes = false;
+    AccountFleet fleet(parameters, 1);
     addAccounts(fleet);
     fleet.advance(5s);
-    CHECK_COMPARE(letInWhile(fleet, 5s), <, CALM_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 5s), <, MIN_SHARE_UNDISTURBED);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
 // Guards against an account that pushes others aside by its own load.
@@ -100,8 +100,8 @@
     fleet.setDemand(1, fleet.accounts()[1].demand * 7.5);
     fleet.resetCounts();
     fleet.advance(5s);
-    CHECK_COMPARE(fleet.shareLetIn(), >=, CALM_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(fleet.admittedShare(), >=, MIN_SHARE_UNDISTURBED);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
 // Guards against a limit that is spent once on each side of a cut.
@@ -113,11 +113,11 @@
         fleet.advance(20s);
         setDemands(fleet, 4.7);
         fleet.advance(2s);
-        fleet.cutOff(fleet.domain(1));
+        fleet.partition(fleet.domain(1));
         fleet.advance(6s);
-        fleet.cutOff({});
+        fleet.partition({});
         fleet.advance(6s);
-        CHECK_COMPARE(fleet.mostOver(), <=, 0);
+        CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
     }
 }
 
@@ -130,13 +130,13 @@
     for (std::size_t i = 0; i < 12; ++i) {
         fleet.kill(i * 6);
     }
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, 0.9);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, 0.9);
     for (std::size_t i = 0; i < 12; ++i) {
         fleet.restart(i * 6);
     }
     fleet.advance(2s);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CUT_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_AFTER_FAULT);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
 // Guards against limits that each daemon spends for itself after all lost power, and against
@@ -155,8 +155,8 @@
         fleet.restart(i);
     }
     fleet.advance(2s);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CUT_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_AFTER_FAULT);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
 // Guards against a limit that was lowered and goes on as before, or was raised in vain.
@@ -168,11 +168,11 @@
     fleet.advance(5s);
     fleet.setLimit(0, { 60, 60 }, 2500ms);
     fleet.advance(15s);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
     fleet.setLimit(0, { 400, 400 }, 2500ms);
     setDemands(fleet, 1.5);
     fleet.advance(3s);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CALM_GOAL);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_UNDISTURBED);
 }
 
 // Guards against a request that no server ran and that is counted all the same.
--- a/src/coordination/accounts/tests/accountschedulestest.cpp
+++ b/src/coordination/accounts/tests/accountschedulestest.cpp
@@ -17,7 +17,7 @@
 public:
     Schedule(std::uint64_t seed, const AccountLimitOptions &options)
         : m_random(seed)
-        , m_fleet(termsOf(options), seed)
+        , m_fleet(parametersOf(options), seed)
     {
         for (std::size_t i = 0; i < ACCOUNTS; ++i) {
             m_fleet.addAccount(makeAccount(i));
@@ -29,24 +29,24 @@
     {
         m_fleet.advance(Duration(static_cast<Duration::rep>(m_random.below(9'000'000))));
         for (int i = 0; i < 10; ++i) {
-            disturb();
+            injectFault();
             m_fleet.advance(Duration(static_cast<Duration::rep>(m_random.below(2'000'000))));
         }
-        return m_fleet.mostOver();
+        return m_fleet.maxOverBound();
     }
     AccountFleet &fleet() { return m_fleet; }
 
 private:
-    AccountFleet::Terms termsOf(const AccountLimitOptions &options)
+    AccountFleet::Parameters parametersOf(const AccountLimitOptions &options)
     {
-        constexpr std::size_t LEAST_DAEMONS = 8;
-        AccountFleet::Terms terms;
-        terms.options = options;
-        terms.daemons = LEAST_DAEMONS + m_random.below(17);
-        terms.domains = 2 + m_random.below(3);
-        terms.lossShare = m_random.below(2) == 0 ? 0 : 0.2 * m_random.unit();
-        terms.delay = std::chrono::milliseconds(1 + m_random.below(10));
-        return terms;
+        constexpr std::size_t MIN_DAEMONS = 8;
+        AccountFleet::Parameters parameters;
+        parameters.options = options;
+        parameters.daemons = MIN_DAEMONS + m_random.below(17);
+        parameters.domains = 2 + m_random.below(3);
+        parameters.lossShare = m_random.below(2) == 0 ? 0 : 0.2 * m_random.unit();
+        parameters.delay = std::chrono::milliseconds(1 + m_random.below(10));
+        return parameters;
     }
 
     AccountFleet::Account makeAccount(std::size_t index)
@@ -63,23 +63,23 @@
         return account;
     }
 
-    void disturb()
+    void injectFault()
     {
         const std::size_t daemon = m_random.below(m_fleet.size());
         const std::size_t account = m_random.below(ACCOUNTS);
         const double rate = m_fleet.accounts()[account].limit.rate;
         switch (m_random.below(9)) {
         case 0:
-            m_fleet.cutOff(m_fleet.domain(0));
+            m_fleet.partition(m_fleet.domain(0));
             break;
         case 1:
-            m_fleet.cutOff({ daemon });
+            m_fleet.partition({ daemon });
             break;
         case 2:
-            m_fleet.cutOff({});
+            m_fleet.partition({});
             break;
         case 3:
-            endOrBegin(daemon);
+            killOrRestart(daemon);
             break;
         case 4:
             pauseOrResume(daemon);
@@ -99,7 +99,7 @@
         }
     }
 
-    void endOrBegin(std::size_t daemon)
+    void killOrRestart(std::size_t daemon)
     {
         if (m_fleet.isUp(daemon)) {
             m_fleet.kill(daemon);
@@ -132,14 +132,14 @@
     AccountFleet m_fleet;
 };
 
-std::size_t countBroken(const AccountLimitOptions &options, std::uint64_t first,
-                        std::uint64_t seeds)
+std::size_t countViolations(const AccountLimitOptions &options, std::uint64_t first,
+                            std::uint64_t seeds)
 {
-    std::size_t broken = 0;
+    std::size_t violations = 0;
     for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
-        broken += Schedule(seed, options).run() > 0 ? 1 : 0;
+        violations += Schedule(seed, options).run() > 0 ? 1 : 0;
     }
-    return broken;
+    return violations;
 }
 
 } // namespace
@@ -149,5 +149,5 @@
 // Guards against limits that are exceeded while daemons are cut off, paused, killed or started.
 TEST(AccountSchedules, TheBoundHolds)
 {
-    LONGS_EQUAL(0, countBroken({}, 1, SEEDS));
+    LONGS_EQUAL(0, countViolations({}, 1, SEEDS));
 }
--- a/src/coordination/accounts/tests/mocks/accountfleet.h
+++ b/src/coordination/accounts/tests/mocks/accountfleet.h
@@ -23,7 +23,7 @@
 public:
     static constexpr Duration STEP = std::chrono::milliseconds(1);
 
-    struct Terms
+    struct Parameters
     {
         std::size_t daemons = 76;
         std::size_t domains = 4;
@@ -31,8 +31,8 @@
         double lossShare = 0;
         Duration delay = std::chrono::milliseconds(1);
         /// From a change of who is there until a daemon notices: at least and at most.
-        Duration soonest = std::chrono::milliseconds(800);
-        Duration latest = std::chrono::milliseconds(1800);
+        Duration minDetectionTime = std::chrono::milliseconds(800);
+        Duration maxDetectionTime = std::chrono::milliseconds(1800);
         /// The bound: within any window, this much more than rate and burst allow.
         Duration window = std::chrono::seconds(5);
         double overage = 0.1;
@@ -50,11 +50,11 @@
 
         /// What came of it.
         std::uint64_t asked = 0;
-        std::uint64_t owed = 0;
-        std::uint64_t letIn = 0;
+        std::uint64_t expected = 0;
+        std::uint64_t admitted = 0;
         /// Of the largest limit within the window, the most that any window had over the bound;
         /// negative if all were below.
-        double mostOver = -1e9;
+        double maxOverBound = -1e9;
         double exactTokens = 0;
         TimePoint exactAt;
         std::deque<TimePoint> recent;
@@ -66,16 +66,16 @@
         double nextBoundBurst = 0;
     };
 
-    AccountFleet(const Terms &terms, std::uint64_t seed)
-        : m_terms(terms)
+    AccountFleet(const Parameters &parameters, std::uint64_t seed)
+        : m_parameters(parameters)
         , m_random(seed)
     {
-        for (std::size_t i = 0; i < terms.daemons; ++i) {
+        for (std::size_t i = 0; i < parameters.daemons; ++i) {
             m_nodes.push_back(std::make_unique<Node>());
             start(i);
         }
-        for (std::size_t i = 0; i < terms.daemons; ++i) {
-            notice(i);
+        for (std::size_t i = 0; i < parameters.daemons; ++i) {
+            updateMembersAt(i);
         }
     }
 
@@ -100,29 +100,29 @@
         if (isLower) {
             account.nextBoundRate = limit.rate;
             account.nextBoundBurst = limit.burst;
-            account.boundUntil = m_now + within + m_terms.window;
+            account.boundUntil = m_now + within + m_parameters.window;
         } else {
             account.boundRate = limit.rate;
             account.boundBurst = limit.burst;
             account.boundUntil = TimePoint();
         }
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            m_changes.emplace(m_now + drawn(Duration::zero(), within), i);
+            m_changes.emplace(m_now + randomDuration(Duration::zero(), within), i);
         }
     }
     void setDemand(std::size_t index, double demand) { m_accounts[index].demand = demand; }
 
     /// All messages between these daemons and the others are lost from now on.
-    void cutOff(std::set<std::size_t> daemons)
+    void partition(std::set<std::size_t> daemons)
     {
-        m_cutOff = std::move(daemons);
-        shareMembers();
+        m_partitioned = std::move(daemons);
+        updateMembers();
     }
     std::set<std::size_t> domain(std::size_t index) const
     {
         std::set<std::size_t> daemons;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (i % m_terms.domains == index) {
+            if (i % m_parameters.domains == index) {
                 daemons.insert(i);
             }
         }
@@ -131,24 +131,24 @@
     void kill(std::size_t index)
     {
         m_nodes[index]->isUp = false;
-        shareMembers();
+        updateMembers();
     }
     /// The daemon's process starts anew and knows nothing but how many there are.
     void restart(std::size_t index)
     {
         start(index);
         m_nodes[index]->limits->setDirectorySize(m_nodes.size());
-        shareMembers();
+        updateMembers();
         // It finds the others sooner than they notice that it was gone.
-        m_nodes[index]->noticeAt =
-            m_now + drawn(std::chrono::milliseconds(50), std::chrono::milliseconds(400));
+        m_nodes[index]->memberUpdateAt =
+            m_now + randomDuration(std::chrono::milliseconds(50), std::chrono::milliseconds(400));
     }
     /// It neither works nor notices that time passes; what is sent to it waits.
     void pause(std::size_t index) { m_nodes[index]->pausedAt = m_now; }
     void resume(std::size_t index)
     {
         Node &node = *m_nodes[index];
-        node.lost += std::chrono::duration_cast<Duration>(m_now - *node.pausedAt);
+        node.clockLag += std::chrono::duration_cast<Duration>(m_now - *node.pausedAt);
         node.pausedAt.reset();
     }
     bool isPaused(std::size_t index) const { return m_nodes[index]->pausedAt.has_value(); }
@@ -166,7 +166,7 @@
     void resetCounts()
     {
         for (Account &account : m_accounts) {
-            account.asked = account.owed = account.letIn = 0;
+            account.asked = account.expected = account.admitted = 0;
         }
     }
     std::vector<Account> &accounts() { return m_accounts; }
@@ -175,22 +175,22 @@
     std::size_t size() const { return m_nodes.size(); }
 
     /// Of what an exact bucket would have let in, the share that was let in, at most all of it.
-    double shareLetIn() const
+    double admittedShare() const
     {
-        double owed = 0;
-        double letIn = 0;
+        double expected = 0;
+        double admitted = 0;
         for (const Account &account : m_accounts) {
-            owed += static_cast<double>(account.owed);
-            letIn += static_cast<double>(std::min(account.owed, account.letIn));
+            expected += static_cast<double>(account.expected);
+            admitted += static_cast<double>(std::min(account.expected, account.admitted));
         }
-        return owed > 0 ? letIn / owed : 1;
+        return expected > 0 ? admitted / expected : 1;
     }
     /// The most that any account had over its bound in any window.
-    double mostOver() const
+    double maxOverBound() const
     {
         double most = -1e9;
         for (const Account &account : m_accounts) {
-            most = std::max(most, account.mostOver);
+            most = std::max(most, account.maxOverBound);
         }
         return most;
     }
@@ -208,10 +208,10 @@
         std::unique_ptr<IAccountLimits> limits;
         std::vector<Waiting> waiting;
         bool isUp = true;
-        TimePoint noticeAt = TimePoint::max();
+        TimePoint memberUpdateAt = TimePoint::max();
         std::optional<TimePoint> pausedAt;
         /// Time that its clock has not counted.
-        Duration lost{ 0 };
+        Duration clockLag{ 0 };
     };
     struct Message
     {
@@ -227,15 +227,16 @@
     }
     AccountMember memberOf(std::size_t index) const
     {
-        return { idOf(index), DomainName("domain-" + std::to_string(index % m_terms.domains)) };
+        return { idOf(index),
+                 DomainName("domain-" + std::to_string(index % m_parameters.domains)) };
     }
-    Duration drawn(Duration least, Duration most)
+    Duration randomDuration(Duration least, Duration most)
     {
         const auto width =
             static_cast<std::uint64_t>(std::max<Duration::rep>((most - least).count(), 1));
         return least + Duration(static_cast<Duration::rep>(m_random.below(width)));
     }
-    TimePoint clockOf(const Node &node) const { return m_now - node.lost; }
+    TimePoint clockOf(const Node &node) const { return m_now - node.clockLag; }
     AccountLimits limits() const
     {
         AccountLimits limits;
@@ -250,31 +251,33 @@
         Node &node = *m_nodes[index];
         node = Node();
         node.random = std::make_unique<SeededRandom>(m_random.next() + index);
-        node.limits = makeAccountLimits(m_now, *node.random, m_terms.options);
+        node.limits = makeAccountLimits(m_now, *node.random, m_parameters.options);
         node.limits->setLimits(m_now, limits());
         node.limits->setMembers(m_now, idOf(index), { memberOf(index) });
     }
-    bool areLinked(std::size_t a, std::size_t b) const
+    bool areConnected(std::size_t a, std::size_t b) const
     {
-        return a == b || m_cutOff.count(a) == m_cutOff.count(b);
+        return a == b || m_partitioned.count(a) == m_partitioned.count(b);
     }
-    void notice(std::size_t index)
+    void updateMembersAt(std::size_t index)
     {
         std::vector<AccountMember> members;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (i == index || (m_nodes[i]->isUp && areLinked(i, index))) {
+            if (i == index || (m_nodes[i]->isUp && areConnected(i, index))) {
                 members.push_back(memberOf(i));
             }
         }
         Node &node = *m_nodes[index];
         node.limits->setMembers(clockOf(node), idOf(index), members);
-        node.noticeAt = TimePoint::max();
+        node.memberUpdateAt = TimePoint::max();
     }
-    void shareMembers()
+    void updateMembers()
     {
         for (const auto &node : m_nodes) {
-            node->noticeAt =
-                std::min(node->noticeAt, m_now + drawn(m_terms.soonest, m_terms.latest));
+            node->memberUpdateAt = std::min(
+                node->memberUpdateAt,
+                m_now
+                    + randomDuration(m_parameters.minDetectionTime, m_parameters.maxDetectionTime));
         }
     }
 
@@ -285,16 +288,16 @@
             node.limits->setLimits(clockOf(node), limits());
             m_changes.erase(m_changes.begin());
         }
-        while (!m_onTheWay.empty() && m_onTheWay.begin()->first <= m_now) {
-            const std::vector<Message> arrived = std::move(m_onTheWay.begin()->second);
-            m_onTheWay.erase(m_onTheWay.begin());
+        while (!m_inFlight.empty() && m_inFlight.begin()->first <= m_now) {
+            const std::vector<Message> arrived = std::move(m_inFlight.begin()->second);
+            m_inFlight.erase(m_inFlight.begin());
             for (const Message &message : arrived) {
                 deliver(message);
             }
         }
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (m_now >= m_nodes[i]->noticeAt && m_nodes[i]->isUp && !m_nodes[i]->pausedAt) {
-                notice(i);
+            if (m_now >= m_nodes[i]->memberUpdateAt && m_nodes[i]->isUp && !m_nodes[i]->pausedAt) {
+                updateMembersAt(i);
             }
         }
         for (std::size_t i = 0; i < m_accounts.size(); ++i) {
@@ -334,7 +337,7 @@
         account.exactAt = m_now;
         if (account.exactTokens >= 1) {
             account.exactTokens -= 1;
-            ++account.owed;
+            ++account.expected;
         }
         ask(entry, Waiting{ index, clockOf(node), {} });
     }
@@ -347,16 +350,16 @@
             node.limits->take(clockOf(node), account.name, request.since);
         post(entry);
         if (decision.action == AccountAction::Admit) {
-            letIn(account);
+            admitted(account);
         } else if (decision.action == AccountAction::Wait) {
             request.until = decision.until;
             node.waiting.push_back(request);
         }
     }
 
-    void letIn(Account &account)
+    void admitted(Account &account)
     {
-        ++account.letIn;
+        ++account.admitted;
         if (account.boundUntil != TimePoint() && m_now >= account.boundUntil) {
             account.boundRate = account.nextBoundRate;
             account.boundBurst = account.nextBoundBurst;
@@ -364,14 +367,15 @@
             account.recent.clear();
         }
         account.recent.push_back(m_now);
-        while (account.recent.front() <= m_now - m_terms.window) {
+        while (account.recent.front() <= m_now - m_parameters.window) {
             account.recent.pop_front();
         }
-        const double bound = (account.boundRate * toSeconds(m_terms.window) + account.boundBurst)
-                * (1 + m_terms.overage)
-            + m_terms.slack;
-        account.mostOver =
-            std::max(account.mostOver, static_cast<double>(account.recent.size()) - bound);
+        const double bound =
+            (account.boundRate * toSeconds(m_parameters.window) + account.boundBurst)
+                * (1 + m_parameters.overage)
+            + m_parameters.slack;
+        account.maxOverBound =
+            std::max(account.maxOverBound, static_cast<double>(account.recent.size()) - bound);
     }
 
     void wake(std::size_t index)
@@ -398,8 +402,8 @@
         for (OutgoingAccountMessage &send : m_nodes[from]->limits->takeOutgoing()) {
             const std::size_t to = indexOf(send.to);
             ++m_messages;
-            if (areLinked(from, to) && m_random.unit() >= m_terms.lossShare) {
-                m_onTheWay[m_now + m_terms.delay].push_back(
+            if (areConnected(from, to) && m_random.unit() >= m_parameters.lossShare) {
+                m_inFlight[m_now + m_parameters.delay].push_back(
                     Message{ from, to, std::move(send.message) });
             }
         }
@@ -412,7 +416,7 @@
             return;
         }
         if (node.pausedAt) {
-            m_onTheWay[m_now + m_terms.delay].push_back(message);
+            m_inFlight[m_now + m_parameters.delay].push_back(message);
             return;
         }
         std::vector<AccountName> granted;
@@ -428,14 +432,14 @@
         wake(message.to);
     }
 
-    Terms m_terms;
+    Parameters m_parameters;
     SeededRandom m_random;
     TimePoint m_now{ std::chrono::seconds(100) };
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::vector<Account> m_accounts;
-    std::set<std::size_t> m_cutOff;
+    std::set<std::size_t> m_partitioned;
     std::multimap<TimePoint, std::size_t> m_changes;
-    std::map<TimePoint, std::vector<Message>> m_onTheWay;
+    std::map<TimePoint, std::vector<Message>> m_inFlight;
     std::size_t m_messages = 0;
 };
 
--- a/src/coordination/quarantine/tests/mocks/suspectfleet.h
+++ b/src/coordination/quarantine/tests/mocks/suspectfleet.h
@@ -22,7 +22,7 @@
 public:
     static constexpr Duration STEP = std::chrono::milliseconds(1);
     static constexpr Duration DELAY = std::chrono::milliseconds(2);
-    static constexpr Duration COMPARE = std::chrono::milliseconds(300);
+    static constexpr Duration COMPARE_INTERVAL = std::chrono::milliseconds(300);
     static constexpr Duration RUN_TIME = std::chrono::milliseconds(60);
     static constexpr Duration DOWN_TIME = std::chrono::seconds(2);
 
@@ -33,21 +33,21 @@
         for (std::size_t i = 0; i < daemons; ++i) {
             m_nodes.push_back(makeNode(i));
         }
-        shareMembers();
+        updateMembers();
     }
 
     /// All messages between these daemons and the others are lost from now on.
-    void cutOff(std::set<std::size_t> daemons)
+    void partition(std::set<std::size_t> daemons)
     {
-        m_cutOff = std::move(daemons);
-        shareMembers();
+        m_partitioned = std::move(daemons);
+        updateMembers();
     }
 
     /// The daemon's process starts anew and knows nothing.
     void restart(std::size_t index)
     {
         m_nodes[index] = makeNode(index);
-        introduce(index);
+        updatePeers(index);
     }
 
     void advance(Duration time)
@@ -60,16 +60,16 @@
 
     /// The crashing request arrives at the daemon, which sends it to some server it knows, unless
     /// it knows better. True if a server began to run it.
-    bool sendCrasher(std::size_t entry)
+    bool sendCrashingRequest(std::size_t entry)
     {
         Node &from = *m_nodes[entry];
-        const Suspicion here = from.table->assess(m_now, CRASHER).suspicion;
+        const Suspicion here = from.table->assess(m_now, CRASHING_REQUEST).suspicion;
         if (here == Suspicion::Held || here == Suspicion::Quarantined) {
             return false;
         }
         const std::size_t target = here == Suspicion::Suspect ? firstUp(entry) : randomUp(entry);
         Node &gate = *m_nodes[target];
-        const Suspicion there = gate.table->assess(m_now, CRASHER, KIND).suspicion;
+        const Suspicion there = gate.table->assess(m_now, CRASHING_REQUEST, KIND).suspicion;
         const bool isRefused = there == Suspicion::Held || there == Suspicion::Quarantined
             || (there == Suspicion::Suspect && !isIdle(gate));
         if (isRefused || m_now < gate.upAt) {
@@ -83,7 +83,8 @@
 
     bool isQuarantinedAt(std::size_t index) const
     {
-        return m_nodes[index]->table->assess(m_now, CRASHER).suspicion == Suspicion::Quarantined;
+        return m_nodes[index]->table->assess(m_now, CRASHING_REQUEST).suspicion
+            == Suspicion::Quarantined;
     }
     std::size_t countQuarantining() const
     {
@@ -118,7 +119,7 @@
         SuspectMessage message;
     };
 
-    inline static const Fingerprint CRASHER{ "c0ffee" };
+    inline static const Fingerprint CRASHING_REQUEST{ "c0ffee" };
     inline static const ServerKind KIND{ ServiceName("desk"), UpstreamVersion("v1") };
 
     static bool isIdle(const Node &node) { return node.crashAt == TimePoint::max(); }
@@ -134,30 +135,30 @@
         node->random = std::make_unique<SeededRandom>(m_random.next() + index);
         node->table = makeSuspectTable();
         node->gossip = std::make_unique<SuspectGossip>(*node->table, *node->random);
-        node->compareAt = m_now + Duration(m_random.below(COMPARE.count()));
+        node->compareAt = m_now + Duration(m_random.below(COMPARE_INTERVAL.count()));
         return node;
     }
 
-    bool areLinked(std::size_t a, std::size_t b) const
+    bool areConnected(std::size_t a, std::size_t b) const
     {
-        return m_cutOff.count(a) == m_cutOff.count(b);
+        return m_partitioned.count(a) == m_partitioned.count(b);
     }
 
-    void introduce(std::size_t index)
+    void updatePeers(std::size_t index)
     {
         std::vector<DaemonId> peers;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (i != index && areLinked(i, index)) {
+            if (i != index && areConnected(i, index)) {
                 peers.push_back(idOf(i));
             }
         }
         m_nodes[index]->gossip->setPeers(m_now, peers);
     }
 
-    void shareMembers()
+    void updateMembers()
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            introduce(i);
+            updatePeers(i);
         }
     }
 
@@ -165,7 +166,7 @@
     {
         for (int tries = 0; tries < 1000; ++tries) {
             const std::size_t index = m_random.below(m_nodes.size());
-            if (areLinked(entry, index) && m_now >= m_nodes[index]->upAt) {
+            if (areConnected(entry, index) && m_now >= m_nodes[index]->upAt) {
                 return index;
             }
         }
@@ -176,7 +177,7 @@
     std::size_t firstUp(std::size_t entry) const
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (areLinked(entry, i) && m_now >= m_nodes[i]->upAt) {
+            if (areConnected(entry, i) && m_now >= m_nodes[i]->upAt) {
                 return i;
             }
         }
@@ -188,17 +189,17 @@
         for (const OutgoingSuspectMessage &send : sends) {
             const std::size_t to = indexOf(send.to);
             ++m_messages;
-            if (areLinked(from, to) && m_random.unit() >= m_lossShare) {
-                m_onTheWay[m_now + DELAY].push_back(Message{ from, to, send.message });
+            if (areConnected(from, to) && m_random.unit() >= m_lossShare) {
+                m_inFlight[m_now + DELAY].push_back(Message{ from, to, send.message });
             }
         }
     }
 
     void step()
     {
-        while (!m_onTheWay.empty() && m_onTheWay.begin()->first <= m_now) {
-            const std::vector<Message> arrived = std::move(m_onTheWay.begin()->second);
-            m_onTheWay.erase(m_onTheWay.begin());
+        while (!m_inFlight.empty() && m_inFlight.begin()->first <= m_now) {
+            const std::vector<Message> arrived = std::move(m_inFlight.begin()->second);
+            m_inFlight.erase(m_inFlight.begin());
             for (const Message &message : arrived) {
                 deliver(message);
             }
@@ -223,15 +224,15 @@
             node.crashAt = TimePoint::max();
             node.upAt = m_now + DOWN_TIME;
             const UpstreamId run("run-" + std::to_string(++m_crashes));
-            node.table->addCrash(m_now, CRASHER,
+            node.table->addCrash(m_now, CRASHING_REQUEST,
                                  Crash{ run, KIND, m_now, node.wasIsolated, false });
-            node.gossip->addLocalUpdate(CRASHER);
+            node.gossip->addLocalUpdate(CRASHING_REQUEST);
         }
         if (node.gossip->hasUpdates()) {
             post(index, node.gossip->flush());
         }
         if (m_now >= node.compareAt && node.gossip->needsComparison(m_now)) {
-            node.compareAt = m_now + COMPARE;
+            node.compareAt = m_now + COMPARE_INTERVAL;
             post(index, node.gossip->compare());
         }
     }
@@ -240,8 +241,8 @@
     double m_lossShare;
     TimePoint m_now{ std::chrono::seconds(100) };
     std::vector<std::unique_ptr<Node>> m_nodes;
-    std::set<std::size_t> m_cutOff;
-    std::map<TimePoint, std::vector<Message>> m_onTheWay;
+    std::set<std::size_t> m_partitioned;
+    std::map<TimePoint, std::vector<Message>> m_inFlight;
     std::size_t m_crashes = 0;
     std::size_t m_sends = 0;
     std::size_t m_messages = 0;
--- a/src/coordination/quarantine/tests/suspectgossiptest.cpp
+++ b/src/coordination/quarantine/tests/suspectgossiptest.cpp
@@ -11,34 +11,34 @@
 /// Of the aim.
 constexpr std::size_t LARGE = 790;
 constexpr std::uint64_t SEEDS = 50;
-constexpr double MANY_LOST = 0.2;
+constexpr double HIGH_LOSS_SHARE = 0.2;
 constexpr Duration INTERVAL = 150ms;
 /// In this time all daemons in touch must know.
-constexpr Duration CONTACT = 3s;
-constexpr Duration COMPARE_TWICE = 1s;
+constexpr Duration MAX_SPREAD_TIME = 3s;
+constexpr Duration TWO_COMPARISONS = 1s;
 constexpr std::size_t CRASHES = 3;
-/// Sends to servers that the users bear later than `CONTACT` after the third crash.
-constexpr std::size_t LATE_SENDS = 3;
+/// Sends to servers that the users bear later than `MAX_SPREAD_TIME` after the third crash.
+constexpr std::size_t MAX_LATE_SENDS = 3;
 
 /// Sends the crashing request at `INTERVAL` to daemons in turn.
 void keepSending(SuspectFleet &fleet, std::size_t entries, Duration time)
 {
     for (std::size_t entry = 0; time > Duration::zero(); time -= INTERVAL) {
-        fleet.sendCrasher(entry++ % entries);
+        fleet.sendCrashingRequest(entry++ % entries);
         fleet.advance(INTERVAL);
     }
 }
 
 /// Sends it until the third server has crashed under it, and for some time more. Returns what
-/// reaches servers later than `CONTACT` after that crash.
-std::size_t crashThree(SuspectFleet &fleet, std::size_t entries)
+/// reaches servers later than `MAX_SPREAD_TIME` after that crash.
+std::size_t crashThreeServers(SuspectFleet &fleet, std::size_t entries)
 {
     for (int i = 0; i < 100 && fleet.crashes() < CRASHES; ++i) {
         keepSending(fleet, entries, INTERVAL);
     }
-    keepSending(fleet, entries, CONTACT);
+    keepSending(fleet, entries, MAX_SPREAD_TIME);
     const std::size_t before = fleet.sends();
-    keepSending(fleet, entries, 2 * CONTACT);
+    keepSending(fleet, entries, 2 * MAX_SPREAD_TIME);
     return fleet.sends() - before;
 }
 
@@ -50,20 +50,20 @@
 TEST(SuspectGossip, ThreeCrashesEndIt)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
-        SuspectFleet fleet(SMALL, seed, MANY_LOST);
-        CHECK_COMPARE(crashThree(fleet, SMALL), <=, LATE_SENDS);
+        SuspectFleet fleet(SMALL, seed, HIGH_LOSS_SHARE);
+        CHECK_COMPARE(crashThreeServers(fleet, SMALL), <=, MAX_LATE_SENDS);
         LONGS_EQUAL(SMALL, fleet.countQuarantining());
-        CHECK_COMPARE(fleet.crashes(), <=, CRASHES + LATE_SENDS);
+        CHECK_COMPARE(fleet.crashes(), <=, CRASHES + MAX_LATE_SENDS);
     }
 }
 
 TEST(SuspectGossip, ThreeCrashesEndItAtSize)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        SuspectFleet fleet(LARGE, seed, MANY_LOST);
-        CHECK_COMPARE(crashThree(fleet, LARGE), <=, LATE_SENDS);
+        SuspectFleet fleet(LARGE, seed, HIGH_LOSS_SHARE);
+        CHECK_COMPARE(crashThreeServers(fleet, LARGE), <=, MAX_LATE_SENDS);
         LONGS_EQUAL(LARGE, fleet.countQuarantining());
-        CHECK_COMPARE(fleet.crashes(), <=, CRASHES + LATE_SENDS);
+        CHECK_COMPARE(fleet.crashes(), <=, CRASHES + MAX_LATE_SENDS);
     }
 }
 
@@ -71,12 +71,12 @@
 TEST(SuspectGossip, WhoWasCutOffLearnsItWhenItIsBack)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
-        SuspectFleet fleet(SMALL, seed, MANY_LOST);
-        fleet.cutOff({ 7, 8, 9 });
-        crashThree(fleet, 7);
+        SuspectFleet fleet(SMALL, seed, HIGH_LOSS_SHARE);
+        fleet.partition({ 7, 8, 9 });
+        crashThreeServers(fleet, 7);
         LONGS_EQUAL(7, fleet.countQuarantining());
-        fleet.cutOff({});
-        fleet.advance(CONTACT);
+        fleet.partition({});
+        fleet.advance(MAX_SPREAD_TIME);
         LONGS_EQUAL(SMALL, fleet.countQuarantining());
     }
 }
@@ -86,21 +86,21 @@
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
         SuspectFleet fleet(SMALL, seed, 0);
-        crashThree(fleet, SMALL);
+        crashThreeServers(fleet, SMALL);
         fleet.restart(4);
-        fleet.advance(COMPARE_TWICE);
+        fleet.advance(TWO_COMPARISONS);
         CHECK(fleet.isQuarantinedAt(4));
     }
 }
 
 TEST(SuspectGossip, WhoStartsLateAtSizeLearnsItInTime)
 {
-    SuspectFleet fleet(LARGE, 7, MANY_LOST);
-    crashThree(fleet, LARGE);
+    SuspectFleet fleet(LARGE, 7, HIGH_LOSS_SHARE);
+    crashThreeServers(fleet, LARGE);
     for (std::size_t i = 0; i < 30; ++i) {
         fleet.restart(i * 20);
     }
-    fleet.advance(CONTACT);
+    fleet.advance(MAX_SPREAD_TIME);
     LONGS_EQUAL(LARGE, fleet.countQuarantining());
 }
 
@@ -108,13 +108,13 @@
 TEST(SuspectGossip, NothingIsSentWhileNothingIsSuspected)
 {
     SuspectFleet fleet(SMALL, 1, 0);
-    fleet.advance(CONTACT);
+    fleet.advance(MAX_SPREAD_TIME);
     const std::size_t atStart = fleet.messages();
     fleet.advance(10s);
     LONGS_EQUAL(atStart, fleet.messages());
-    crashThree(fleet, SMALL);
+    crashThreeServers(fleet, SMALL);
     const std::size_t before = fleet.messages();
     fleet.advance(10s);
-    const std::size_t rounds = 10s / SuspectFleet::COMPARE + 1;
+    const std::size_t rounds = 10s / SuspectFleet::COMPARE_INTERVAL + 1;
     CHECK_COMPARE(fleet.messages() - before, <=, SMALL * rounds);
 }
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -26,11 +26,11 @@
         return m_table->addCrash(m_now, fingerprint,
                                  Crash{ UpstreamId(run), kind, m_now, true, isTrial });
     }
-    Suspicion at(const ServerKind &kind, const Fingerprint &fingerprint = REQUEST)
+    Suspicion suspicionAt(const ServerKind &kind, const Fingerprint &fingerprint = REQUEST)
     {
         return m_table->assess(m_now, fingerprint, kind).suspicion;
     }
-    Suspicion anywhere(const Fingerprint &fingerprint = REQUEST)
+    Suspicion suspicionAnywhere(const Fingerprint &fingerprint = REQUEST)
     {
         return m_table->assess(m_now, fingerprint).suspicion;
     }
@@ -44,16 +44,16 @@
 
 TEST(SuspectTable, ThreeRunsOfServersThatEndedMakeAQuarantine)
 {
-    CHECK(at(KIND) == Suspicion::None);
+    CHECK(suspicionAt(KIND) == Suspicion::None);
     crash(REQUEST, "i-1");
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
     crash(REQUEST, "i-2");
-    CHECK(at(KIND) == Suspicion::Held);
+    CHECK(suspicionAt(KIND) == Suspicion::Held);
     m_now += 3s;
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
     crash(REQUEST, "i-3");
-    CHECK(at(KIND) == Suspicion::Quarantined);
-    CHECK(anywhere() == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAnywhere() == Suspicion::Quarantined);
     CHECK(m_table->assess(m_now, REQUEST).retryAfter == Duration::zero());
 }
 
@@ -79,8 +79,8 @@
     crash(REQUEST, "i-2");
     crash(REQUEST, "i-3");
     crash(REQUEST, "i-4");
-    CHECK(at(KIND) == Suspicion::None);
-    CHECK(anywhere() == Suspicion::None);
+    CHECK(suspicionAt(KIND) == Suspicion::None);
+    CHECK(suspicionAnywhere() == Suspicion::None);
 }
 
 // Guards against a request in demand that is held responsible when all servers end at once.
@@ -89,11 +89,11 @@
     for (const char *run : { "i-1", "i-2", "i-3", "i-4" }) {
         m_table->addCrash(m_now, REQUEST, Crash{ UpstreamId(run), KIND, m_now, false, false });
     }
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
     crash(REQUEST, "i-5");
-    CHECK(at(KIND) == Suspicion::Held);
+    CHECK(suspicionAt(KIND) == Suspicion::Held);
     crash(REQUEST, "i-6");
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
 TEST(SuspectTable, CompletionsOfOthersAreNotKept)
@@ -110,11 +110,11 @@
     CHECK_FALSE(m_table->addUntried(REQUEST, OTHER_SERVICE));
     m_now += 3s;
     CHECK(m_table->assess(m_now, REQUEST, NEXT_KIND).isTrial);
-    CHECK(anywhere() == Suspicion::Suspect);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAnywhere() == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
     crash(REQUEST, "i-4", NEXT_KIND, true);
-    CHECK(at(NEXT_KIND) == Suspicion::Quarantined);
-    CHECK(anywhere() == Suspicion::Quarantined);
+    CHECK(suspicionAt(NEXT_KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAnywhere() == Suspicion::Quarantined);
 }
 
 TEST(SuspectTable, AMendedServiceEndsTheQuarantine)
@@ -122,9 +122,9 @@
     quarantine();
     m_table->addUntried(REQUEST, NEXT_KIND);
     m_table->addCompletion(REQUEST, NEXT_KIND);
-    CHECK(at(NEXT_KIND) == Suspicion::None);
-    CHECK(anywhere() == Suspicion::None);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(NEXT_KIND) == Suspicion::None);
+    CHECK(suspicionAnywhere() == Suspicion::None);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
 // Guards against tries that together crash more servers than the quarantine was to save.
@@ -138,19 +138,19 @@
         crash(REQUEST, "i-v" + std::to_string(version), kind, true);
     }
     m_now += 1h;
-    CHECK(at(ServerKind{ KIND.service, UpstreamVersion("v9") }) == Suspicion::Quarantined);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(ServerKind{ KIND.service, UpstreamVersion("v9") }) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
 TEST(SuspectTable, AfterALongTimeItIsTriedAgain)
 {
     quarantine();
     m_now += 9min;
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
     m_now += 1min;
     CHECK(m_table->assess(m_now, REQUEST, KIND).isTrial);
     crash(REQUEST, "i-4", KIND, true);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
 TEST(SuspectTable, AnOperatorLiftsAQuarantineEverywhere)
@@ -159,13 +159,13 @@
     const auto other = makeSuspectTable();
     other->merge(m_now, *m_table->find(REQUEST));
     CHECK(m_table->lift(m_now, REQUEST));
-    CHECK(at(KIND) == Suspicion::None);
+    CHECK(suspicionAt(KIND) == Suspicion::None);
     // What another daemon still holds against it does not come back.
     CHECK_FALSE(m_table->merge(m_now, *other->find(REQUEST)));
     CHECK(other->merge(m_now, *m_table->find(REQUEST)));
     CHECK(other->assess(m_now, REQUEST, KIND).suspicion == Suspicion::None);
     crash(REQUEST, "i-9");
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
 }
 
 TEST(SuspectTable, SuspectsAreForgotten)
@@ -193,9 +193,9 @@
         m_now += 1ms;
         crash(Fingerprint("flood-" + std::to_string(i)), "i-" + std::to_string(i));
     }
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
     LONGS_EQUAL(SuspectTableOptions().maxRecords, m_table->records().size());
-    CHECK(at(KIND, Fingerprint("flood-4999")) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND, Fingerprint("flood-4999")) == Suspicion::Suspect);
 }
 
 // Guards against daemons that never agree on a record because each has dropped other crashes.
