--- a/src/coordination/accounts/tests/accountlimitstest.cpp
+++ b/src/coordination/accounts/tests/accountlimitstest.cpp
@@ -66,7 +66,7 @@
 
 // Guards against requests within a limit that are refused because their unit lies at another
 // daemon.
-TEST(AccountLimits, WhatIsWithinTheLimitIsLetInOnCalmDaysAndInBursts)
+TEST(AccountLimits, RequestsWithinTheLimitAreAdmittedUnderSteadyAndBurstLoad)
 {
     AccountFleet fleet({}, 1);
     addAccounts(fleet);
@@ -80,7 +80,7 @@
 }
 
 // The other way that was built, under the same load.
-TEST(AccountLimits, EqualPartsRefuseMuchOfWhatIsWithinTheLimit)
+TEST(AccountLimits, EqualSharesRefuseRequestsWithinTheLimit)
 {
     AccountFleet::Parameters parameters;
     parameters.options.hasHomes = false;
@@ -92,7 +92,7 @@
 }
 
 // Guards against an account that pushes others aside by its own load.
-TEST(AccountLimits, OneAccountFarOverItsLimitTakesNothingFromOthers)
+TEST(AccountLimits, AccountFarOverItsLimitDoesNotAffectOthers)
 {
     AccountFleet fleet({}, 2);
     addAccounts(fleet);
@@ -105,7 +105,7 @@
 }
 
 // Guards against a limit that is spent once on each side of a cut.
-TEST(AccountLimits, ACutDomainKeepsItsPartAndNoMore)
+TEST(AccountLimits, PartitionedDomainStaysWithinItsShare)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         AccountFleet fleet({}, seed);
@@ -122,7 +122,7 @@
 }
 
 // Guards against a daemon that is the home of many accounts and takes their limits with it.
-TEST(AccountLimits, AHomeThatIsKilledIsReplaced)
+TEST(AccountLimits, KilledHomesAreReplaced)
 {
     AccountFleet fleet({}, 3);
     addAccounts(fleet);
@@ -141,7 +141,7 @@
 
 // Guards against limits that each daemon spends for itself after all lost power, and against
 // accounts that get nothing then.
-TEST(AccountLimits, AfterAllLostPowerLimitsHoldAndAreUsed)
+TEST(AccountLimits, LimitsHoldAndAreUsedAfterAllDaemonsRestart)
 {
     AccountFleet fleet({}, 4);
     addAccounts(fleet);
@@ -160,7 +160,7 @@
 }
 
 // Guards against a limit that was lowered and goes on as before, or was raised in vain.
-TEST(AccountLimits, ALimitThatChangesBindsAndGives)
+TEST(AccountLimits, ChangedLimitTakesEffect)
 {
     AccountFleet fleet({}, 5);
     fleet.addAccount(makeAccount("account", 200, DAEMONS));
@@ -176,7 +176,7 @@
 }
 
 // Guards against a request that no server ran and that is counted all the same.
-TEST(AccountLimits, AUnitThatIsGivenBackServesAnotherRequest)
+TEST(AccountLimits, RefundedTokenServesAnotherRequest)
 {
     SeededRandom random(1);
     const auto limits = makeAccountLimits(TimePoint(100s), random);
--- a/src/coordination/accounts/tests/accountschedulestest.cpp
+++ b/src/coordination/accounts/tests/accountschedulestest.cpp
@@ -147,7 +147,7 @@
 TEST_GROUP(AccountSchedules){};
 
 // Guards against limits that are exceeded while daemons are cut off, paused, killed or started.
-TEST(AccountSchedules, TheBoundHolds)
+TEST(AccountSchedules, BoundHoldsUnderRandomFaults)
 {
     LONGS_EQUAL(0, countViolations({}, 1, SEEDS));
 }
--- a/src/coordination/quarantine/tests/isolationtest.cpp
+++ b/src/coordination/quarantine/tests/isolationtest.cpp
@@ -11,7 +11,7 @@
     const Fingerprint m_b{ "b" };
 };
 
-TEST(Isolation, OneAtATimeInOrder)
+TEST(Isolation, RunsOneCallAtATimeInOrder)
 {
     m_isolation.begin(CallId(1));
     CHECK_FALSE(m_isolation.isFree());
@@ -24,7 +24,7 @@
     CHECK_FALSE(m_isolation.takeNext().has_value());
 }
 
-TEST(Isolation, WhoLeavesWhileWaitingIsNotTaken)
+TEST(Isolation, QueuedCallThatLeavesIsNotDequeued)
 {
     m_isolation.begin(CallId(1));
     m_isolation.wait(CallId(2), m_a);
@@ -34,7 +34,7 @@
     CHECK_FALSE(m_isolation.takeNext().has_value());
 }
 
-TEST(Isolation, AllOfOneFingerprintAreTakenTogether)
+TEST(Isolation, DequeuesAllCallsOfOneFingerprint)
 {
     m_isolation.begin(CallId(1));
     m_isolation.wait(CallId(2), m_a);
@@ -45,7 +45,7 @@
     CHECK_FALSE(m_isolation.isFree());
 }
 
-TEST(Isolation, TheQueueIsBounded)
+TEST(Isolation, QueueIsBounded)
 {
     m_isolation.begin(CallId(1));
     for (std::uint64_t i = 0; i < Isolation::MAX_WAITING_CALLS; ++i) {
--- a/src/coordination/quarantine/tests/suspectgossiptest.cpp
+++ b/src/coordination/quarantine/tests/suspectgossiptest.cpp
@@ -47,7 +47,7 @@
 TEST_GROUP(SuspectGossip){};
 
 // Guards against daemons that still send a request on, seconds after it has crashed three servers.
-TEST(SuspectGossip, ThreeCrashesEndIt)
+TEST(SuspectGossip, ThreeCrashesQuarantineEverywhere)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
         SuspectFleet fleet(SMALL, seed, HIGH_LOSS_SHARE);
@@ -57,7 +57,7 @@
     }
 }
 
-TEST(SuspectGossip, ThreeCrashesEndItAtSize)
+TEST(SuspectGossip, ThreeCrashesQuarantineEverywhereInLargeDeployment)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         SuspectFleet fleet(LARGE, seed, HIGH_LOSS_SHARE);
@@ -68,7 +68,7 @@
 }
 
 // Guards against a domain that sends on what it could not hear of while it was cut off.
-TEST(SuspectGossip, WhoWasCutOffLearnsItWhenItIsBack)
+TEST(SuspectGossip, PartitionedDaemonsCatchUpWhenReconnected)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
         SuspectFleet fleet(SMALL, seed, HIGH_LOSS_SHARE);
@@ -82,7 +82,7 @@
 }
 
 // Guards against a daemon that starts, knows nothing, and sends the request on.
-TEST(SuspectGossip, WhoStartsLateLearnsItWithItsFirstExchange)
+TEST(SuspectGossip, RestartedDaemonCatchesUpAtFirstComparison)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
         SuspectFleet fleet(SMALL, seed, 0);
@@ -93,7 +93,7 @@
     }
 }
 
-TEST(SuspectGossip, WhoStartsLateAtSizeLearnsItInTime)
+TEST(SuspectGossip, RestartedDaemonsCatchUpInLargeDeployment)
 {
     SuspectFleet fleet(LARGE, 7, HIGH_LOSS_SHARE);
     crashThreeServers(fleet, LARGE);
@@ -105,7 +105,7 @@
 }
 
 // Guards against an exchange that costs all the time what is needed at crashes only.
-TEST(SuspectGossip, NothingIsSentWhileNothingIsSuspected)
+TEST(SuspectGossip, NoMessagesWhileTableIsEmpty)
 {
     SuspectFleet fleet(SMALL, 1, 0);
     fleet.advance(MAX_SPREAD_TIME);
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -42,7 +42,7 @@
     }
 };
 
-TEST(SuspectTable, ThreeRunsOfServersThatEndedMakeAQuarantine)
+TEST(SuspectTable, ThreeCrashesQuarantine)
 {
     CHECK(suspicionAt(KIND) == Suspicion::None);
     crash(REQUEST, "i-1");
@@ -58,7 +58,7 @@
 }
 
 // Guards against one crash that counts as several because several daemons tell of it.
-TEST(SuspectTable, WhatIsToldTwiceCountsOnce)
+TEST(SuspectTable, CrashReportedTwiceCountsOnce)
 {
     CHECK(crash(REQUEST, "i-1"));
     CHECK_FALSE(crash(REQUEST, "i-1"));
@@ -72,7 +72,7 @@
 }
 
 // Guards against a request in demand that is held responsible as it is under way at every crash.
-TEST(SuspectTable, ACompletedRequestIsNotTheCause)
+TEST(SuspectTable, CompletedRequestIsCleared)
 {
     crash(REQUEST, "i-1");
     CHECK(m_table->addCompletion(REQUEST, KIND));
@@ -84,7 +84,7 @@
 }
 
 // Guards against a request in demand that is held responsible when all servers end at once.
-TEST(SuspectTable, ServersThatEndTogetherCountOnce)
+TEST(SuspectTable, SimultaneousCrashesCountOnce)
 {
     for (const char *run : { "i-1", "i-2", "i-3", "i-4" }) {
         m_table->addCrash(m_now, REQUEST, Crash{ UpstreamId(run), KIND, m_now, false, false });
@@ -96,14 +96,14 @@
     CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, CompletionsOfOthersAreNotKept)
+TEST(SuspectTable, CompletionsWithoutRecordAreIgnored)
 {
     CHECK_FALSE(m_table->addCompletion(REQUEST, KIND));
     CHECK(m_table->isEmpty());
 }
 
 // Guards against a request that is quarantined for ever though its service was mended.
-TEST(SuspectTable, ServersOfAnotherKindGetOneTryEach)
+TEST(SuspectTable, OtherKindOfServerGetsOneTrial)
 {
     quarantine();
     CHECK(m_table->addUntried(REQUEST, NEXT_KIND));
@@ -117,7 +117,7 @@
     CHECK(suspicionAnywhere() == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, AMendedServiceEndsTheQuarantine)
+TEST(SuspectTable, CompletionAtNewVersionEndsTheQuarantine)
 {
     quarantine();
     m_table->addUntried(REQUEST, NEXT_KIND);
@@ -128,7 +128,7 @@
 }
 
 // Guards against tries that together crash more servers than the quarantine was to save.
-TEST(SuspectTable, TriesAreBounded)
+TEST(SuspectTable, TrialsAreBounded)
 {
     quarantine();
     for (int version = 2; version < 5; ++version) {
@@ -142,7 +142,7 @@
     CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, AfterALongTimeItIsTriedAgain)
+TEST(SuspectTable, QuarantinedRequestGetsTrialAfterInterval)
 {
     quarantine();
     m_now += 9min;
@@ -153,7 +153,7 @@
     CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, AnOperatorLiftsAQuarantineEverywhere)
+TEST(SuspectTable, LiftedQuarantineDoesNotReturnByMerge)
 {
     quarantine();
     const auto other = makeSuspectTable();
@@ -168,7 +168,7 @@
     CHECK(suspicionAt(KIND) == Suspicion::Suspect);
 }
 
-TEST(SuspectTable, SuspectsAreForgotten)
+TEST(SuspectTable, RecordsExpire)
 {
     crash(REQUEST, "i-1");
     crash(OTHER, "i-1");
@@ -186,7 +186,7 @@
 }
 
 // Guards against callers who free a request from quarantine with a flood of suspects.
-TEST(SuspectTable, AFloodOfSuspectsFreesNoneFromQuarantine)
+TEST(SuspectTable, FloodOfSuspectsDoesNotEvictQuarantined)
 {
     quarantine();
     for (int i = 0; i < 5000; ++i) {
@@ -199,7 +199,7 @@
 }
 
 // Guards against daemons that never agree on a record because each has dropped other crashes.
-TEST(SuspectTable, ManyCrashesAreCutTheSameEverywhere)
+TEST(SuspectTable, CrashLimitDropsTheSameCrashesEverywhere)
 {
     const auto other = makeSuspectTable();
     for (int i = 0; i < 40; ++i) {
