--- a/src/app/internal/quarantine/quarantineservice.h
+++ b/src/app/internal/quarantine/quarantineservice.h
@@ -21,7 +21,7 @@
 {
     SuspectRecord record;
     Assessment assessment;
-    /// Time since the first crash in the record, and since its last change.
+    /// Time since the first crash in the record, and since the last one.
     Duration firstAge{ 0 };
     Duration lastAge{ 0 };
 };
--- a/src/coordination/accounts/tests/accountlimitstest.cpp
+++ b/src/coordination/accounts/tests/accountlimitstest.cpp
@@ -11,11 +11,11 @@
 
 constexpr std::size_t DAEMONS = 76;
 constexpr std::size_t ACCOUNTS = 80;
-/// Over all accounts.
+/// Total demand of all accounts.
 constexpr double REQUESTS_PER_S = 1500;
-/// Limits over the usual demand.
+/// Ratio of the limits to the usual demand.
 constexpr double HEADROOM = 1.6;
-/// What is asked for, the goals for what is let in of it.
+/// Goals for the admitted share of the requests that an exact token bucket would admit.
 constexpr double MIN_SHARE_UNDISTURBED = 0.98;
 constexpr double MIN_SHARE_AFTER_FAULT = 0.95;
 
@@ -32,7 +32,7 @@
     return account;
 }
 
-/// A few accounts are large and most are small; callers of each are at all daemons.
+/// A few accounts are large and most are small; each has callers at all daemons.
 void addAccounts(AccountFleet &fleet)
 {
     double all = 0;
@@ -64,7 +64,7 @@
 
 TEST_GROUP(AccountLimits){};
 
-// Guards against requests within a limit that are refused because their unit lies at another
+// Guards against requests within a limit that are refused because the token is cached at another
 // daemon.
 TEST(AccountLimits, RequestsWithinTheLimitAreAdmittedUnderSteadyAndBurstLoad)
 {
@@ -79,7 +79,7 @@
     CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// The other way that was built, under the same load.
+// The alternative without homes, under the same load, for comparison.
 TEST(AccountLimits, EqualSharesRefuseRequestsWithinTheLimit)
 {
     AccountFleet::Parameters parameters;
@@ -91,7 +91,7 @@
     CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against an account that pushes others aside by its own load.
+// Guards against an overloaded account that displaces requests of others.
 TEST(AccountLimits, AccountFarOverItsLimitDoesNotAffectOthers)
 {
     AccountFleet fleet({}, 2);
@@ -104,7 +104,7 @@
     CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against a limit that is spent once on each side of a cut.
+// Guards against a limit that is used in full on each side of a network partition.
 TEST(AccountLimits, PartitionedDomainStaysWithinItsShare)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -121,7 +121,7 @@
     }
 }
 
-// Guards against a daemon that is the home of many accounts and takes their limits with it.
+// Guards against accounts that cannot be used once the daemon that is their home is killed.
 TEST(AccountLimits, KilledHomesAreReplaced)
 {
     AccountFleet fleet({}, 3);
@@ -139,8 +139,8 @@
     CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against limits that each daemon spends for itself after all lost power, and against
-// accounts that get nothing then.
+// Guards against limits that each daemon uses in full after a restart of all of them, and against
+// accounts without any tokens then.
 TEST(AccountLimits, LimitsHoldAndAreUsedAfterAllDaemonsRestart)
 {
     AccountFleet fleet({}, 4);
@@ -159,7 +159,7 @@
     CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against a limit that was lowered and goes on as before, or was raised in vain.
+// Guards against lowered or raised limits that do not take effect.
 TEST(AccountLimits, ChangedLimitTakesEffect)
 {
     AccountFleet fleet({}, 5);
@@ -175,7 +175,7 @@
     CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_UNDISTURBED);
 }
 
-// Guards against a request that no server ran and that is counted all the same.
+// Guards against requests that count against the limit though no server ran them.
 TEST(AccountLimits, RefundedTokenServesAnotherRequest)
 {
     SeededRandom random(1);
--- a/src/coordination/accounts/tests/accountschedulestest.cpp
+++ b/src/coordination/accounts/tests/accountschedulestest.cpp
@@ -10,8 +10,8 @@
 constexpr std::uint64_t SEEDS = 40;
 constexpr std::size_t ACCOUNTS = 3;
 
-/// A series of overlapping faults, drawn from the seed, while accounts ask for up to eight times
-/// their usual.
+/// A random series of overlapping faults, determined by the seed, while the demand of accounts
+/// rises to up to eight times its usual value.
 class Schedule
 {
 public:
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The most that any account had over its bound.
+    /// Returns the largest excess of any account over its bound; negative if there was none.
     double run()
     {
         m_fleet.advance(Duration(static_cast<Duration::rep>(m_random.below(9'000'000))));
@@ -146,7 +146,7 @@
 
 TEST_GROUP(AccountSchedules){};
 
-// Guards against limits that are exceeded while daemons are cut off, paused, killed or started.
+// Guards against limits that are exceeded while daemons are partitioned, paused, killed or started.
 TEST(AccountSchedules, BoundHoldsUnderRandomFaults)
 {
     LONGS_EQUAL(0, countViolations({}, 1, SEEDS));
--- a/src/coordination/accounts/tests/mocks/accountfleet.h
+++ b/src/coordination/accounts/tests/mocks/accountfleet.h
@@ -14,10 +14,10 @@
 
 namespace ivyspar {
 
-/// Limits of client accounts as many daemons count them under a fake clock, which exchange messages
-/// with a delay, losses and cuts. Members are noticed as gone or back after some time, at each
-/// daemon at another moment. What is let in is held against an exact bucket and against the bound
-/// on what may be let in.
+/// Simulates the account limits of many daemons under a fake clock, with message delay, message
+/// loss and network partitions. Each daemon detects departed and returned members after a random
+/// delay of its own. Admitted requests are compared with an exact token bucket and with the upper
+/// bound.
 class AccountFleet
 {
 public:
@@ -30,35 +30,36 @@
         AccountLimitOptions options;
         double lossShare = 0;
         Duration delay = std::chrono::milliseconds(1);
-        /// From a change of who is there until a daemon notices: at least and at most.
+        /// Bounds of the delay until a daemon detects a change of members.
         Duration minDetectionTime = std::chrono::milliseconds(800);
         Duration maxDetectionTime = std::chrono::milliseconds(1800);
-        /// The bound: within any window, this much more than rate and burst allow.
+        /// The bound: within any window, rate and burst may be exceeded by the overage (a fraction)
+        /// plus the slack (requests).
         Duration window = std::chrono::seconds(5);
         double overage = 0.1;
         double slack = 20;
     };
 
-    /// One client account and how its callers ask.
+    /// A client account and the load of its callers.
     struct Account
     {
         AccountName name;
         AccountLimit limit;
-        /// Requests a second over all callers, and where these are.
+        /// Requests per second of all callers, and the daemons of these.
         double demand = 0;
         std::vector<std::size_t> callers;
 
-        /// What came of it.
+        /// Requests sent, those that an exact token bucket would admit, and those admitted.
         std::uint64_t asked = 0;
         std::uint64_t expected = 0;
         std::uint64_t admitted = 0;
-        /// Of the largest limit within the window, the most that any window had over the bound;
-        /// negative if all were below.
+        /// Largest excess over the bound in any window, by the largest limit within the window;
+        /// negative if all windows were below it.
         double maxOverBound = -1e9;
         double exactTokens = 0;
         TimePoint exactAt;
         std::deque<TimePoint> recent;
-        /// The limit that the bound goes by: a lower one binds one window after the change.
+        /// The limit that the bound is based on: a lower one applies one window after the change.
         double boundRate = 0;
         double boundBurst = 0;
         TimePoint boundUntil;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// In force at each daemon within `within`.
+    /// Takes effect at each daemon after a random time of at most `within`.
     void setLimit(std::size_t index, AccountLimit limit, Duration within)
     {
         Account &account = m_accounts[index];
@@ -112,7 +113,8 @@
     }
     void setDemand(std::size_t index, double demand) { m_accounts[index].demand = demand; }
 
-    /// All messages between these daemons and the others are lost from now on.
+    /// From now on, all messages between these daemons and the others are lost. Replaces the
+    /// previous partition; none if empty.
     void partition(std::set<std::size_t> daemons)
     {
         m_partitioned = std::move(daemons);
@@ -133,17 +135,17 @@
         m_nodes[index]->isUp = false;
         updateMembers();
     }
-    /// The daemon's process starts anew and knows nothing but how many there are.
+    /// Restarts the daemon without its state; it knows only the size of the directory.
     void restart(std::size_t index)
     {
         start(index);
         m_nodes[index]->limits->setDirectorySize(m_nodes.size());
         updateMembers();
-        // It finds the others sooner than they notice that it was gone.
+        // It discovers the others before they detect that it was gone.
         m_nodes[index]->memberUpdateAt =
             m_now + randomDuration(std::chrono::milliseconds(50), std::chrono::milliseconds(400));
     }
-    /// It neither works nor notices that time passes; what is sent to it waits.
+    /// Stops the daemon and its clock; messages to it are delayed.
     void pause(std::size_t index) { m_nodes[index]->pausedAt = m_now; }
     void resume(std::size_t index)
     {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Begins to count anew what comes of the requests, but not the windows.
+    /// Resets the request counts, but not the windows.
     void resetCounts()
     {
         for (Account &account : m_accounts) {
@@ -174,7 +176,7 @@
     TimePoint now() const { return m_now; }
     std::size_t size() const { return m_nodes.size(); }
 
-    /// Of what an exact bucket would have let in, the share that was let in, at most all of it.
+    /// Admitted share of the requests that an exact token bucket would have admitted, at most 1.
     double admittedShare() const
     {
         double expected = 0;
@@ -185,7 +187,7 @@
         }
         return expected > 0 ? admitted / expected : 1;
     }
-    /// The most that any account had over its bound in any window.
+    /// Largest excess of any account over its bound in any window; negative if there was none.
     double maxOverBound() const
     {
         double most = -1e9;
@@ -210,7 +212,7 @@
         bool isUp = true;
         TimePoint memberUpdateAt = TimePoint::max();
         std::optional<TimePoint> pausedAt;
-        /// Time that its clock has not counted.
+        /// Total time for which its clock was stopped.
         Duration clockLag{ 0 };
     };
     struct Message
--- a/src/coordination/quarantine/isuspecttable.h
+++ b/src/coordination/quarantine/isuspecttable.h
@@ -21,8 +21,8 @@
     /// there are no more.
     std::size_t maxTrials = 3;
 
-    /// Retention of a record after its last crash: of a request that has completed since at every
-    /// kind of server that crashed, …
+    /// Retention of a record after its last crash: of a request that has completed at every kind of
+    /// server that it may have crashed, …
     Duration clearedRetention = std::chrono::seconds(60);
     /// … of one that has not, …
     Duration suspectRetention = std::chrono::minutes(5);
--- a/src/coordination/quarantine/suspect.h
+++ b/src/coordination/quarantine/suspect.h
@@ -28,7 +28,7 @@
 /// Crash of a server while a request with the record's fingerprint was in progress there.
 struct Crash
 {
-    /// The run of the server's process; unique over all servers and all time.
+    /// Identifies the run of the server; unique over all servers and all time.
     UpstreamId run;
     ServerKind kind;
     TimePoint at;
--- a/src/coordination/quarantine/suspectgossip.h
+++ b/src/coordination/quarantine/suspectgossip.h
@@ -20,7 +20,7 @@
     /// After many peers have joined, as after a start or a partition, digests are compared for this
     /// time even while the table is empty.
     Duration syncPeriod = std::chrono::seconds(3);
-    /// Many: at least one of this many peers.
+    /// Many: at least one in this many peers.
     std::size_t massJoinDivisor = 8;
     /// Records per message, so that it fits into a datagram.
     std::size_t maxRecordsPerUpdate = 8;
--- a/src/coordination/quarantine/tests/mocks/suspectfleet.h
+++ b/src/coordination/quarantine/tests/mocks/suspectfleet.h
@@ -14,9 +14,9 @@
 
 namespace ivyspar {
 
-/// Tables of suspects of many daemons under a fake clock, which exchange messages with a delay,
-/// losses and cuts. Beside each daemon is a server that crashes under one request and is back
-/// later.
+/// Simulates the suspect tables of many daemons under a fake clock, with message delay, message
+/// loss and network partitions. Each daemon has a server, which crashes when it runs a certain
+/// request and restarts some time later.
 class SuspectFleet
 {
 public:
@@ -36,14 +36,15 @@
         updateMembers();
     }
 
-    /// All messages between these daemons and the others are lost from now on.
+    /// From now on, all messages between these daemons and the others are lost. Replaces the
+    /// previous partition; none if empty.
     void partition(std::set<std::size_t> daemons)
     {
         m_partitioned = std::move(daemons);
         updateMembers();
     }
 
-    /// The daemon's process starts anew and knows nothing.
+    /// Restarts the daemon without its state.
     void restart(std::size_t index)
     {
         m_nodes[index] = makeNode(index);
@@ -58,8 +59,8 @@
         }
     }
 
-    /// The crashing request arrives at the daemon, which sends it to some server it knows, unless
-    /// it knows better. True if a server began to run it.
+    /// The crashing request arrives at the daemon, which sends it to a server unless its table
+    /// forbids this. True if a server began to run it.
     bool sendCrashingRequest(std::size_t entry)
     {
         Node &from = *m_nodes[entry];
@@ -108,7 +109,7 @@
         std::unique_ptr<SuspectGossip> gossip;
         TimePoint compareAt;
         TimePoint crashAt = TimePoint::max();
-        /// What runs was a suspect when it was sent.
+        /// The running request was a suspect when it was sent.
         bool wasIsolated = false;
         TimePoint upAt;
     };
@@ -173,7 +174,7 @@
         return entry;
     }
 
-    /// All entries choose the same server for a suspect.
+    /// The server that all entries choose for a suspect.
     std::size_t firstUp(std::size_t entry) const
     {
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
--- a/src/coordination/quarantine/tests/suspectgossiptest.cpp
+++ b/src/coordination/quarantine/tests/suspectgossiptest.cpp
@@ -8,19 +8,19 @@
 namespace {
 
 constexpr std::size_t SMALL = 10;
-/// Of the aim.
+/// The size of deployment that is aimed for.
 constexpr std::size_t LARGE = 790;
 constexpr std::uint64_t SEEDS = 50;
 constexpr double HIGH_LOSS_SHARE = 0.2;
 constexpr Duration INTERVAL = 150ms;
-/// In this time all daemons in touch must know.
+/// Within this time all connected daemons must have an update.
 constexpr Duration MAX_SPREAD_TIME = 3s;
 constexpr Duration TWO_COMPARISONS = 1s;
 constexpr std::size_t CRASHES = 3;
-/// Sends to servers that the users bear later than `MAX_SPREAD_TIME` after the third crash.
+/// Allowed number of sends to servers later than `MAX_SPREAD_TIME` after the third crash.
 constexpr std::size_t MAX_LATE_SENDS = 3;
 
-/// Sends the crashing request at `INTERVAL` to daemons in turn.
+/// Sends the crashing request to the daemons in turn, one per `INTERVAL`.
 void keepSending(SuspectFleet &fleet, std::size_t entries, Duration time)
 {
     for (std::size_t entry = 0; time > Duration::zero(); time -= INTERVAL) {
@@ -29,8 +29,8 @@
     }
 }
 
-/// Sends it until the third server has crashed under it, and for some time more. Returns what
-/// reaches servers later than `MAX_SPREAD_TIME` after that crash.
+/// Sends the request until it has crashed the third server, and for some time after. Returns how
+/// many sends reach servers later than `MAX_SPREAD_TIME` after that crash.
 std::size_t crashThreeServers(SuspectFleet &fleet, std::size_t entries)
 {
     for (int i = 0; i < 100 && fleet.crashes() < CRASHES; ++i) {
@@ -46,7 +46,7 @@
 
 TEST_GROUP(SuspectGossip){};
 
-// Guards against daemons that still send a request on, seconds after it has crashed three servers.
+// Guards against daemons that still forward a request seconds after it has crashed three servers.
 TEST(SuspectGossip, ThreeCrashesQuarantineEverywhere)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
@@ -67,7 +67,7 @@
     }
 }
 
-// Guards against a domain that sends on what it could not hear of while it was cut off.
+// Guards against a domain that forwards a request whose quarantine it missed while partitioned.
 TEST(SuspectGossip, PartitionedDaemonsCatchUpWhenReconnected)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
@@ -81,7 +81,7 @@
     }
 }
 
-// Guards against a daemon that starts, knows nothing, and sends the request on.
+// Guards against a restarted daemon that forwards the request because its table is empty.
 TEST(SuspectGossip, RestartedDaemonCatchesUpAtFirstComparison)
 {
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
@@ -104,7 +104,7 @@
     LONGS_EQUAL(LARGE, fleet.countQuarantining());
 }
 
-// Guards against an exchange that costs all the time what is needed at crashes only.
+// Guards against message traffic without crashes, and against traffic that grows after them.
 TEST(SuspectGossip, NoMessagesWhileTableIsEmpty)
 {
     SuspectFleet fleet(SMALL, 1, 0);
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -57,7 +57,7 @@
     CHECK(m_table->assess(m_now, REQUEST).retryAfter == Duration::zero());
 }
 
-// Guards against one crash that counts as several because several daemons tell of it.
+// Guards against one crash that counts as several because several daemons report it.
 TEST(SuspectTable, CrashReportedTwiceCountsOnce)
 {
     CHECK(crash(REQUEST, "i-1"));
@@ -71,7 +71,7 @@
     CHECK(copy->digest() == m_table->digest());
 }
 
-// Guards against a request in demand that is held responsible as it is under way at every crash.
+// Guards against a frequent request that is blamed because it is in progress at every crash.
 TEST(SuspectTable, CompletedRequestIsCleared)
 {
     crash(REQUEST, "i-1");
@@ -83,7 +83,7 @@
     CHECK(suspicionAnywhere() == Suspicion::None);
 }
 
-// Guards against a request in demand that is held responsible when all servers end at once.
+// Guards against a frequent request that is blamed when all servers crash at once.
 TEST(SuspectTable, SimultaneousCrashesCountOnce)
 {
     for (const char *run : { "i-1", "i-2", "i-3", "i-4" }) {
@@ -102,7 +102,7 @@
     CHECK(m_table->isEmpty());
 }
 
-// Guards against a request that is quarantined for ever though its service was mended.
+// Guards against a request that stays quarantined although its service was fixed.
 TEST(SuspectTable, OtherKindOfServerGetsOneTrial)
 {
     quarantine();
@@ -127,7 +127,7 @@
     CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-// Guards against tries that together crash more servers than the quarantine was to save.
+// Guards against trials that together crash more servers than the quarantine saves.
 TEST(SuspectTable, TrialsAreBounded)
 {
     quarantine();
@@ -160,7 +160,7 @@
     other->merge(m_now, *m_table->find(REQUEST));
     CHECK(m_table->lift(m_now, REQUEST));
     CHECK(suspicionAt(KIND) == Suspicion::None);
-    // What another daemon still holds against it does not come back.
+    // The outdated record of another daemon does not restore the quarantine.
     CHECK_FALSE(m_table->merge(m_now, *other->find(REQUEST)));
     CHECK(other->merge(m_now, *m_table->find(REQUEST)));
     CHECK(other->assess(m_now, REQUEST, KIND).suspicion == Suspicion::None);
@@ -177,7 +177,7 @@
     m_table->expire(m_now);
     CHECK_FALSE(m_table->find(OTHER).has_value());
     CHECK(m_table->find(REQUEST).has_value());
-    // A daemon that has not forgotten yet does not bring it back.
+    // The record of a daemon that has not expired it yet is not merged again.
     const SuspectRecord late = *m_table->find(REQUEST);
     m_now += 4min;
     m_table->expire(m_now);
@@ -185,7 +185,7 @@
     CHECK_FALSE(m_table->merge(m_now, late));
 }
 
-// Guards against callers who free a request from quarantine with a flood of suspects.
+// Guards against callers that release a request from quarantine with a flood of suspects.
 TEST(SuspectTable, FloodOfSuspectsDoesNotEvictQuarantined)
 {
     quarantine();
@@ -198,7 +198,7 @@
     CHECK(suspicionAt(KIND, Fingerprint("flood-4999")) == Suspicion::Suspect);
 }
 
-// Guards against daemons that never agree on a record because each has dropped other crashes.
+// Guards against daemons whose records never converge because each drops different crashes.
 TEST(SuspectTable, CrashLimitDropsTheSameCrashesEverywhere)
 {
     const auto other = makeSuspectTable();
