--- a/src/coordination/accounts/accountmessages.h
+++ b/src/coordination/accounts/accountmessages.h
@@ -42,8 +42,9 @@
 struct TokenGrant
 {
     AccountName account;
-    /// False if the receiver of the request does not consider itself the account's home. The other
-    /// fields, except `account`, then have their defaults.
+    /// False if the receiver of the request does not consider itself the account's home (nor was
+    /// asked as its deputy), or knows no limit of the account. All other fields but `account` then
+    /// have their defaults.
     bool isFromHome = true;
     std::uint32_t tokens = 0;
     /// For how long the entry should not request again; zero if all waiting requests got a token.
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -92,7 +92,7 @@
                                 cache.pendingRequest()->sentAt + m_options.requestTimeout,
                                 {} };
     }
-    // This daemon is the home, and the bucket is empty.
+    // This daemon answered the request itself, as home or deputy, and the bucket is empty.
     return waitOrRefuse(now, cache, since);
 }
 
@@ -227,7 +227,7 @@
             granted.push_back(grant.account);
         }
         if (!grant.isFromHome) {
-            // One of the two daemons has an outdated list of members.
+            // One of the two daemons has an outdated list of members or limits.
             m_peerStates[from].until = now + m_options.requestTimeout;
         }
     }
