--- a/src/app/internal/accounts/accountservice.cpp
+++ b/src/app/internal/accounts/accountservice.cpp
@@ -57,35 +57,35 @@
                                        : Verdict{ Outcome::NotRun, Reason::UnknownKey, {} });
 }
 
-/// That a key does not exist is final: callers do not come back. A daemon that may be behind must
-/// not say it of one that a newer configuration has.
+/// `UnknownKey` is final: callers do not retry. A daemon whose configuration may be outdated must
+/// not return it for a key that a newer configuration may contain.
 Verdict AccountService::refuseKey() const
 {
     const std::optional<Duration> age = m_confirmation.age(m_loop.now());
-    if (age && *age <= m_options.certainty) {
+    if (age && *age <= m_options.maxConfirmationAge) {
         return Verdict{ Outcome::NotRun, Reason::UnknownKey, {} };
     }
-    return Verdict{ Outcome::NotRun, Reason::UncertainKey, m_options.uncertainReturn };
+    return Verdict{ Outcome::NotRun, Reason::UncertainKey, m_options.uncertainKeyRetryAfter };
 }
 
 std::optional<Verdict> AccountService::take(const AccountName &account)
 {
     const TimePoint since = m_loop.now();
     while (true) {
-        const AccountRuling ruling = m_limits->take(m_loop.now(), account, since);
+        const AccountDecision decision = m_limits->take(m_loop.now(), account, since);
         sendAll();
-        if (ruling.pass == AccountPass::Go) {
+        if (decision.action == AccountAction::Admit) {
             return std::nullopt;
         }
-        if (ruling.pass == AccountPass::Refuse) {
+        if (decision.action == AccountAction::Refuse) {
             m_observers.metrics.add(Counter::LimitRefusals);
-            return Verdict{ Outcome::NotRun, Reason::OverLimit, ruling.retryAfter };
+            return Verdict{ Outcome::NotRun, Reason::OverLimit, decision.retryAfter };
         }
-        waitFor(account, ruling.until);
+        waitForTokens(account, decision.until);
     }
 }
 
-void AccountService::waitFor(const AccountName &account, TimePoint until)
+void AccountService::waitForTokens(const AccountName &account, TimePoint until)
 {
     constexpr Duration SHORTEST = std::chrono::milliseconds(1);
     OneShot<bool> granted(m_loop);
@@ -98,9 +98,9 @@
     }
 }
 
-void AccountService::giveBack(const AccountName &account)
+void AccountService::refund(const AccountName &account)
 {
-    m_limits->giveBack(m_loop.now(), account);
+    m_limits->refund(m_loop.now(), account);
 }
 
 void AccountService::receive(const DaemonId &from, const std::string &payload)
@@ -125,16 +125,16 @@
 
 void AccountService::sendAll()
 {
-    for (const AccountSend &send : m_limits->takeSends()) {
+    for (const OutgoingAccountMessage &send : m_limits->takeOutgoing()) {
         m_observers.metrics.add(Counter::AccountMessages);
         m_send(send.to, encodeAccountMessage(send.message));
     }
 }
 
-std::vector<AccountStanding> AccountService::standings() const
+std::vector<AccountStatus> AccountService::statuses() const
 {
-    std::vector<AccountStanding> all = m_limits->standings(m_loop.now());
-    std::sort(all.begin(), all.end(), [](const AccountStanding &a, const AccountStanding &b) {
+    std::vector<AccountStatus> all = m_limits->statuses(m_loop.now());
+    std::sort(all.begin(), all.end(), [](const AccountStatus &a, const AccountStatus &b) {
         return a.refused != b.refused ? a.refused > b.refused : a.account < b.account;
     });
     return all;
--- a/src/app/internal/accounts/accountservice.h
+++ b/src/app/internal/accounts/accountservice.h
@@ -21,18 +21,19 @@
 struct AccountServiceOptions
 {
     AccountLimitOptions limits;
-    /// A configuration that was the newest one no longer ago than this decides which keys exist.
-    Duration certainty = std::chrono::seconds(2);
-    /// When callers whose key may be on its way are to come back.
-    Duration uncertainReturn = std::chrono::milliseconds(300);
+    /// A key that is missing in the configuration is rejected as unknown only if the configuration
+    /// was confirmed as the newest one within this time.
+    Duration maxConfirmationAge = std::chrono::seconds(2);
+    /// Retry delay for callers whose key may be in a newer configuration.
+    Duration uncertainKeyRetryAfter = std::chrono::milliseconds(300);
 };
 
-/// Knows the client accounts of the configuration in force, and keeps them within their limits
-/// together with other daemons. Traffic thread only.
+/// Identifies the client accounts of the current configuration and enforces their limits together
+/// with the other daemons. Traffic thread only.
 class AccountService : public IAccounts
 {
 public:
-    /// Sends a control payload to another daemon. May be lost.
+    /// Sends a control payload to another daemon. Delivery is not guaranteed.
     using Send = std::function<void(DaemonId, std::string)>;
 
     /// All references outlive the service.
@@ -40,25 +41,25 @@
                    Observers observers, Send send, const AccountServiceOptions &options);
 
     void setConfiguration(ConfigurationPtr configuration);
-    /// How many daemons the platform's directory lists.
-    void setListed(std::size_t daemons) { m_limits->setListed(daemons); }
+    /// Number of daemons in the platform's directory.
+    void setDirectorySize(std::size_t daemons) { m_limits->setDirectorySize(daemons); }
     void setMembers(const DaemonId &self, const std::vector<Member> &members);
-    /// A payload of the exchange of accounts.
+    /// Handles a payload of the account exchange; ignores payloads that cannot be decoded.
     void receive(const DaemonId &from, const std::string &payload);
-    /// Those that ask here for more than they may have first.
-    std::vector<AccountStanding> standings() const;
+    /// Sorted by rate of refused requests, highest first.
+    std::vector<AccountStatus> statuses() const;
 
     bool needsKey(const RuleSpec &rule) const override;
     tl::expected<const AccountSpec *, Verdict>
     identify(const RuleSpec &rule, const std::optional<AccountKey> &key) const override;
     std::optional<Verdict> take(const AccountName &account) override;
-    void giveBack(const AccountName &account) override;
+    void refund(const AccountName &account) override;
 
 private:
     using Waiters = std::list<OneShot<bool> *>;
 
     Verdict refuseKey() const;
-    void waitFor(const AccountName &account, TimePoint until);
+    void waitForTokens(const AccountName &account, TimePoint until);
     void sendAll();
 
     IEventLoop &m_loop;
--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -74,12 +74,12 @@
         runs.push_back({ { "run", crash.run.value() },
                          { "service", crash.kind.service.value() },
                          { "version", crash.kind.version.value() },
-                         { "alone", crash.isAlone },
+                         { "alone", crash.wasIsolated },
                          { "trial", crash.isTrial } });
     }
     return Json{ { "fingerprint", suspect.record.fingerprint.value() },
-                 { "standing", toText(suspect.standing.suspicion) },
-                 { "crashes", suspect.standing.crashes },
+                 { "standing", toText(suspect.assessment.suspicion) },
+                 { "crashes", suspect.assessment.crashes },
                  { "first_s_ago", toSeconds(suspect.firstAge) },
                  { "last_s_ago", toSeconds(suspect.lastAge) },
                  { "runs", runs } };
@@ -100,11 +100,11 @@
 }
 
 /// Accounts that ask for more than they may have stand first.
-Json makeAccounts(const std::vector<AccountStanding> &accounts)
+Json makeAccounts(const std::vector<AccountStatus> &accounts)
 {
     constexpr std::size_t MOST_LISTED = 20;
     Json list = Json::array();
-    for (const AccountStanding &each : accounts) {
+    for (const AccountStatus &each : accounts) {
         if (list.size() >= MOST_LISTED) {
             break;
         }
--- a/src/app/internal/quarantine/quarantineservice.cpp
+++ b/src/app/internal/quarantine/quarantineservice.cpp
@@ -27,7 +27,7 @@
     , m_send(std::move(send))
     , m_options(options)
     , m_table(makeSuspectTable(options.table))
-    , m_spread(*m_table, random)
+    , m_gossip(*m_table, random)
 {
 }
 
@@ -45,7 +45,7 @@
             peers.push_back(member.id);
         }
     }
-    m_spread.setPeers(m_loop.now(), peers);
+    m_gossip.setPeers(m_loop.now(), peers);
     armCompare();
 }
 
@@ -56,7 +56,7 @@
         return;
     }
     std::vector<Fingerprint> changed;
-    const SuspectSends sends = m_spread.receive(m_loop.now(), from, *message, changed);
+    const OutgoingSuspectMessages sends = m_gossip.receive(m_loop.now(), from, *message, changed);
     for (const Fingerprint &fingerprint : changed) {
         onChanged(fingerprint);
     }
@@ -69,7 +69,7 @@
 {
     const bool isKnown = m_table->lift(m_loop.now(), fingerprint);
     if (isKnown) {
-        onOwnNews(fingerprint);
+        onLocalUpdate(fingerprint);
     }
     return isKnown;
 }
@@ -80,8 +80,8 @@
     std::vector<SuspectStatus> all;
     for (SuspectRecord &record : m_table->records()) {
         SuspectStatus status;
-        status.standing = m_table->standing(now, record.fingerprint);
-        if (status.standing.suspicion == Suspicion::None) {
+        status.assessment = m_table->assess(now, record.fingerprint);
+        if (status.assessment.suspicion == Suspicion::None) {
             continue;
         }
         TimePoint first = now;
@@ -94,7 +94,7 @@
         all.push_back(std::move(status));
     }
     std::stable_sort(all.begin(), all.end(), [](const SuspectStatus &a, const SuspectStatus &b) {
-        return a.standing.suspicion > b.standing.suspicion;
+        return a.assessment.suspicion > b.assessment.suspicion;
     });
     return all;
 }
@@ -104,43 +104,43 @@
     return !m_table->isEmpty();
 }
 
-Standing QuarantineService::standing(const Fingerprint &fingerprint) const
+Assessment QuarantineService::assess(const Fingerprint &fingerprint) const
 {
-    return m_table->standing(m_loop.now(), fingerprint);
+    return m_table->assess(m_loop.now(), fingerprint);
 }
 
-Standing QuarantineService::standing(const Fingerprint &fingerprint, const ServerKind &kind) const
+Assessment QuarantineService::assess(const Fingerprint &fingerprint, const ServerKind &kind) const
 {
-    return m_table->standing(m_loop.now(), fingerprint, kind);
+    return m_table->assess(m_loop.now(), fingerprint, kind);
 }
 
-void QuarantineService::noteCrash(const Fingerprint &fingerprint, const Crash &crash)
+void QuarantineService::recordCrash(const Fingerprint &fingerprint, const Crash &crash)
 {
     if (m_options.isOn && m_table->addCrash(m_loop.now(), fingerprint, crash)) {
-        onOwnNews(fingerprint);
+        onLocalUpdate(fingerprint);
     }
 }
 
-void QuarantineService::noteCompletion(const Fingerprint &fingerprint, const ServerKind &kind)
+void QuarantineService::recordCompletion(const Fingerprint &fingerprint, const ServerKind &kind)
 {
     if (m_table->addCompletion(fingerprint, kind)) {
-        onOwnNews(fingerprint);
+        onLocalUpdate(fingerprint);
     }
 }
 
-void QuarantineService::noteServer(const ServerKind &kind)
+void QuarantineService::recordServer(const ServerKind &kind)
 {
     if (!m_servers.insert(kind).second) {
         return;
     }
     for (const SuspectRecord &record : m_table->records()) {
-        offer(record.fingerprint);
+        addUntriedKinds(record.fingerprint);
     }
 }
 
-void QuarantineService::onOwnNews(const Fingerprint &fingerprint)
+void QuarantineService::onLocalUpdate(const Fingerprint &fingerprint)
 {
-    m_spread.noteOwn(fingerprint);
+    m_gossip.addLocalUpdate(fingerprint);
     onChanged(fingerprint);
     armFlush();
     armCompare();
@@ -148,30 +148,29 @@
 
 void QuarantineService::onChanged(const Fingerprint &fingerprint)
 {
-    offer(fingerprint);
-    record(fingerprint);
+    addUntriedKinds(fingerprint);
+    logQuarantineChange(fingerprint);
     if (m_listener) {
         m_listener->onSuspectChanged(fingerprint);
     }
 }
 
-/// Entries send a request in quarantine to a new version only once they know that there is one.
-void QuarantineService::offer(const Fingerprint &fingerprint)
+/// Entries send a quarantined request to a new version only once its servers are in the record.
+void QuarantineService::addUntriedKinds(const Fingerprint &fingerprint)
 {
     for (const ServerKind &kind : m_servers) {
-        if (m_table->addOffer(fingerprint, kind)) {
-            m_spread.noteOwn(fingerprint);
+        if (m_table->addUntried(fingerprint, kind)) {
+            m_gossip.addLocalUpdate(fingerprint);
             armFlush();
         }
     }
 }
 
-/// Of the many that are suspects for a moment only those are told that are found guilty, and those
-/// that no longer are.
-void QuarantineService::record(const Fingerprint &fingerprint)
+/// Logs only the begin and end of a quarantine: many requests are suspects for a moment.
+void QuarantineService::logQuarantineChange(const Fingerprint &fingerprint)
 {
     const auto found = m_table->find(fingerprint);
-    const Standing now = standing(fingerprint);
+    const Assessment now = assess(fingerprint);
     const bool wasQuarantined = m_quarantined.count(fingerprint) > 0;
     const bool isQuarantined = now.suspicion == Suspicion::Quarantined;
     if (!found || isQuarantined == wasQuarantined) {
@@ -199,18 +198,18 @@
 
 void QuarantineService::armFlush()
 {
-    if (!m_spread.hasNews() || std::exchange(m_isFlushArmed, true)) {
+    if (!m_gossip.hasUpdates() || std::exchange(m_isFlushArmed, true)) {
         return;
     }
     m_flushTimer = m_loop.callLater(m_options.flushDelay, [this] {
         m_isFlushArmed = false;
-        sendAll(m_spread.flush());
+        sendAll(m_gossip.flush());
     });
 }
 
 void QuarantineService::armCompare()
 {
-    const bool isWanted = m_options.isOn && m_spread.wantsToCompare(m_loop.now());
+    const bool isWanted = m_options.isOn && m_gossip.needsComparison(m_loop.now());
     if (!isWanted || std::exchange(m_isCompareArmed, true)) {
         return;
     }
@@ -224,13 +223,13 @@
     for (auto it = m_quarantined.begin(); it != m_quarantined.end();) {
         it = m_table->find(*it) ? std::next(it) : m_quarantined.erase(it);
     }
-    sendAll(m_spread.compare());
+    sendAll(m_gossip.compare());
     armCompare();
 }
 
-void QuarantineService::sendAll(const SuspectSends &sends)
+void QuarantineService::sendAll(const OutgoingSuspectMessages &sends)
 {
-    for (const SuspectSend &send : sends) {
+    for (const OutgoingSuspectMessage &send : sends) {
         m_send(send.to, encodeSuspectMessage(send.message, m_loop.now()));
     }
 }
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -72,7 +72,7 @@
     AccountServiceOptions options;
     options.limits.hasHomes = !settings.ablations.limitHomes;
     options.limits.tolerance = settings.limitTolerance;
-    options.certainty = settings.applyWithin;
+    options.maxConfirmationAge = settings.applyWithin;
     return options;
 }
 
@@ -264,7 +264,7 @@
     status.links = m_network->linkCount();
     status.callerConnections = m_callerServer->connectionCount();
     status.suspects = m_quarantine->status();
-    status.accounts = m_accounts->standings();
+    status.accounts = m_accounts->statuses();
     return status;
 }
 
--- a/src/app/internal/trafficnode.h
+++ b/src/app/internal/trafficnode.h
@@ -42,7 +42,7 @@
     std::size_t links = 0;
     std::size_t callerConnections = 0;
     std::vector<SuspectStatus> suspects;
-    std::vector<AccountStanding> accounts;
+    std::vector<AccountStatus> accounts;
 };
 
 /// All that the traffic thread owns: listeners for callers, upstreams and peers, and the services
@@ -63,7 +63,7 @@
     void sendControl(const DaemonId &target, const Endpoint &endpoint, std::string payload);
     /// A control payload of another daemon about suspects.
     void receiveSuspects(const DaemonId &from, const std::string &payload);
-    void setListed(std::size_t daemons) { m_accounts->setListed(daemons); }
+    void setListed(std::size_t daemons) { m_accounts->setDirectorySize(daemons); }
     /// A control payload of another daemon about limits of client accounts.
     void receiveAccounts(const DaemonId &from, const std::string &payload);
     /// False if nothing is known of it.
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -111,7 +111,7 @@
     LONGS_EQUAL(1, m_quarantine.crashes.size());
     CHECK(m_quarantine.crashes[0].first == fingerprintOfPath("/a"));
     CHECK(m_quarantine.crashes[0].second.run == INSTANCE);
-    CHECK_FALSE(m_quarantine.crashes[0].second.isAlone);
+    CHECK_FALSE(m_quarantine.crashes[0].second.wasIsolated);
     CHECK(m_quarantine.crashes[0].second.kind.version == UpstreamVersion("v1"));
 }
 
@@ -159,7 +159,7 @@
 
 TEST(GateSuspects, OneThatIsHeldHearsWhenToComeBack)
 {
-    Standing held;
+    Assessment held;
     held.suspicion = Suspicion::Held;
     held.retryAfter = 1500ms;
     m_quarantine.standings[fingerprintOfPath("/bad")] = held;
@@ -268,12 +268,12 @@
 
 TEST(GateSuspects, TheCrashOfATrialIsToldAsSuch)
 {
-    Standing trial;
+    Assessment trial;
     trial.suspicion = Suspicion::Suspect;
     trial.isTrial = true;
     m_quarantine.standings[fingerprintOfPath("/bad")] = trial;
     breakOff(false);
     call("/bad");
-    CHECK(m_quarantine.crashes.at(0).second.isAlone);
+    CHECK(m_quarantine.crashes.at(0).second.wasIsolated);
     CHECK(m_quarantine.crashes.at(0).second.isTrial);
 }
--- a/src/app/tests/mocks/fakequarantine.h
+++ b/src/app/tests/mocks/fakequarantine.h
@@ -12,7 +12,7 @@
 class FakeQuarantine : public IQuarantine
 {
 public:
-    std::map<Fingerprint, Standing> standings;
+    std::map<Fingerprint, Assessment> standings;
     std::vector<std::pair<Fingerprint, Crash>> crashes;
     std::vector<Fingerprint> completions;
 
@@ -25,24 +25,24 @@
     }
 
     bool hasSuspects() const override { return !standings.empty(); }
-    Standing standing(const Fingerprint &fingerprint) const override
+    Assessment assess(const Fingerprint &fingerprint) const override
     {
         const auto found = standings.find(fingerprint);
-        return found == standings.end() ? Standing() : found->second;
+        return found == standings.end() ? Assessment() : found->second;
     }
-    Standing standing(const Fingerprint &fingerprint, const ServerKind & /*kind*/) const override
+    Assessment assess(const Fingerprint &fingerprint, const ServerKind & /*kind*/) const override
     {
-        return standing(fingerprint);
+        return assess(fingerprint);
     }
-    void noteCrash(const Fingerprint &fingerprint, const Crash &crash) override
+    void recordCrash(const Fingerprint &fingerprint, const Crash &crash) override
     {
         crashes.emplace_back(fingerprint, crash);
     }
-    void noteCompletion(const Fingerprint &fingerprint, const ServerKind & /*kind*/) override
+    void recordCompletion(const Fingerprint &fingerprint, const ServerKind & /*kind*/) override
     {
         completions.push_back(fingerprint);
     }
-    void noteServer(const ServerKind & /*kind*/) override { }
+    void recordServer(const ServerKind & /*kind*/) override { }
     void setListener(ISuspectListener *listener) override { m_listener = listener; }
 
 private:
--- a/src/app/tests/mocks/noquarantine.h
+++ b/src/app/tests/mocks/noquarantine.h
@@ -9,17 +9,17 @@
 {
 public:
     bool hasSuspects() const override { return false; }
-    Standing standing(const Fingerprint & /*fingerprint*/) const override { return {}; }
-    Standing standing(const Fingerprint & /*fingerprint*/,
+    Assessment assess(const Fingerprint & /*fingerprint*/) const override { return {}; }
+    Assessment assess(const Fingerprint & /*fingerprint*/,
                       const ServerKind & /*kind*/) const override
     {
         return {};
     }
-    void noteCrash(const Fingerprint & /*fingerprint*/, const Crash & /*crash*/) override { }
-    void noteCompletion(const Fingerprint & /*fingerprint*/, const ServerKind & /*kind*/) override
+    void recordCrash(const Fingerprint & /*fingerprint*/, const Crash & /*crash*/) override { }
+    void recordCompletion(const Fingerprint & /*fingerprint*/, const ServerKind & /*kind*/) override
     {
     }
-    void noteServer(const ServerKind & /*kind*/) override { }
+    void recordServer(const ServerKind & /*kind*/) override { }
     void setListener(ISuspectListener * /*listener*/) override { }
 };
 
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Below this share of the bucket, units go to requests that wait and not to stocks.
+/// Below this share of the bucket's capacity, tokens go to waiting requests only, not to caches.
 constexpr double LOW_LEVEL = 0.25;
-/// Bounds on how long an entry is told not to ask.
-constexpr Duration SHORTEST_EMPTY = std::chrono::milliseconds(5);
-constexpr Duration LONGEST_EMPTY = std::chrono::milliseconds(200);
+/// Bounds on how long an entry is told not to request again.
+constexpr Duration MIN_EMPTY_TIME = std::chrono::milliseconds(5);
+constexpr Duration MAX_EMPTY_TIME = std::chrono::milliseconds(200);
 
 Duration secondsOf(double seconds)
 {
@@ -26,133 +26,137 @@
 }
 
 /// Rounded down, so that the shares of all entries do not add up to more than the whole.
-RateShare shareOf(double part)
+RateShare shareOf(double grant)
 {
     return RateShare(
-        static_cast<std::uint32_t>(std::floor(part * static_cast<double>(WHOLE_RATE.value()))));
+        static_cast<std::uint32_t>(std::floor(grant * static_cast<double>(WHOLE_RATE.value()))));
 }
 
 } // namespace
 
 AccountHome::AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
-                         const AccountPlaces &places)
+                         const AccountPlacement &placement)
     : m_options(options)
-    , m_places(places)
+    , m_placement(placement)
     , m_isDeputy(isDeputy)
     , m_since(since)
     , m_refilledAt(since)
-    , m_askedAt(since)
+    , m_lastRequestAt(since)
 {
 }
 
-AccountPart AccountHome::give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
-                              const AccountDemand &demand)
+TokenGrant AccountHome::grantTokens(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
+                                    const TokenDemand &demand)
 {
-    m_askedAt = now;
-    forget(now);
+    m_lastRequestAt = now;
+    removeExpired(now);
     refill(now, limit);
-    hear(now, entry, demand);
+    updateHolder(now, entry, demand);
     Holder &holder = m_holders[entry];
-    AccountPart part;
-    part.account = demand.account;
-    part.units = unitsFor(demand);
-    m_level -= part.units;
-    // Requests that wait use theirs at once.
-    holder.units += part.units - std::min(part.units, demand.waiting);
-    if (part.units < demand.waiting) {
-        part.emptyFor = emptyFor(now, limit);
-        holder.emptyUntil = now + part.emptyFor;
+    TokenGrant grant;
+    grant.account = demand.account;
+    grant.tokens = tokensFor(demand);
+    m_level -= grant.tokens;
+    // Waiting requests consume their tokens at once.
+    holder.tokens += grant.tokens - std::min(grant.tokens, demand.waiting);
+    if (grant.tokens < demand.waiting) {
+        grant.emptyFor = emptyFor(now, limit);
+        holder.emptyUntil = now + grant.emptyFor;
     }
-    part.retryAfter = returnTime(limit);
-    part.lease = lease(now, holder);
-    part.leaseLife = m_isDeputy ? demand.leaseLeft : m_options.leaseLife;
-    return part;
+    grant.retryAfter = retryAfterFor(limit);
+    grant.lease = lease(now, holder);
+    grant.leaseDuration = m_isDeputy ? demand.leaseLeft : m_options.leaseDuration;
+    return grant;
 }
 
-void AccountHome::hear(TimePoint now, const DaemonId &entry, const AccountDemand &demand)
+void AccountHome::updateHolder(TimePoint now, const DaemonId &entry, const TokenDemand &demand)
 {
     Holder &holder = m_holders[entry];
-    holder.units = demand.held;
+    holder.tokens = demand.held;
     holder.rate = demand.rate;
-    holder.usualRate = demand.usualRate;
+    holder.longTermRate = demand.longTermRate;
     holder.lease = demand.leaseLeft > Duration::zero() ? partOf(demand.lease) : 0;
     holder.leaseUntil = now + demand.leaseLeft + m_options.leaseMargin;
-    holder.askedAt = now;
+    holder.lastRequestAt = now;
     m_level += demand.returned;
-    settle(holder, demand.unasked);
+    chargeLocalAdmissions(holder, demand.locallyAdmitted);
 }
 
-/// What it let in by its lease, while this daemon gave the whole rate to others, is taken from what
-/// comes next: an entry that loses some messages may do so all the time.
-void AccountHome::settle(Holder &holder, std::uint32_t unasked)
+/// Requests admitted by lease beyond what was reserved for it are charged to the bucket: the home
+/// granted the full rate to others meanwhile, and an entry with message loss may use its lease all
+/// the time.
+void AccountHome::chargeLocalAdmissions(Holder &holder, std::uint32_t locallyAdmitted)
 {
-    const std::uint32_t before = holder.unasked.value_or(unasked);
-    const double more = unasked > before ? unasked - before : 0;
-    m_level = std::max(m_level - std::max(more - holder.leftToIt, 0.0), -m_burst);
-    holder.leftToIt = 0;
-    holder.unasked = unasked;
+    const std::uint32_t before = holder.locallyAdmitted.value_or(locallyAdmitted);
+    const double more = locallyAdmitted > before ? locallyAdmitted - before : 0;
+    m_level = std::max(m_level - std::max(more - holder.reservedTokens, 0.0), -m_burst);
+    holder.reservedTokens = 0;
+    holder.locallyAdmitted = locallyAdmitted;
 }
 
-/// What entries have at hand counts as if it were still in the bucket. Half of what operators
-/// tolerate makes up for the division: else a small account's burst would lie about at entries.
+/// Tokens cached at entries still count towards the bucket's capacity. Half of the operators'
+/// tolerance is added to compensate for the distribution: otherwise the burst of a small account
+/// would sit unused at entries.
 void AccountHome::refill(TimePoint now, const AccountLimit &limit)
 {
     m_burst = limit.burst;
-    const double share = mandate(now);
+    const double share = grantableShare(now);
     const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - m_refilledAt));
     m_refilledAt = now;
     for (auto &[daemon, holder] : m_holders) {
-        holder.leftToIt += isSilent(now, holder) ? passed * limit.rate * holder.lease : 0;
+        holder.reservedTokens +=
+            isUnresponsive(now, holder) ? passed * limit.rate * holder.lease : 0;
     }
-    if (!std::exchange(m_isBegun, true) && share < 1) {
-        m_level = spareUnits(limit) * m_places.shareOfDomain() / 2;
+    if (!std::exchange(m_isInitialized, true) && share < 1) {
+        m_level = toleranceTokens(limit) * m_placement.domainShare() / 2;
     }
-    const double most = (limit.burst + spareUnits(limit)) * share;
-    m_capacity = std::max(most - heldUnits(), 0.0);
+    const double most = (limit.burst + toleranceTokens(limit)) * share;
+    m_capacity = std::max(most - heldTokens(), 0.0);
     m_level = std::min(m_level + passed * limit.rate * share, m_capacity);
 }
 
-/// A part of a bucket begins with something: it would else refuse what comes in its first moment.
-double AccountHome::spareUnits(const AccountLimit &limit) const
+/// Also the initial fill of a bucket with less than the full rate, which would otherwise refuse all
+/// requests at first.
+double AccountHome::toleranceTokens(const AccountLimit &limit) const
 {
     return (m_options.tolerance.slack + m_options.tolerance.overage * limit.burst) / 2;
 }
 
-std::uint32_t AccountHome::unitsFor(const AccountDemand &demand) const
+std::uint32_t AccountHome::tokensFor(const TokenDemand &demand) const
 {
     const double urgent = std::min<double>(demand.waiting, std::floor(m_level));
     const double left = m_level - urgent;
     const bool isLow = left < LOW_LEVEL * m_capacity;
-    const double spare = isLow ? 0 : std::min<double>(demand.spare, std::floor(left / 2));
-    return static_cast<std::uint32_t>(std::max(urgent + spare, 0.0));
+    const double prefetch = isLow ? 0 : std::min<double>(demand.prefetch, std::floor(left / 2));
+    return static_cast<std::uint32_t>(std::max(urgent + prefetch, 0.0));
 }
 
-/// Entries that were told to wait come in turn.
+/// Entries that were told to wait are served one after the other.
 Duration AccountHome::emptyFor(TimePoint now, const AccountLimit &limit) const
 {
     const auto before = std::count_if(m_holders.begin(), m_holders.end(), [now](const auto &each) {
         return each.second.emptyUntil > now;
     });
     const double missing = static_cast<double>(before) + 1 - m_level;
-    const double rate = std::max(limit.rate * mandate(now), 1e-3);
-    return std::clamp(secondsOf(missing / rate), SHORTEST_EMPTY, LONGEST_EMPTY);
+    const double rate = std::max(limit.rate * grantableShare(now), 1e-3);
+    return std::clamp(secondsOf(missing / rate), MIN_EMPTY_TIME, MAX_EMPTY_TIME);
 }
 
-/// What is asked for in a second beyond the limit has room after this time, if nobody else came.
-Duration AccountHome::returnTime(const AccountLimit &limit) const
+/// The time in which the limit can serve one second's excess demand, without further requests.
+Duration AccountHome::retryAfterFor(const AccountLimit &limit) const
 {
-    const double excess = std::max(askedRate() - limit.rate, 0.0) / limit.rate;
-    return std::clamp(secondsOf(excess), m_options.shortestReturn, m_options.longestReturn);
+    const double excess = std::max(totalDemandRate() - limit.rate, 0.0) / limit.rate;
+    return std::clamp(secondsOf(excess), m_options.minRetryAfter, m_options.maxRetryAfter);
 }
 
-/// A holder's lease grows only by what no other holder may still believe in.
+/// A holder's lease grows only by shares that no other holder may still consider valid.
 RateShare AccountHome::lease(TimePoint now, Holder &holder)
 {
     if (m_isDeputy) {
         return shareOf(holder.lease);
     }
-    const double all = usualRate();
-    const double wanted = all > 0 ? holder.usualRate / all : 0;
+    const double all = longTermRate();
+    const double wanted = all > 0 ? holder.longTermRate / all : 0;
     double free = isNew(now) ? 0 : 1;
     for (const auto &[daemon, each] : m_holders) {
         free -= isNew(now) ? 0 : each.lease;
@@ -160,7 +164,7 @@
     const double given = std::min(wanted, holder.lease + std::max(free, 0.0));
     const RateShare told = shareOf(given);
     holder.lease = std::max(holder.lease, given);
-    holder.leaseUntil = now + m_options.leaseLife + m_options.leaseMargin;
+    holder.leaseUntil = now + m_options.leaseDuration + m_options.leaseMargin;
     return told;
 }
 
@@ -173,46 +177,47 @@
     return sum;
 }
 
-double AccountHome::mandate(TimePoint now) const
+double AccountHome::grantableShare(TimePoint now) const
 {
     if (m_isDeputy) {
-        // Not all that will ask have asked yet.
-        return std::min(std::max(leasesHere(), m_places.shareOfDomain() / 2), 1.0);
+        // Not all entries that use this deputy have contacted it yet.
+        return std::min(std::max(reachableLeases(), m_placement.domainShare() / 2), 1.0);
     }
-    const double inReach = m_places.shareInReach(now);
-    const bool isWhole = inReach >= m_options.wholeShare;
+    const double reachable = m_placement.reachableShare(now);
+    const bool isWhole = reachable >= m_options.fullReachShare;
     if (isNew(now) && !isWhole) {
-        // Whoever was the home before may be cut off, and still give to others what they have as
-        // leases.
-        const double here = now - m_since < m_options.hearingTime ? 0 : leasesHere();
-        return here > 0 ? std::min(here, 1.0) : inReach;
+        // The previous home may be partitioned and still granting tokens to other entries against
+        // their leases.
+        const double here = now - m_since < m_options.leaseReportTime ? 0 : reachableLeases();
+        return here > 0 ? std::min(here, 1.0) : reachable;
     }
     const double gone = leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
-        return !m_places.isMember(daemon);
+        return !m_placement.isMember(daemon);
     });
-    const double silent = leasesIf([this, now](const DaemonId &daemon, const Holder &holder) {
-        return m_places.isMember(daemon) && isSilent(now, holder);
+    const double unresponsive = leasesIf([this, now](const DaemonId &daemon, const Holder &holder) {
+        return m_placement.isMember(daemon) && isUnresponsive(now, holder);
     });
-    const double mine = isWhole || gone > 0 ? 1 - gone : inReach;
-    return std::max(mine - silent, 0.0);
+    const double mine = isWhole || gone > 0 ? 1 - gone : reachable;
+    return std::max(mine - unresponsive, 0.0);
 }
 
-double AccountHome::leasesHere() const
+double AccountHome::reachableLeases() const
 {
     return leasesIf([this](const DaemonId &daemon, const Holder & /*holder*/) {
-        return m_places.isMember(daemon);
+        return m_placement.isMember(daemon);
     });
 }
 
-/// Before a cut is noticed, a home would give the whole rate to the entries on its side, while the
-/// others already let in what their leases allow.
-bool AccountHome::isSilent(TimePoint now, const Holder &holder) const
+/// Until a partition is detected, the home would otherwise grant the full rate to the entries on
+/// its side, while the other entries already admit requests by lease.
+bool AccountHome::isUnresponsive(TimePoint now, const Holder &holder) const
 {
-    const Duration expected = secondsOf(m_options.missedAsks / std::max(holder.usualRate, 1e-3));
-    return now - holder.askedAt > std::max(expected, m_options.shortestSilence);
+    const Duration expected =
+        secondsOf(m_options.missedRequests / std::max(holder.longTermRate, 1e-3));
+    return now - holder.lastRequestAt > std::max(expected, m_options.minUnresponsiveTime);
 }
 
-double AccountHome::askedRate() const
+double AccountHome::totalDemandRate() const
 {
     double rate = 0;
     for (const auto &[daemon, holder] : m_holders) {
@@ -221,34 +226,34 @@
     return rate;
 }
 
-double AccountHome::usualRate() const
+double AccountHome::longTermRate() const
 {
     double rate = 0;
     for (const auto &[daemon, holder] : m_holders) {
-        rate += holder.usualRate;
+        rate += holder.longTermRate;
     }
     return rate;
 }
 
-double AccountHome::heldUnits() const
+double AccountHome::heldTokens() const
 {
-    double units = 0;
+    double tokens = 0;
     for (const auto &[daemon, holder] : m_holders) {
-        units += holder.units;
+        tokens += holder.tokens;
     }
-    return units;
+    return tokens;
 }
 
-void AccountHome::forget(TimePoint now)
+void AccountHome::removeExpired(TimePoint now)
 {
     for (auto it = m_holders.begin(); it != m_holders.end();) {
         Holder &holder = it->second;
-        if (now - holder.askedAt > m_options.stockLife + m_options.leaseMargin) {
-            holder.units = 0;
+        if (now - holder.lastRequestAt > m_options.cachedTokenLifetime + m_options.leaseMargin) {
+            holder.tokens = 0;
             holder.rate = 0;
         }
-        const bool isOver = holder.units == 0 && now >= holder.leaseUntil;
-        it = isOver ? m_holders.erase(it) : std::next(it);
+        const bool isExpired = holder.tokens == 0 && now >= holder.leaseUntil;
+        it = isExpired ? m_holders.erase(it) : std::next(it);
     }
 }
 
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -4,69 +4,71 @@
 #include <unordered_map>
 
 #include "coordination/accounts/iaccountlimits.h"
-#include "coordination/accounts/internal/accountplaces.h"
+#include "coordination/accounts/internal/accountplacement.h"
 
 namespace ivyspar {
 
-/// The bucket of one account at its home, and what entries have of it. Plain object.
+/// Token bucket of one account at its home, with the tokens and leases that entries hold.
+/// Plain object.
 class AccountHome
 {
 public:
-    /// `since`: nobody else has been the account's home from then on. `isDeputy`: it acts for a
-    /// home that may well be there.
+    /// `since`: the time from which no other daemon has been the account's home. `isDeputy`: this
+    /// daemon stands in for a home that may still be running. `options` and `placement` outlive
+    /// the object.
     AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
-                const AccountPlaces &places);
+                const AccountPlacement &placement);
 
-    AccountPart give(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
-                     const AccountDemand &demand);
-    /// When an entry last asked.
-    TimePoint askedAt() const { return m_askedAt; }
+    TokenGrant grantTokens(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
+                           const TokenDemand &demand);
+    /// When an entry last requested tokens.
+    TimePoint lastRequestAt() const { return m_lastRequestAt; }
 
 private:
     struct Holder
     {
-        double units = 0;
+        double tokens = 0;
         double rate = 0;
-        double usualRate = 0;
-        /// The largest lease that it may believe in.
+        double longTermRate = 0;
+        /// The largest lease that the entry may still consider valid.
         double lease = 0;
         TimePoint leaseUntil;
-        /// As it told when it asked last; nothing before.
-        std::optional<std::uint32_t> unasked;
-        /// Units that were left to it since.
-        double leftToIt = 0;
-        TimePoint askedAt;
+        /// As reported with its last request; unset before the first.
+        std::optional<std::uint32_t> locallyAdmitted;
+        /// Tokens reserved for its lease since then.
+        double reservedTokens = 0;
+        TimePoint lastRequestAt;
         TimePoint emptyUntil;
     };
 
     void refill(TimePoint now, const AccountLimit &limit);
-    void settle(Holder &holder, std::uint32_t unasked);
-    void hear(TimePoint now, const DaemonId &entry, const AccountDemand &demand);
-    double spareUnits(const AccountLimit &limit) const;
-    std::uint32_t unitsFor(const AccountDemand &demand) const;
+    void chargeLocalAdmissions(Holder &holder, std::uint32_t locallyAdmitted);
+    void updateHolder(TimePoint now, const DaemonId &entry, const TokenDemand &demand);
+    double toleranceTokens(const AccountLimit &limit) const;
+    std::uint32_t tokensFor(const TokenDemand &demand) const;
     Duration emptyFor(TimePoint now, const AccountLimit &limit) const;
-    Duration returnTime(const AccountLimit &limit) const;
+    Duration retryAfterFor(const AccountLimit &limit) const;
     RateShare lease(TimePoint now, Holder &holder);
-    /// Of the rate, what this daemon may give.
-    double mandate(TimePoint now) const;
-    bool isNew(TimePoint now) const { return now - m_since < m_options.leaseLife; }
-    double askedRate() const;
-    double usualRate() const;
-    double heldUnits() const;
+    /// The share of the rate that this daemon may grant.
+    double grantableShare(TimePoint now) const;
+    bool isNew(TimePoint now) const { return now - m_since < m_options.leaseDuration; }
+    double totalDemandRate() const;
+    double longTermRate() const;
+    double heldTokens() const;
     template <typename IsWanted> double leasesIf(const IsWanted &isWanted) const;
-    /// Leases of the entries that can reach this daemon.
-    double leasesHere() const;
-    /// The entry should have asked long ago.
-    bool isSilent(TimePoint now, const Holder &holder) const;
-    void forget(TimePoint now);
+    /// Sum of the leases of the entries that are members, as this daemon sees it.
+    double reachableLeases() const;
+    /// Whether the entry has made no request for longer than expected.
+    bool isUnresponsive(TimePoint now, const Holder &holder) const;
+    void removeExpired(TimePoint now);
 
     const AccountLimitOptions &m_options;
-    const AccountPlaces &m_places;
+    const AccountPlacement &m_placement;
     bool m_isDeputy;
-    bool m_isBegun = false;
+    bool m_isInitialized = false;
     TimePoint m_since;
     TimePoint m_refilledAt;
-    TimePoint m_askedAt;
+    TimePoint m_lastRequestAt;
     double m_level = 0;
     double m_capacity = 0;
     double m_burst = 0;
--- a/src/coordination/accounts/internal/equalaccountlimits.cpp
+++ b/src/coordination/accounts/internal/equalaccountlimits.cpp
@@ -7,7 +7,7 @@
 
 EqualAccountLimits::EqualAccountLimits(const AccountLimitOptions &options)
     : m_options(options)
-    , m_daemons(options.startingDaemons)
+    , m_daemons(options.assumedDaemons)
 {
 }
 
@@ -17,7 +17,7 @@
     m_daemons = std::max(m_daemons, static_cast<double>(members.size()));
 }
 
-void EqualAccountLimits::setListed(std::size_t daemons)
+void EqualAccountLimits::setDirectorySize(std::size_t daemons)
 {
     m_daemons = std::max(m_daemons, static_cast<double>(daemons));
 }
@@ -27,31 +27,31 @@
     m_limits = std::move(limits);
 }
 
-AccountRuling EqualAccountLimits::take(TimePoint now, const AccountName &account,
-                                       TimePoint /*since*/)
+AccountDecision EqualAccountLimits::take(TimePoint now, const AccountName &account,
+                                         TimePoint /*since*/)
 {
     const auto limit = m_limits.find(account);
     if (limit == m_limits.end()) {
         return {};
     }
-    Part &part = m_parts.emplace(account, Part{ 1, now }).first->second;
+    Bucket &bucket = m_buckets.emplace(account, Bucket{ 1, now }).first->second;
     const double rate = limit->second.rate / m_daemons;
     const double most = std::max(1.0, limit->second.burst / m_daemons);
-    const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - part.filledAt));
-    part.units = std::min(part.units + passed * rate, most);
-    part.filledAt = now;
-    if (part.units < 1) {
-        return AccountRuling{ AccountPass::Refuse, now, m_options.longestReturn / 3 };
+    const double passed = toSeconds(std::chrono::duration_cast<Duration>(now - bucket.filledAt));
+    bucket.tokens = std::min(bucket.tokens + passed * rate, most);
+    bucket.filledAt = now;
+    if (bucket.tokens < 1) {
+        return AccountDecision{ AccountAction::Refuse, now, m_options.maxRetryAfter / 3 };
     }
-    part.units -= 1;
+    bucket.tokens -= 1;
     return {};
 }
 
-void EqualAccountLimits::giveBack(TimePoint /*now*/, const AccountName &account)
+void EqualAccountLimits::refund(TimePoint /*now*/, const AccountName &account)
 {
-    const auto found = m_parts.find(account);
-    if (found != m_parts.end()) {
-        found->second.units += 1;
+    const auto found = m_buckets.find(account);
+    if (found != m_buckets.end()) {
+        found->second.tokens += 1;
     }
 }
 
@@ -61,7 +61,7 @@
 {
 }
 
-std::vector<AccountStanding> EqualAccountLimits::standings(TimePoint /*now*/) const
+std::vector<AccountStatus> EqualAccountLimits::statuses(TimePoint /*now*/) const
 {
     return {};
 }
--- a/src/coordination/accounts/internal/equalaccountlimits.h
+++ b/src/coordination/accounts/internal/equalaccountlimits.h
@@ -6,8 +6,8 @@
 
 namespace ivyspar {
 
-/// Each daemon counts an equal part of each limit by itself, with a burst of one request at least.
-/// Sends nothing; what is kept for daemons that nobody asks is lost to the others.
+/// Each daemon enforces an equal share of each limit locally, with a burst of at least one request.
+/// Sends no messages; the shares of idle daemons are unused.
 class EqualAccountLimits : public IAccountLimits
 {
 public:
@@ -15,25 +15,25 @@
 
     void setMembers(TimePoint now, const DaemonId &self,
                     const std::vector<AccountMember> &members) override;
-    void setListed(std::size_t daemons) override;
+    void setDirectorySize(std::size_t daemons) override;
     void setLimits(TimePoint now, AccountLimits limits) override;
-    AccountRuling take(TimePoint now, const AccountName &account, TimePoint since) override;
-    void giveBack(TimePoint now, const AccountName &account) override;
+    AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) override;
+    void refund(TimePoint now, const AccountName &account) override;
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
-    AccountSends takeSends() override { return {}; }
-    std::vector<AccountStanding> standings(TimePoint now) const override;
+    OutgoingAccountMessages takeOutgoing() override { return {}; }
+    std::vector<AccountStatus> statuses(TimePoint now) const override;
 
 private:
-    struct Part
+    struct Bucket
     {
-        double units = 0;
+        double tokens = 0;
         TimePoint filledAt;
     };
 
     AccountLimitOptions m_options;
     AccountLimits m_limits;
-    std::unordered_map<AccountName, Part> m_parts;
+    std::unordered_map<AccountName, Bucket> m_buckets;
     double m_daemons = 0;
 };
 
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// How often what nobody uses is looked for.
-constexpr Duration FORGET_INTERVAL = std::chrono::seconds(5);
+/// Interval between removals of unused accounts.
+constexpr Duration CLEANUP_INTERVAL = std::chrono::seconds(5);
 
 } // namespace
 
@@ -27,20 +27,20 @@
                                          const AccountLimitOptions &options)
     : m_random(random)
     , m_options(options)
-    , m_places(now, m_options)
-    , m_forgotAt(now)
+    , m_placement(now, m_options)
+    , m_cleanedUpAt(now)
 {
 }
 
-/// An account that has another home now is forgotten here: if it comes back, what was counted
-/// meanwhile is not known.
+/// Drops the buckets of accounts whose home moved away: should it move back, their state would be
+/// outdated.
 void SharedAccountLimits::setMembers(TimePoint now, const DaemonId &self,
                                      const std::vector<AccountMember> &members)
 {
-    m_places.setMembers(now, self, members);
-    m_silences.clear();
+    m_placement.setMembers(now, self, members);
+    m_peerStates.clear();
     for (auto it = m_homes.begin(); it != m_homes.end();) {
-        it = m_places.homeOf(it->first) == self ? std::next(it) : m_homes.erase(it);
+        it = m_placement.homeOf(it->first) == self ? std::next(it) : m_homes.erase(it);
     }
 }
 
@@ -49,206 +49,212 @@
     m_limits = std::move(limits);
 }
 
-AccountRuling SharedAccountLimits::take(TimePoint now, const AccountName &account, TimePoint since)
+AccountDecision SharedAccountLimits::take(TimePoint now, const AccountName &account,
+                                          TimePoint since)
 {
     const AccountLimit *limit = limitOf(account);
     if (!limit) {
         return {};
     }
-    forget(now);
-    AccountStock &stock = stockOf(now, account);
+    removeExpired(now);
+    AccountTokenCache &cache = tokenCacheOf(now, account);
     if (since == now) {
-        stock.noteDemand(now);
+        cache.recordDemand(now);
     }
-    if (const auto unanswered = stock.expireQuestion(now)) {
-        noteUnanswered(now, *unanswered);
+    if (const auto unanswered = cache.expirePendingRequest(now)) {
+        recordUnanswered(now, *unanswered);
     }
-    if (stock.take(now)) {
-        if (stock.isLow(now, *limit) && now >= stock.emptyUntil()) {
-            ask(now, account, *limit, stock, 0);
+    if (cache.take(now)) {
+        if (cache.isLow(now, *limit) && now >= cache.emptyUntil()) {
+            requestTokens(now, account, *limit, cache, 0);
         }
         return {};
     }
-    return takeFromHome(now, account, *limit, stock, since);
+    return takeFromHome(now, account, *limit, cache, since);
 }
 
-AccountRuling SharedAccountLimits::takeFromHome(TimePoint now, const AccountName &account,
-                                                const AccountLimit &limit, AccountStock &stock,
-                                                TimePoint since)
+AccountDecision SharedAccountLimits::takeFromHome(TimePoint now, const AccountName &account,
+                                                  const AccountLimit &limit,
+                                                  AccountTokenCache &cache, TimePoint since)
 {
-    if (now < stock.emptyUntil()) {
-        return waitOrRefuse(now, stock, since);
+    if (now < cache.emptyUntil()) {
+        return waitOrRefuse(now, cache, since);
     }
-    ask(now, account, limit, stock, 1);
-    if (stock.take(now)) {
+    requestTokens(now, account, limit, cache, 1);
+    if (cache.take(now)) {
         return {};
     }
-    if (!whomToAsk(now, account)) {
-        return takeOfLease(now, limit, stock);
+    if (!requestTarget(now, account)) {
+        return takeFromLease(now, limit, cache);
     }
-    if (stock.question()) {
-        return AccountRuling{ AccountPass::Wait,
-                              stock.question()->sentAt + m_options.askTimeout,
-                              {} };
+    if (cache.pendingRequest()) {
+        return AccountDecision{ AccountAction::Wait,
+                                cache.pendingRequest()->sentAt + m_options.requestTimeout,
+                                {} };
     }
-    // This daemon is the home, and the bucket is empty.
-    return waitOrRefuse(now, stock, since);
+    // This daemon answered the request itself, as home or deputy, and the bucket is empty.
+    return waitOrRefuse(now, cache, since);
 }
 
-AccountRuling SharedAccountLimits::waitOrRefuse(TimePoint now, AccountStock &stock, TimePoint since)
+AccountDecision SharedAccountLimits::waitOrRefuse(TimePoint now, AccountTokenCache &cache,
+                                                  TimePoint since)
 {
-    if (stock.emptyUntil() - since <= m_options.longestWait) {
-        return AccountRuling{ AccountPass::Wait, stock.emptyUntil(), {} };
+    if (cache.emptyUntil() - since <= m_options.maxWait) {
+        return AccountDecision{ AccountAction::Wait, cache.emptyUntil(), {} };
     }
-    return refuse(now, stock, stock.retryAfter());
+    return refuse(now, cache, cache.retryAfter());
 }
 
-AccountRuling SharedAccountLimits::takeOfLease(TimePoint now, const AccountLimit &limit,
-                                               AccountStock &stock)
+AccountDecision SharedAccountLimits::takeFromLease(TimePoint now, const AccountLimit &limit,
+                                                   AccountTokenCache &cache)
 {
-    if (stock.takeOfLease(now, limit)) {
+    if (cache.takeFromLease(now, limit)) {
         return {};
     }
-    const Duration untilUnit =
-        stock.untilUnitOfLease(now, limit).value_or(m_options.longestReturn / 3);
-    return refuse(now, stock,
-                  std::clamp(untilUnit, m_options.shortestReturn, m_options.longestReturn));
+    const Duration timeUntilToken =
+        cache.timeUntilLeaseToken(now, limit).value_or(m_options.maxRetryAfter / 3);
+    return refuse(now, cache,
+                  std::clamp(timeUntilToken, m_options.minRetryAfter, m_options.maxRetryAfter));
 }
 
-/// Spread by a quarter, so that callers that are refused together do not come back together.
-AccountRuling SharedAccountLimits::refuse(TimePoint now, AccountStock &stock, Duration retryAfter)
+/// Adds jitter of ±25 %, so that callers that are refused together do not retry together.
+AccountDecision SharedAccountLimits::refuse(TimePoint now, AccountTokenCache &cache,
+                                            Duration retryAfter)
 {
-    stock.noteRefused(now);
+    cache.recordRefusal(now);
     const auto quarter =
         static_cast<std::uint64_t>(std::max<Duration::rep>(retryAfter.count() / 4, 1));
     const Duration spread(static_cast<Duration::rep>(m_random.below(2 * quarter)));
-    return AccountRuling{ AccountPass::Refuse, now, retryAfter - retryAfter / 4 + spread };
+    return AccountDecision{ AccountAction::Refuse, now, retryAfter - retryAfter / 4 + spread };
 }
 
-void SharedAccountLimits::ask(TimePoint now, const AccountName &account, const AccountLimit &limit,
-                              AccountStock &stock, std::uint32_t waiting)
+void SharedAccountLimits::requestTokens(TimePoint now, const AccountName &account,
+                                        const AccountLimit &limit, AccountTokenCache &cache,
+                                        std::uint32_t waiting)
 {
-    const std::optional<DaemonId> asked = whomToAsk(now, account);
-    if (stock.question() || !asked) {
+    const std::optional<DaemonId> target = requestTarget(now, account);
+    if (cache.pendingRequest() || !target) {
         return;
     }
-    const bool isForDeputy = *asked != m_places.homeOf(account);
-    stock.noteAsked({ ++m_lastNumber, *asked, isForDeputy, now });
-    const AccountDemand demand = stock.demand(now, account, limit, waiting);
-    if (*asked == m_places.self()) {
-        stock.receive(now, answer(now, *asked, isForDeputy, demand));
+    const bool isForDeputy = *target != m_placement.homeOf(account);
+    cache.recordRequest({ ++m_lastNumber, *target, isForDeputy, now });
+    const TokenDemand demand = cache.demand(now, account, limit, waiting);
+    if (*target == m_placement.self()) {
+        cache.receive(now, answer(now, *target, isForDeputy, demand));
         return;
     }
-    m_sends.push_back({ *asked, AccountAsk{ m_lastNumber, isForDeputy, { demand } } });
+    m_outgoing.push_back({ *target, TokenRequest{ m_lastNumber, isForDeputy, { demand } } });
 }
 
-std::optional<DaemonId> SharedAccountLimits::whomToAsk(TimePoint now,
-                                                       const AccountName &account) const
+std::optional<DaemonId> SharedAccountLimits::requestTarget(TimePoint now,
+                                                           const AccountName &account) const
 {
-    const DaemonId &home = m_places.homeOf(account);
-    if (!isSilent(now, home)) {
+    const DaemonId &home = m_placement.homeOf(account);
+    if (!isUnresponsive(now, home)) {
         return home;
     }
-    const DaemonId &deputy = m_places.deputyOf(account);
-    return isSilent(now, deputy) ? std::nullopt : std::optional(deputy);
+    const DaemonId &deputy = m_placement.deputyOf(account);
+    return isUnresponsive(now, deputy) ? std::nullopt : std::optional(deputy);
 }
 
-bool SharedAccountLimits::isSilent(TimePoint now, const DaemonId &daemon) const
+bool SharedAccountLimits::isUnresponsive(TimePoint now, const DaemonId &daemon) const
 {
-    const auto found = m_silences.find(daemon);
-    return found != m_silences.end() && now < found->second.until;
+    const auto found = m_peerStates.find(daemon);
+    return found != m_peerStates.end() && now < found->second.until;
 }
 
-void SharedAccountLimits::noteUnanswered(TimePoint now, const DaemonId &daemon)
+void SharedAccountLimits::recordUnanswered(TimePoint now, const DaemonId &daemon)
 {
-    Silence &silence = m_silences[daemon];
-    if (++silence.unanswered >= m_options.mostAsks) {
-        silence.until = now + m_options.silence;
+    PeerState &state = m_peerStates[daemon];
+    if (++state.unanswered >= m_options.maxUnansweredRequests) {
+        state.until = now + m_options.unresponsiveTime;
     }
 }
 
-AccountPart SharedAccountLimits::answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
-                                        const AccountDemand &demand)
+TokenGrant SharedAccountLimits::answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
+                                       const TokenDemand &demand)
 {
     const AccountLimit *limit = limitOf(demand.account);
-    const bool isHome = m_places.homeOf(demand.account) == m_places.self();
+    const bool isHome = m_placement.homeOf(demand.account) == m_placement.self();
     if (!limit || (!isHome && !isForDeputy)) {
-        AccountPart part;
-        part.account = demand.account;
-        part.isFromHome = false;
-        return part;
+        TokenGrant grant;
+        grant.account = demand.account;
+        grant.isFromHome = false;
+        return grant;
     }
     auto &homes = isHome ? m_homes : m_deputies;
-    const TimePoint since = isHome ? m_places.changedAt() : now;
+    const TimePoint since = isHome ? m_placement.changedAt() : now;
     const auto home = homes
                           .emplace(std::piecewise_construct, std::forward_as_tuple(demand.account),
-                                   std::forward_as_tuple(since, !isHome, m_options, m_places))
+                                   std::forward_as_tuple(since, !isHome, m_options, m_placement))
                           .first;
-    return home->second.give(now, *limit, entry, demand);
+    return home->second.grantTokens(now, *limit, entry, demand);
 }
 
 void SharedAccountLimits::receive(TimePoint now, const DaemonId &from,
                                   const AccountMessage &message, std::vector<AccountName> &granted)
 {
-    if (const auto *grant = std::get_if<AccountGrant>(&message)) {
-        receiveGrant(now, from, *grant, granted);
+    if (const auto *response = std::get_if<TokenResponse>(&message)) {
+        receiveResponse(now, from, *response, granted);
         return;
     }
-    const auto &ask = std::get<AccountAsk>(message);
-    AccountGrant grant;
-    grant.number = ask.number;
-    for (const AccountDemand &demand : ask.demands) {
-        grant.parts.push_back(answer(now, from, ask.isForDeputy, demand));
+    const auto &request = std::get<TokenRequest>(message);
+    TokenResponse response;
+    response.number = request.number;
+    for (const TokenDemand &demand : request.demands) {
+        response.grants.push_back(answer(now, from, request.isForDeputy, demand));
     }
-    m_sends.push_back({ from, std::move(grant) });
+    m_outgoing.push_back({ from, std::move(response) });
 }
 
-void SharedAccountLimits::receiveGrant(TimePoint now, const DaemonId &from,
-                                       const AccountGrant &grant, std::vector<AccountName> &granted)
+void SharedAccountLimits::receiveResponse(TimePoint now, const DaemonId &from,
+                                          const TokenResponse &response,
+                                          std::vector<AccountName> &granted)
 {
-    m_silences.erase(from);
-    for (const AccountPart &part : grant.parts) {
-        const auto found = m_stocks.find(part.account);
-        if (found == m_stocks.end()) {
+    m_peerStates.erase(from);
+    for (const TokenGrant &grant : response.grants) {
+        const auto found = m_tokenCaches.find(grant.account);
+        if (found == m_tokenCaches.end()) {
             continue;
         }
-        AccountStock &stock = found->second;
-        const auto &question = stock.question();
-        if (!question || question->number != grant.number || question->asked != from) {
+        AccountTokenCache &cache = found->second;
+        const auto &pendingRequest = cache.pendingRequest();
+        if (!pendingRequest || pendingRequest->number != response.number
+            || pendingRequest->target != from) {
             continue;
         }
-        if (stock.receive(now, part)) {
-            granted.push_back(part.account);
+        if (cache.receive(now, grant)) {
+            granted.push_back(grant.account);
         }
-        if (!part.isFromHome) {
-            // Either daemon has not heard yet who is there.
-            m_silences[from].until = now + m_options.askTimeout;
+        if (!grant.isFromHome) {
+            // One of the two daemons has an outdated list of members or limits.
+            m_peerStates[from].until = now + m_options.requestTimeout;
         }
     }
 }
 
-AccountSends SharedAccountLimits::takeSends()
+OutgoingAccountMessages SharedAccountLimits::takeOutgoing()
 {
-    return std::exchange(m_sends, {});
+    return std::exchange(m_outgoing, {});
 }
 
-void SharedAccountLimits::giveBack(TimePoint now, const AccountName &account)
+void SharedAccountLimits::refund(TimePoint now, const AccountName &account)
 {
-    const auto found = m_stocks.find(account);
-    if (found != m_stocks.end()) {
-        found->second.giveBack(now);
+    const auto found = m_tokenCaches.find(account);
+    if (found != m_tokenCaches.end()) {
+        found->second.refund(now);
     }
 }
 
-std::vector<AccountStanding> SharedAccountLimits::standings(TimePoint now) const
+std::vector<AccountStatus> SharedAccountLimits::statuses(TimePoint now) const
 {
-    std::vector<AccountStanding> all;
-    for (const auto &[account, stock] : m_stocks) {
+    std::vector<AccountStatus> all;
+    for (const auto &[account, cache] : m_tokenCaches) {
         const AccountLimit *limit = limitOf(account);
         if (limit) {
-            all.push_back({ account, *limit, stock.demandRate(now), stock.refusedRate(now),
-                            m_places.homeOf(account) == m_places.self(),
-                            !whomToAsk(now, account) });
+            all.push_back({ account, *limit, cache.demandRate(now), cache.refusedRate(now),
+                            m_placement.homeOf(account) == m_placement.self(),
+                            !requestTarget(now, account) });
         }
     }
     return all;
@@ -260,32 +266,32 @@
     return found == m_limits.end() ? nullptr : &found->second;
 }
 
-AccountStock &SharedAccountLimits::stockOf(TimePoint now, const AccountName &account)
+AccountTokenCache &SharedAccountLimits::tokenCacheOf(TimePoint now, const AccountName &account)
 {
-    return m_stocks
+    return m_tokenCaches
         .emplace(std::piecewise_construct, std::forward_as_tuple(account),
                  std::forward_as_tuple(now, m_options))
         .first->second;
 }
 
-/// What is not used any more, so that memory does not grow with all accounts that ever came by.
-void SharedAccountLimits::forget(TimePoint now)
+/// Removes unused entries, so that memory does not grow with every account ever seen.
+void SharedAccountLimits::removeExpired(TimePoint now)
 {
-    if (now - m_forgotAt < FORGET_INTERVAL) {
+    if (now - m_cleanedUpAt < CLEANUP_INTERVAL) {
         return;
     }
-    m_forgotAt = now;
-    for (auto it = m_stocks.begin(); it != m_stocks.end();) {
-        const bool isIdle = now - it->second.usedAt() > m_options.leaseLife;
-        it = isIdle ? m_stocks.erase(it) : std::next(it);
+    m_cleanedUpAt = now;
+    for (auto it = m_tokenCaches.begin(); it != m_tokenCaches.end();) {
+        const bool isIdle = now - it->second.lastUsedAt() > m_options.leaseDuration;
+        it = isIdle ? m_tokenCaches.erase(it) : std::next(it);
     }
-    const auto forgetHomes = [now](auto &homes, Duration life) {
+    const auto removeIdleHomes = [now](auto &homes, Duration life) {
         for (auto it = homes.begin(); it != homes.end();) {
-            it = now - it->second.askedAt() > life ? homes.erase(it) : std::next(it);
+            it = now - it->second.lastRequestAt() > life ? homes.erase(it) : std::next(it);
         }
     };
-    forgetHomes(m_homes, 2 * m_options.leaseLife);
-    forgetHomes(m_deputies, m_options.leaseLife);
+    removeIdleHomes(m_homes, 2 * m_options.leaseDuration);
+    removeIdleHomes(m_deputies, m_options.leaseDuration);
 }
 
 } // namespace ivyspar
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -3,12 +3,12 @@
 #include <unordered_map>
 
 #include "coordination/accounts/internal/accounthome.h"
-#include "coordination/accounts/internal/accountplaces.h"
-#include "coordination/accounts/internal/accountstock.h"
+#include "coordination/accounts/internal/accountplacement.h"
+#include "coordination/accounts/internal/accounttokencache.h"
 
 namespace ivyspar {
 
-/// Limits of accounts, each counted at its home.
+/// Account limits whose token buckets are kept at the accounts' homes.
 class SharedAccountLimits : public IAccountLimits
 {
 public:
@@ -16,52 +16,55 @@
 
     void setMembers(TimePoint now, const DaemonId &self,
                     const std::vector<AccountMember> &members) override;
-    void setListed(std::size_t daemons) override { m_places.setListed(daemons); }
+    void setDirectorySize(std::size_t daemons) override { m_placement.setDirectorySize(daemons); }
     void setLimits(TimePoint now, AccountLimits limits) override;
-    AccountRuling take(TimePoint now, const AccountName &account, TimePoint since) override;
-    void giveBack(TimePoint now, const AccountName &account) override;
+    AccountDecision take(TimePoint now, const AccountName &account, TimePoint since) override;
+    void refund(TimePoint now, const AccountName &account) override;
     void receive(TimePoint now, const DaemonId &from, const AccountMessage &message,
                  std::vector<AccountName> &granted) override;
-    AccountSends takeSends() override;
-    std::vector<AccountStanding> standings(TimePoint now) const override;
+    OutgoingAccountMessages takeOutgoing() override;
+    std::vector<AccountStatus> statuses(TimePoint now) const override;
 
 private:
-    struct Silence
+    struct PeerState
     {
         std::uint32_t unanswered = 0;
         TimePoint until;
     };
     const AccountLimit *limitOf(const AccountName &account) const;
-    AccountStock &stockOf(TimePoint now, const AccountName &account);
-    AccountRuling takeFromHome(TimePoint now, const AccountName &account, const AccountLimit &limit,
-                               AccountStock &stock, TimePoint since);
-    AccountRuling waitOrRefuse(TimePoint now, AccountStock &stock, TimePoint since);
-    AccountRuling takeOfLease(TimePoint now, const AccountLimit &limit, AccountStock &stock);
-    AccountRuling refuse(TimePoint now, AccountStock &stock, Duration retryAfter);
-    void ask(TimePoint now, const AccountName &account, const AccountLimit &limit,
-             AccountStock &stock, std::uint32_t waiting);
-    /// The daemon to ask: the home, its deputy while that is silent, or nobody.
-    std::optional<DaemonId> whomToAsk(TimePoint now, const AccountName &account) const;
-    bool isSilent(TimePoint now, const DaemonId &daemon) const;
-    void noteUnanswered(TimePoint now, const DaemonId &daemon);
-    AccountPart answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
-                       const AccountDemand &demand);
-    void receiveGrant(TimePoint now, const DaemonId &from, const AccountGrant &grant,
-                      std::vector<AccountName> &granted);
-    void forget(TimePoint now);
+    AccountTokenCache &tokenCacheOf(TimePoint now, const AccountName &account);
+    AccountDecision takeFromHome(TimePoint now, const AccountName &account,
+                                 const AccountLimit &limit, AccountTokenCache &cache,
+                                 TimePoint since);
+    AccountDecision waitOrRefuse(TimePoint now, AccountTokenCache &cache, TimePoint since);
+    AccountDecision takeFromLease(TimePoint now, const AccountLimit &limit,
+                                  AccountTokenCache &cache);
+    AccountDecision refuse(TimePoint now, AccountTokenCache &cache, Duration retryAfter);
+    void requestTokens(TimePoint now, const AccountName &account, const AccountLimit &limit,
+                       AccountTokenCache &cache, std::uint32_t waiting);
+    /// The daemon to request tokens from: the home, the deputy while the home is unresponsive, or
+    /// none.
+    std::optional<DaemonId> requestTarget(TimePoint now, const AccountName &account) const;
+    bool isUnresponsive(TimePoint now, const DaemonId &daemon) const;
+    void recordUnanswered(TimePoint now, const DaemonId &daemon);
+    TokenGrant answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
+                      const TokenDemand &demand);
+    void receiveResponse(TimePoint now, const DaemonId &from, const TokenResponse &response,
+                         std::vector<AccountName> &granted);
+    void removeExpired(TimePoint now);
 
     IRandom &m_random;
     AccountLimitOptions m_options;
-    AccountPlaces m_places;
+    AccountPlacement m_placement;
     AccountLimits m_limits;
-    std::unordered_map<AccountName, AccountStock> m_stocks;
-    /// Of the accounts whose home is here, and of those for whose home this daemon acts.
+    std::unordered_map<AccountName, AccountTokenCache> m_tokenCaches;
+    /// Accounts whose home is this daemon, and accounts for whose home it is the deputy.
     std::unordered_map<AccountName, AccountHome> m_homes;
     std::unordered_map<AccountName, AccountHome> m_deputies;
-    std::unordered_map<DaemonId, Silence> m_silences;
-    AccountSends m_sends;
+    std::unordered_map<DaemonId, PeerState> m_peerStates;
+    OutgoingAccountMessages m_outgoing;
     std::uint32_t m_lastNumber = 0;
-    TimePoint m_forgotAt;
+    TimePoint m_cleanedUpAt;
 };
 
 } // namespace ivyspar
--- a/src/coordination/accounts/tests/accountlimitstest.cpp
+++ b/src/coordination/accounts/tests/accountlimitstest.cpp
@@ -11,20 +11,20 @@
 
 constexpr std::size_t DAEMONS = 76;
 constexpr std::size_t ACCOUNTS = 80;
-/// Over all accounts.
+/// Total demand of all accounts.
 constexpr double REQUESTS_PER_S = 1500;
-/// Limits over the usual demand.
+/// Ratio of the limits to the usual demand.
 constexpr double HEADROOM = 1.6;
-/// What is asked for, the goals for what is let in of it.
-constexpr double CALM_GOAL = 0.98;
-constexpr double CUT_GOAL = 0.95;
+/// Goals for the admitted share of the requests that an exact token bucket would admit.
+constexpr double MIN_SHARE_UNDISTURBED = 0.98;
+constexpr double MIN_SHARE_AFTER_FAULT = 0.95;
 
-AccountFleet::Account makeAccount(const std::string &name, double usual, std::size_t daemons)
+AccountFleet::Account makeAccount(const std::string &name, double usualDemand, std::size_t daemons)
 {
     AccountFleet::Account account;
     account.name = AccountName(name);
-    account.demand = usual;
-    account.limit.rate = std::floor(usual * HEADROOM);
+    account.demand = usualDemand;
+    account.limit.rate = std::floor(usualDemand * HEADROOM);
     account.limit.burst = account.limit.rate;
     for (std::size_t i = 0; i < daemons; ++i) {
         account.callers.push_back(i);
@@ -32,7 +32,7 @@
     return account;
 }
 
-/// A few accounts are large and most are small; callers of each are at all daemons.
+/// A few accounts are large and most are small; each has callers at all daemons.
 void addAccounts(AccountFleet &fleet)
 {
     double all = 0;
@@ -53,46 +53,46 @@
     }
 }
 
-double letInWhile(AccountFleet &fleet, Duration time)
+double admittedShareDuring(AccountFleet &fleet, Duration time)
 {
     fleet.resetCounts();
     fleet.advance(time);
-    return fleet.shareLetIn();
+    return fleet.admittedShare();
 }
 
 } // namespace
 
 TEST_GROUP(AccountLimits){};
 
-// Guards against requests within a limit that are refused because their unit lies at another
+// Guards against requests within a limit that are refused because the token is cached at another
 // daemon.
-TEST(AccountLimits, WhatIsWithinTheLimitIsLetInOnCalmDaysAndInBursts)
+TEST(AccountLimits, RequestsWithinTheLimitAreAdmittedUnderSteadyAndBurstLoad)
 {
     AccountFleet fleet({}, 1);
     addAccounts(fleet);
     fleet.advance(5s);
-    CHECK_COMPARE(letInWhile(fleet, 5s), >=, CALM_GOAL);
+    CHECK_COMPARE(admittedShareDuring(fleet, 5s), >=, MIN_SHARE_UNDISTURBED);
     setDemands(fleet, 1.5);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CALM_GOAL);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_UNDISTURBED);
     setDemands(fleet, 2.7);
-    CHECK_COMPARE(letInWhile(fleet, 5s), >=, CALM_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 5s), >=, MIN_SHARE_UNDISTURBED);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// The other way that was built, under the same load.
-TEST(AccountLimits, EqualPartsRefuseMuchOfWhatIsWithinTheLimit)
+// The alternative without homes, under the same load, for comparison.
+TEST(AccountLimits, EqualSharesRefuseRequestsWithinTheLimit)
 {
-    AccountFleet::Terms terms;
-    terms.options.hasHomes = false;
-    AccountFleet fleet(terms, 1);
+    AccountFleet::Parameters parameters;
+    parameters.options.hasHomes = false;
+    AccountFleet fleet(parameters, 1);
     addAccounts(fleet);
     fleet.advance(5s);
-    CHECK_COMPARE(letInWhile(fleet, 5s), <, CALM_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 5s), <, MIN_SHARE_UNDISTURBED);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against an account that pushes others aside by its own load.
-TEST(AccountLimits, OneAccountFarOverItsLimitTakesNothingFromOthers)
+// Guards against an overloaded account that displaces requests of others.
+TEST(AccountLimits, AccountFarOverItsLimitDoesNotAffectOthers)
 {
     AccountFleet fleet({}, 2);
     addAccounts(fleet);
@@ -100,12 +100,12 @@
     fleet.setDemand(1, fleet.accounts()[1].demand * 7.5);
     fleet.resetCounts();
     fleet.advance(5s);
-    CHECK_COMPARE(fleet.shareLetIn(), >=, CALM_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(fleet.admittedShare(), >=, MIN_SHARE_UNDISTURBED);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against a limit that is spent once on each side of a cut.
-TEST(AccountLimits, ACutDomainKeepsItsPartAndNoMore)
+// Guards against a limit that is used in full on each side of a network partition.
+TEST(AccountLimits, PartitionedDomainStaysWithinItsShare)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         AccountFleet fleet({}, seed);
@@ -113,16 +113,16 @@
         fleet.advance(20s);
         setDemands(fleet, 4.7);
         fleet.advance(2s);
-        fleet.cutOff(fleet.domain(1));
+        fleet.partition(fleet.domain(1));
         fleet.advance(6s);
-        fleet.cutOff({});
+        fleet.partition({});
         fleet.advance(6s);
-        CHECK_COMPARE(fleet.mostOver(), <=, 0);
+        CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
     }
 }
 
-// Guards against a daemon that is the home of many accounts and takes their limits with it.
-TEST(AccountLimits, AHomeThatIsKilledIsReplaced)
+// Guards against accounts that cannot be used once the daemon that is their home is killed.
+TEST(AccountLimits, KilledHomesAreReplaced)
 {
     AccountFleet fleet({}, 3);
     addAccounts(fleet);
@@ -130,18 +130,18 @@
     for (std::size_t i = 0; i < 12; ++i) {
         fleet.kill(i * 6);
     }
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, 0.9);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, 0.9);
     for (std::size_t i = 0; i < 12; ++i) {
         fleet.restart(i * 6);
     }
     fleet.advance(2s);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CUT_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_AFTER_FAULT);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against limits that each daemon spends for itself after all lost power, and against
-// accounts that get nothing then.
-TEST(AccountLimits, AfterAllLostPowerLimitsHoldAndAreUsed)
+// Guards against limits that each daemon uses in full after a restart of all of them, and against
+// accounts without any tokens then.
+TEST(AccountLimits, LimitsHoldAndAreUsedAfterAllDaemonsRestart)
 {
     AccountFleet fleet({}, 4);
     addAccounts(fleet);
@@ -155,12 +155,12 @@
         fleet.restart(i);
     }
     fleet.advance(2s);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CUT_GOAL);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_AFTER_FAULT);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
 }
 
-// Guards against a limit that was lowered and goes on as before, or was raised in vain.
-TEST(AccountLimits, ALimitThatChangesBindsAndGives)
+// Guards against lowered or raised limits that do not take effect.
+TEST(AccountLimits, ChangedLimitTakesEffect)
 {
     AccountFleet fleet({}, 5);
     fleet.addAccount(makeAccount("account", 200, DAEMONS));
@@ -168,15 +168,15 @@
     fleet.advance(5s);
     fleet.setLimit(0, { 60, 60 }, 2500ms);
     fleet.advance(15s);
-    CHECK_COMPARE(fleet.mostOver(), <=, 0);
+    CHECK_COMPARE(fleet.maxOverBound(), <=, 0);
     fleet.setLimit(0, { 400, 400 }, 2500ms);
     setDemands(fleet, 1.5);
     fleet.advance(3s);
-    CHECK_COMPARE(letInWhile(fleet, 3s), >=, CALM_GOAL);
+    CHECK_COMPARE(admittedShareDuring(fleet, 3s), >=, MIN_SHARE_UNDISTURBED);
 }
 
-// Guards against a request that no server ran and that is counted all the same.
-TEST(AccountLimits, AUnitThatIsGivenBackServesAnotherRequest)
+// Guards against requests that count against the limit though no server ran them.
+TEST(AccountLimits, RefundedTokenServesAnotherRequest)
 {
     SeededRandom random(1);
     const auto limits = makeAccountLimits(TimePoint(100s), random);
@@ -186,14 +186,14 @@
     limits->setLimits(TimePoint(100s), { { account, { 1, 1 } } });
     const TimePoint now(120s);
     std::size_t taken = 0;
-    while (limits->take(now, account, now).pass == AccountPass::Go) {
+    while (limits->take(now, account, now).action == AccountAction::Admit) {
         ++taken;
     }
     CHECK_COMPARE(taken, >=, 1);
-    limits->giveBack(now, account);
-    CHECK(limits->take(now, account, now).pass == AccountPass::Go);
-    const AccountRuling ruling = limits->take(now, account, now);
-    CHECK(ruling.pass == AccountPass::Refuse);
-    CHECK(ruling.retryAfter > Duration::zero());
-    CHECK(limits->take(now, AccountName("unlimited"), now).pass == AccountPass::Go);
+    limits->refund(now, account);
+    CHECK(limits->take(now, account, now).action == AccountAction::Admit);
+    const AccountDecision decision = limits->take(now, account, now);
+    CHECK(decision.action == AccountAction::Refuse);
+    CHECK(decision.retryAfter > Duration::zero());
+    CHECK(limits->take(now, AccountName("unlimited"), now).action == AccountAction::Admit);
 }
--- a/src/coordination/accounts/tests/mocks/accountfleet.h
+++ b/src/coordination/accounts/tests/mocks/accountfleet.h
@@ -14,51 +14,52 @@
 
 namespace ivyspar {
 
-/// Limits of client accounts as many daemons count them under a fake clock, which exchange messages
-/// with a delay, losses and cuts. Members are noticed as gone or back after some time, at each
-/// daemon at another moment. What is let in is held against an exact bucket and against the bound
-/// on what may be let in.
+/// Simulates the account limits of many daemons under a fake clock, with message delay, message
+/// loss and network partitions. Each daemon detects departed and returned members after a random
+/// delay of its own. Admitted requests are compared with an exact token bucket and with the upper
+/// bound.
 class AccountFleet
 {
 public:
     static constexpr Duration STEP = std::chrono::milliseconds(1);
 
-    struct Terms
+    struct Parameters
     {
         std::size_t daemons = 76;
         std::size_t domains = 4;
         AccountLimitOptions options;
         double lossShare = 0;
         Duration delay = std::chrono::milliseconds(1);
-        /// From a change of who is there until a daemon notices: at least and at most.
-        Duration soonest = std::chrono::milliseconds(800);
-        Duration latest = std::chrono::milliseconds(1800);
-        /// The bound: within any window, this much more than rate and burst allow.
+        /// Bounds of the delay until a daemon detects a change of members.
+        Duration minDetectionTime = std::chrono::milliseconds(800);
+        Duration maxDetectionTime = std::chrono::milliseconds(1800);
+        /// The bound: within any window, rate and burst may be exceeded by the overage (a fraction)
+        /// plus the slack (requests).
         Duration window = std::chrono::seconds(5);
         double overage = 0.1;
         double slack = 20;
     };
 
-    /// One client account and how its callers ask.
+    /// A client account and the load of its callers.
     struct Account
     {
         AccountName name;
         AccountLimit limit;
-        /// Requests a second over all callers, and where these are.
+        /// Requests per second of all callers, and the daemons of these.
         double demand = 0;
         std::vector<std::size_t> callers;
 
-        /// What came of it.
+        /// Requests sent, those that an exact token bucket would admit, and those admitted.
         std::uint64_t asked = 0;
-        std::uint64_t owed = 0;
-        std::uint64_t letIn = 0;
-        /// Of the largest limit within the window, the most that any window had over the bound;
-        /// negative if all were below.
-        double mostOver = -1e9;
-        double exactUnits = 0;
+        std::uint64_t expected = 0;
+        std::uint64_t admitted = 0;
+        /// Largest excess over the bound in any window, by the largest limit within the window;
+        /// negative if all windows were below it.
+        double maxOverBound = -1e9;
+        double exactTokens = 0;
         TimePoint exactAt;
         std::deque<TimePoint> recent;
-        /// The limit that the bound goes by: a lower one binds one window after the change.
+        /// The limit that the bound is based on: a lower one applies one window after the change.
         double boundRate = 0;
         double boundBurst = 0;
         TimePoint boundUntil;
@@ -66,22 +67,22 @@
         double nextBoundBurst = 0;
     };
 
-    AccountFleet(const Terms &terms, std::uint64_t seed)
-        : m_terms(terms)
+    AccountFleet(const Parameters &parameters, std::uint64_t seed)
+        : m_parameters(parameters)
         , m_random(seed)
     {
-        for (std::size_t i = 0; i < terms.daemons; ++i) {
+        for (std::size_t i = 0; i < parameters.daemons; ++i) {
             m_nodes.push_back(std::make_unique<Node>());
             start(i);
         }
-        for (std::size_t i = 0; i < terms.daemons; ++i) {
-            notice(i);
+        for (std::size_t i = 0; i < parameters.daemons; ++i) {
+            updateMembersAt(i);
         }
     }
 
     void addAccount(Account account)
     {
-        account.exactUnits = account.limit.burst;
+        account.exactTokens = account.limit.burst;
         account.exactAt = m_now;
         account.boundRate = account.limit.rate;
         account.boundBurst = account.limit.burst;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// In force at each daemon within `within`.
+    /// Takes effect at each daemon after a random time of at most `within`.
     void setLimit(std::size_t index, AccountLimit limit, Duration within)
     {
         Account &account = m_accounts[index];
@@ -100,29 +101,30 @@
         if (isLower) {
             account.nextBoundRate = limit.rate;
             account.nextBoundBurst = limit.burst;
-            account.boundUntil = m_now + within + m_terms.window;
+            account.boundUntil = m_now + within + m_parameters.window;
         } else {
             account.boundRate = limit.rate;
             account.boundBurst = limit.burst;
             account.boundUntil = TimePoint();
         }
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            m_changes.emplace(m_now + drawn(Duration::zero(), within), i);
+            m_changes.emplace(m_now + randomDuration(Duration::zero(), within), i);
         }
     }
     void setDemand(std::size_t index, double demand) { m_accounts[index].demand = demand; }
 
-    /// All messages between these daemons and the others are lost from now on.
-    void cutOff(std::set<std::size_t> daemons)
+    /// From now on, all messages between these daemons and the others are lost. Replaces the
+    /// previous partition; none if empty.
+    void partition(std::set<std::size_t> daemons)
     {
-        m_cutOff = std::move(daemons);
-        shareMembers();
+        m_partitioned = std::move(daemons);
+        updateMembers();
     }
     std::set<std::size_t> domain(std::size_t index) const
     {
         std::set<std::size_t> daemons;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (i % m_terms.domains == index) {
+            if (i % m_parameters.domains == index) {
                 daemons.insert(i);
             }
         }
@@ -131,24 +133,24 @@
     void kill(std::size_t index)
     {
         m_nodes[index]->isUp = false;
-        shareMembers();
+        updateMembers();
     }
-    /// The daemon's process starts anew and knows nothing but how many there are.
+    /// Restarts the daemon without its state; it knows only the size of the directory.
     void restart(std::size_t index)
     {
         start(index);
-        m_nodes[index]->limits->setListed(m_nodes.size());
-        shareMembers();
-        // It finds the others sooner than they notice that it was gone.
-        m_nodes[index]->noticeAt =
-            m_now + drawn(std::chrono::milliseconds(50), std::chrono::milliseconds(400));
+        m_nodes[index]->limits->setDirectorySize(m_nodes.size());
+        updateMembers();
+        // It discovers the others before they detect that it was gone.
+        m_nodes[index]->memberUpdateAt =
+            m_now + randomDuration(std::chrono::milliseconds(50), std::chrono::milliseconds(400));
     }
-    /// It neither works nor notices that time passes; what is sent to it waits.
+    /// Stops the daemon and its clock; messages to it are delayed.
     void pause(std::size_t index) { m_nodes[index]->pausedAt = m_now; }
     void resume(std::size_t index)
     {
         Node &node = *m_nodes[index];
-        node.lost += std::chrono::duration_cast<Duration>(m_now - *node.pausedAt);
+        node.clockLag += std::chrono::duration_cast<Duration>(m_now - *node.pausedAt);
         node.pausedAt.reset();
     }
     bool isPaused(std::size_t index) const { return m_nodes[index]->pausedAt.has_value(); }
@@ -162,11 +164,11 @@
         }
     }
 
-    /// Begins to count anew what comes of the requests, but not the windows.
+    /// Resets the request counts, but not the windows.
     void resetCounts()
     {
         for (Account &account : m_accounts) {
-            account.asked = account.owed = account.letIn = 0;
+            account.asked = account.expected = account.admitted = 0;
         }
     }
     std::vector<Account> &accounts() { return m_accounts; }
@@ -174,23 +176,23 @@
     TimePoint now() const { return m_now; }
     std::size_t size() const { return m_nodes.size(); }
 
-    /// Of what an exact bucket would have let in, the share that was let in, at most all of it.
-    double shareLetIn() const
+    /// Admitted share of the requests that an exact token bucket would have admitted, at most 1.
+    double admittedShare() const
     {
-        double owed = 0;
-        double letIn = 0;
+        double expected = 0;
+        double admitted = 0;
         for (const Account &account : m_accounts) {
-            owed += static_cast<double>(account.owed);
-            letIn += static_cast<double>(std::min(account.owed, account.letIn));
+            expected += static_cast<double>(account.expected);
+            admitted += static_cast<double>(std::min(account.expected, account.admitted));
         }
-        return owed > 0 ? letIn / owed : 1;
+        return expected > 0 ? admitted / expected : 1;
     }
-    /// The most that any account had over its bound in any window.
-    double mostOver() const
+    /// Largest excess of any account over its bound in any window; negative if there was none.
+    double maxOverBound() const
     {
         double most = -1e9;
         for (const Account &account : m_accounts) {
-            most = std::max(most, account.mostOver);
+            most = std::max(most, account.maxOverBound);
         }
         return most;
     }
@@ -208,10 +210,10 @@
         std::unique_ptr<IAccountLimits> limits;
         std::vector<Waiting> waiting;
         bool isUp = true;
-        TimePoint noticeAt = TimePoint::max();
+        TimePoint memberUpdateAt = TimePoint::max();
         std::optional<TimePoint> pausedAt;
-        /// Time that its clock has not counted.
-        Duration lost{ 0 };
+        /// Total time for which its clock was stopped.
+        Duration clockLag{ 0 };
     };
     struct Message
     {
@@ -227,15 +229,16 @@
     }
     AccountMember memberOf(std::size_t index) const
     {
-        return { idOf(index), DomainName("domain-" + std::to_string(index % m_terms.domains)) };
+        return { idOf(index),
+                 DomainName("domain-" + std::to_string(index % m_parameters.domains)) };
     }
-    Duration drawn(Duration least, Duration most)
+    Duration randomDuration(Duration least, Duration most)
     {
         const auto width =
             static_cast<std::uint64_t>(std::max<Duration::rep>((most - least).count(), 1));
         return least + Duration(static_cast<Duration::rep>(m_random.below(width)));
     }
-    TimePoint clockOf(const Node &node) const { return m_now - node.lost; }
+    TimePoint clockOf(const Node &node) const { return m_now - node.clockLag; }
     AccountLimits limits() const
     {
         AccountLimits limits;
@@ -250,31 +253,33 @@
         Node &node = *m_nodes[index];
         node = Node();
         node.random = std::make_unique<SeededRandom>(m_random.next() + index);
-        node.limits = makeAccountLimits(m_now, *node.random, m_terms.options);
+        node.limits = makeAccountLimits(m_now, *node.random, m_parameters.options);
         node.limits->setLimits(m_now, limits());
         node.limits->setMembers(m_now, idOf(index), { memberOf(index) });
     }
-    bool areLinked(std::size_t a, std::size_t b) const
+    bool areConnected(std::size_t a, std::size_t b) const
     {
-        return a == b || m_cutOff.count(a) == m_cutOff.count(b);
+        return a == b || m_partitioned.count(a) == m_partitioned.count(b);
     }
-    void notice(std::size_t index)
+    void updateMembersAt(std::size_t index)
     {
         std::vector<AccountMember> members;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (i == index || (m_nodes[i]->isUp && areLinked(i, index))) {
+            if (i == index || (m_nodes[i]->isUp && areConnected(i, index))) {
                 members.push_back(memberOf(i));
             }
         }
         Node &node = *m_nodes[index];
         node.limits->setMembers(clockOf(node), idOf(index), members);
-        node.noticeAt = TimePoint::max();
+        node.memberUpdateAt = TimePoint::max();
     }
-    void shareMembers()
+    void updateMembers()
     {
         for (const auto &node : m_nodes) {
-            node->noticeAt =
-                std::min(node->noticeAt, m_now + drawn(m_terms.soonest, m_terms.latest));
+            node->memberUpdateAt = std::min(
+                node->memberUpdateAt,
+                m_now
+                    + randomDuration(m_parameters.minDetectionTime, m_parameters.maxDetectionTime));
         }
     }
 
@@ -285,16 +290,16 @@
             node.limits->setLimits(clockOf(node), limits());
             m_changes.erase(m_changes.begin());
         }
-        while (!m_onTheWay.empty() && m_onTheWay.begin()->first <= m_now) {
-            const std::vector<Message> arrived = std::move(m_onTheWay.begin()->second);
-            m_onTheWay.erase(m_onTheWay.begin());
+        while (!m_inFlight.empty() && m_inFlight.begin()->first <= m_now) {
+            const std::vector<Message> arrived = std::move(m_inFlight.begin()->second);
+            m_inFlight.erase(m_inFlight.begin());
             for (const Message &message : arrived) {
                 deliver(message);
             }
         }
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (m_now >= m_nodes[i]->noticeAt && m_nodes[i]->isUp && !m_nodes[i]->pausedAt) {
-                notice(i);
+            if (m_now >= m_nodes[i]->memberUpdateAt && m_nodes[i]->isUp && !m_nodes[i]->pausedAt) {
+                updateMembersAt(i);
             }
         }
         for (std::size_t i = 0; i < m_accounts.size(); ++i) {
@@ -329,12 +334,12 @@
         ++account.asked;
         const double passed =
             toSeconds(std::chrono::duration_cast<Duration>(m_now - account.exactAt));
-        account.exactUnits =
-            std::min(account.exactUnits + passed * account.limit.rate, account.limit.burst);
+        account.exactTokens =
+            std::min(account.exactTokens + passed * account.limit.rate, account.limit.burst);
         account.exactAt = m_now;
-        if (account.exactUnits >= 1) {
-            account.exactUnits -= 1;
-            ++account.owed;
+        if (account.exactTokens >= 1) {
+            account.exactTokens -= 1;
+            ++account.expected;
         }
         ask(entry, Waiting{ index, clockOf(node), {} });
     }
@@ -343,19 +348,20 @@
     {
         Node &node = *m_nodes[entry];
         Account &account = m_accounts[request.account];
-        const AccountRuling ruling = node.limits->take(clockOf(node), account.name, request.since);
+        const AccountDecision decision =
+            node.limits->take(clockOf(node), account.name, request.since);
         post(entry);
-        if (ruling.pass == AccountPass::Go) {
-            letIn(account);
-        } else if (ruling.pass == AccountPass::Wait) {
-            request.until = ruling.until;
+        if (decision.action == AccountAction::Admit) {
+            admitted(account);
+        } else if (decision.action == AccountAction::Wait) {
+            request.until = decision.until;
             node.waiting.push_back(request);
         }
     }
 
-    void letIn(Account &account)
+    void admitted(Account &account)
     {
-        ++account.letIn;
+        ++account.admitted;
         if (account.boundUntil != TimePoint() && m_now >= account.boundUntil) {
             account.boundRate = account.nextBoundRate;
             account.boundBurst = account.nextBoundBurst;
@@ -363,14 +369,15 @@
             account.recent.clear();
         }
         account.recent.push_back(m_now);
-        while (account.recent.front() <= m_now - m_terms.window) {
+        while (account.recent.front() <= m_now - m_parameters.window) {
             account.recent.pop_front();
         }
-        const double bound = (account.boundRate * toSeconds(m_terms.window) + account.boundBurst)
-                * (1 + m_terms.overage)
-            + m_terms.slack;
-        account.mostOver =
-            std::max(account.mostOver, static_cast<double>(account.recent.size()) - bound);
+        const double bound =
+            (account.boundRate * toSeconds(m_parameters.window) + account.boundBurst)
+                * (1 + m_parameters.overage)
+            + m_parameters.slack;
+        account.maxOverBound =
+            std::max(account.maxOverBound, static_cast<double>(account.recent.size()) - bound);
     }
 
     void wake(std::size_t index)
@@ -394,11 +401,11 @@
 
     void post(std::size_t from)
     {
-        for (AccountSend &send : m_nodes[from]->limits->takeSends()) {
+        for (OutgoingAccountMessage &send : m_nodes[from]->limits->takeOutgoing()) {
             const std::size_t to = indexOf(send.to);
             ++m_messages;
-            if (areLinked(from, to) && m_random.unit() >= m_terms.lossShare) {
-                m_onTheWay[m_now + m_terms.delay].push_back(
+            if (areConnected(from, to) && m_random.unit() >= m_parameters.lossShare) {
+                m_inFlight[m_now + m_parameters.delay].push_back(
                     Message{ from, to, std::move(send.message) });
             }
         }
@@ -411,7 +418,7 @@
             return;
         }
         if (node.pausedAt) {
-            m_onTheWay[m_now + m_terms.delay].push_back(message);
+            m_inFlight[m_now + m_parameters.delay].push_back(message);
             return;
         }
         std::vector<AccountName> granted;
@@ -427,14 +434,14 @@
         wake(message.to);
     }
 
-    Terms m_terms;
+    Parameters m_parameters;
     SeededRandom m_random;
     TimePoint m_now{ std::chrono::seconds(100) };
     std::vector<std::unique_ptr<Node>> m_nodes;
     std::vector<Account> m_accounts;
-    std::set<std::size_t> m_cutOff;
+    std::set<std::size_t> m_partitioned;
     std::multimap<TimePoint, std::size_t> m_changes;
-    std::map<TimePoint, std::vector<Message>> m_onTheWay;
+    std::map<TimePoint, std::vector<Message>> m_inFlight;
     std::size_t m_messages = 0;
 };
 
--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -166,7 +166,7 @@
 {
     const Postponed postponed = *m_postponed;
     m_postponed.reset();
-    const Standing current = standing();
+    const Assessment current = standing();
     const bool isCleared = current.suspicion == Suspicion::None;
     if ((isCleared || current.crashes <= MAX_CRASHES) && mayRetry(now, postponed.result, false)) {
         Verdict failure;
@@ -177,9 +177,9 @@
     return finish(now, postponed.attempt, postponed.result.verdict);
 }
 
-Standing EntryCall::standing() const
+Assessment EntryCall::standing() const
 {
-    return m_options.standing ? m_options.standing() : Standing();
+    return m_options.standing ? m_options.standing() : Assessment();
 }
 
 EntryActions EntryCall::redirectTo(TimePoint now, const DaemonId &holder)
@@ -302,7 +302,7 @@
         }
         return sendTo(now, m_options.pinned, "ticket");
     }
-    const Standing current = standing();
+    const Assessment current = standing();
     if (current.suspicion == Suspicion::Quarantined || current.suspicion == Suspicion::Held) {
         const bool isFinal = current.suspicion == Suspicion::Quarantined;
         failure.reason = isFinal ? Reason::Quarantined : Reason::Suspected;
--- a/src/coordination/calls/tests/suspectcalltest.cpp
+++ b/src/coordination/calls/tests/suspectcalltest.cpp
@@ -39,7 +39,7 @@
     SeededRandom m_random{ 1 };
     AttemptBudget m_budget{ AttemptCount(9) };
     EntryCallOptions m_options;
-    Standing m_standing;
+    Assessment m_standing;
     TimePoint m_now{ 1000ms };
 
     void setup() override
--- a/src/coordination/quarantine/internal/suspecttable.cpp
+++ b/src/coordination/quarantine/internal/suspecttable.cpp
@@ -16,7 +16,7 @@
     return std::binary_search(record.completed.begin(), record.completed.end(), kind);
 }
 
-/// Keeps their order. False if the kind is there.
+/// Keeps the kinds sorted. False if the kind is present already.
 bool addKind(Kinds &kinds, const ServerKind &kind)
 {
     const auto place = std::lower_bound(kinds.begin(), kinds.end(), kind);
@@ -36,22 +36,23 @@
     return isNew;
 }
 
-/// Of servers of one kind, as evidence against the request.
+/// Counts the crashes of servers of one kind as evidence against the request. Crashes at which it
+/// was not isolated count as one.
 std::size_t countCrashes(const SuspectRecord &record, const ServerKind &kind)
 {
-    std::size_t alone = 0;
-    bool isAmongOthers = false;
+    std::size_t isolated = 0;
+    bool hasUnisolated = false;
     for (const Crash &crash : record.crashes) {
         if (crash.kind == kind) {
-            alone += crash.isAlone ? 1 : 0;
-            isAmongOthers = isAmongOthers || !crash.isAlone;
+            isolated += crash.wasIsolated ? 1 : 0;
+            hasUnisolated = hasUnisolated || !crash.wasIsolated;
         }
     }
-    return alone + (isAmongOthers ? 1 : 0);
+    return isolated + (hasUnisolated ? 1 : 0);
 }
 
-/// The most crashes at servers of one kind other than this.
-std::size_t countElsewhere(const SuspectRecord &record, const ServerKind &kind)
+/// The highest count of crashes over the other kinds of servers.
+std::size_t countCrashesElsewhere(const SuspectRecord &record, const ServerKind &kind)
 {
     std::size_t most = 0;
     for (const Crash &crash : record.crashes) {
@@ -84,13 +85,13 @@
 {
     std::string text = record.fingerprint.value() + '\n' + std::to_string(record.epoch);
     for (const Crash &crash : record.crashes) {
-        text += '\n' + crash.run.value() + (crash.isAlone ? '+' : '-') + (crash.isTrial ? '+' : '-')
-            + textOf(crash.kind);
+        text += '\n' + crash.run.value() + (crash.wasIsolated ? '+' : '-')
+            + (crash.isTrial ? '+' : '-') + textOf(crash.kind);
     }
     for (const ServerKind &kind : record.completed) {
         text += '\r' + textOf(kind);
     }
-    for (const ServerKind &kind : record.offered) {
+    for (const ServerKind &kind : record.untried) {
         text += '\t' + textOf(kind);
     }
     return XXH3_64bits(text.data(), text.size());
@@ -108,61 +109,62 @@
 {
 }
 
-Standing SuspectTable::standing(TimePoint now, const Fingerprint &fingerprint,
+Assessment SuspectTable::assess(TimePoint now, const Fingerprint &fingerprint,
                                 const ServerKind &kind) const
 {
     const auto found = m_records.find(fingerprint);
-    return found == m_records.end() ? Standing() : judge(now, found->second, kind);
+    return found == m_records.end() ? Assessment() : assessRecord(now, found->second, kind);
 }
 
-Standing SuspectTable::standing(TimePoint now, const Fingerprint &fingerprint) const
+Assessment SuspectTable::assess(TimePoint now, const Fingerprint &fingerprint) const
 {
     const auto found = m_records.find(fingerprint);
     if (found == m_records.end() || found->second.crashes.empty()) {
         return {};
     }
     const SuspectRecord &record = found->second;
-    Standing least = judge(now, record, record.crashes.front().kind);
+    Assessment least = assessRecord(now, record, record.crashes.front().kind);
     const auto consider = [&](const ServerKind &kind) {
-        const Standing each = judge(now, record, kind);
+        const Assessment each = assessRecord(now, record, kind);
         least = each.suspicion < least.suspicion ? each : least;
     };
     for (const Crash &crash : record.crashes) {
         consider(crash.kind);
     }
     std::for_each(record.completed.begin(), record.completed.end(), consider);
-    std::for_each(record.offered.begin(), record.offered.end(), consider);
+    std::for_each(record.untried.begin(), record.untried.end(), consider);
     return least;
 }
 
-Standing SuspectTable::judge(TimePoint now, const SuspectRecord &record,
-                             const ServerKind &kind) const
+Assessment SuspectTable::assessRecord(TimePoint now, const SuspectRecord &record,
+                                      const ServerKind &kind) const
 {
-    Standing standing;
+    Assessment assessment;
     if (record.crashes.empty() || hasCompleted(record, kind)) {
-        return standing;
+        return assessment;
     }
     const std::size_t here = countCrashes(record, kind);
-    const std::size_t elsewhere = countElsewhere(record, kind);
-    standing.crashes = here + elsewhere;
-    const bool isKnownElsewhere = elsewhere >= m_options.crashes;
-    const bool isCondemnedHere = here >= m_options.crashes || (isKnownElsewhere && here > 0);
+    const std::size_t elsewhere = countCrashesElsewhere(record, kind);
+    assessment.crashes = here + elsewhere;
+    const bool isQuarantinedElsewhere = elsewhere >= m_options.crashThreshold;
+    const bool isQuarantinedHere =
+        here >= m_options.crashThreshold || (isQuarantinedElsewhere && here > 0);
     const Duration since = std::chrono::duration_cast<Duration>(now - record.changedAt);
-    if (isCondemnedHere || isKnownElsewhere) {
-        const bool isDue = !isCondemnedHere || since >= m_options.trialPause;
-        if (!isDue || countTrials(record) >= m_options.trials) {
-            standing.suspicion = Suspicion::Quarantined;
-            return standing;
+    if (isQuarantinedHere || isQuarantinedElsewhere) {
+        const bool isDue = !isQuarantinedHere || since >= m_options.trialInterval;
+        if (!isDue || countTrials(record) >= m_options.maxTrials) {
+            assessment.suspicion = Suspicion::Quarantined;
+            return assessment;
         }
-        standing.isTrial = true;
+        assessment.isTrial = true;
     }
-    standing.suspicion = Suspicion::Suspect;
-    // Each crash takes a server from all other requests: the next one waits until it is back.
-    if (standing.crashes > 1 && since < m_options.recovery) {
-        standing.suspicion = Suspicion::Held;
-        standing.retryAfter = m_options.recovery - since;
+    assessment.suspicion = Suspicion::Suspect;
+    // Each crash costs all other requests a server; wait until it is back before risking another.
+    if (assessment.crashes > 1 && since < m_options.recoveryTime) {
+        assessment.suspicion = Suspicion::Held;
+        assessment.retryAfter = m_options.recoveryTime - since;
     }
-    return standing;
+    return assessment;
 }
 
 bool SuspectTable::addCrash(TimePoint now, const Fingerprint &fingerprint, const Crash &crash)
@@ -182,36 +184,36 @@
     return found != m_records.end() && addKind(found->second.completed, kind);
 }
 
-bool SuspectTable::addOffer(const Fingerprint &fingerprint, const ServerKind &kind)
+bool SuspectTable::addUntried(const Fingerprint &fingerprint, const ServerKind &kind)
 {
     const auto found = m_records.find(fingerprint);
-    if (found == m_records.end() || !isCondemned(found->second)
+    if (found == m_records.end() || !reachesCrashThreshold(found->second)
         || !hasCrashedService(found->second, kind.service)
         || countCrashes(found->second, kind) > 0) {
         return false;
     }
-    return addKind(found->second.offered, kind);
+    return addKind(found->second.untried, kind);
 }
 
 bool SuspectTable::merge(TimePoint now, const SuspectRecord &record)
 {
     const auto found = m_records.find(record.fingerprint);
     if (found != m_records.end()) {
-        return unite(record, found->second);
+        return mergeInto(record, found->second);
     }
-    if (isExpired(now, record) || !makeRoom()) {
+    if (isExpired(now, record) || !evictOldest()) {
         return false;
     }
     SuspectRecord added;
     added.fingerprint = record.fingerprint;
     added.epoch = record.epoch;
     added.changedAt = record.changedAt;
-    unite(record, added);
+    mergeInto(record, added);
     m_records.emplace(record.fingerprint, std::move(added));
     return true;
 }
 
-bool SuspectTable::unite(const SuspectRecord &from, SuspectRecord &into) const
+bool SuspectTable::mergeInto(const SuspectRecord &from, SuspectRecord &into) const
 {
     if (from.epoch < into.epoch) {
         return false;
@@ -222,35 +224,37 @@
         into.epoch = from.epoch;
         into.crashes.clear();
         into.completed.clear();
-        into.offered.clear();
+        into.untried.clear();
         into.changedAt = from.changedAt;
     }
     for (const Crash &crash : from.crashes) {
-        isNew = insert(crash, into) || isNew;
+        isNew = insertCrash(crash, into) || isNew;
     }
     isNew = addKinds(into.completed, from.completed) || isNew;
-    isNew = addKinds(into.offered, from.offered) || isNew;
+    isNew = addKinds(into.untried, from.untried) || isNew;
     return isNew;
 }
 
-bool SuspectTable::insert(const Crash &crash, SuspectRecord &into) const
+bool SuspectTable::insertCrash(const Crash &crash, SuspectRecord &into) const
 {
     auto &crashes = into.crashes;
     const auto place =
         std::lower_bound(crashes.begin(), crashes.end(), crash,
                          [](const Crash &a, const Crash &b) { return a.run < b.run; });
     if (place != crashes.end() && place->run == crash.run) {
-        const bool isNew = (crash.isTrial && !place->isTrial) || (crash.isAlone && !place->isAlone);
+        const bool isNew =
+            (crash.isTrial && !place->isTrial) || (crash.wasIsolated && !place->wasIsolated);
         place->isTrial = place->isTrial || crash.isTrial;
-        place->isAlone = place->isAlone || crash.isAlone;
+        place->wasIsolated = place->wasIsolated || crash.wasIsolated;
         return isNew;
     }
-    // The same ones are left out everywhere, or daemons would never know the same.
-    if (crashes.size() >= m_options.mostCrashes && place == crashes.end()) {
+    // All daemons drop the same crashes (those with the highest runs); otherwise their digests
+    // would never match.
+    if (crashes.size() >= m_options.maxCrashesPerRecord && place == crashes.end()) {
         return false;
     }
     crashes.insert(place, crash);
-    if (crashes.size() > m_options.mostCrashes) {
+    if (crashes.size() > m_options.maxCrashesPerRecord) {
         crashes.pop_back();
     }
     into.changedAt = std::max(into.changedAt, crash.at);
@@ -267,7 +271,7 @@
     lifted.fingerprint = fingerprint;
     lifted.epoch = found->second.epoch + 1;
     lifted.changedAt = now;
-    return unite(lifted, found->second);
+    return mergeInto(lifted, found->second);
 }
 
 void SuspectTable::expire(TimePoint now)
@@ -279,17 +283,17 @@
 
 bool SuspectTable::isExpired(TimePoint now, const SuspectRecord &record) const
 {
-    const Duration memory = isCleared(record) ? m_options.clearedMemory
-        : isCondemned(record)                 ? m_options.quarantineMemory
-                                              : m_options.suspectMemory;
-    return now - record.changedAt >= memory;
+    const Duration retention = isCleared(record) ? m_options.clearedRetention
+        : reachesCrashThreshold(record)          ? m_options.quarantineRetention
+                                                 : m_options.suspectRetention;
+    return now - record.changedAt >= retention;
 }
 
-bool SuspectTable::isCondemned(const SuspectRecord &record) const
+bool SuspectTable::reachesCrashThreshold(const SuspectRecord &record) const
 {
     return std::any_of(record.crashes.begin(), record.crashes.end(), [&](const Crash &crash) {
         return !hasCompleted(record, crash.kind)
-            && countCrashes(record, crash.kind) >= m_options.crashes;
+            && countCrashes(record, crash.kind) >= m_options.crashThreshold;
     });
 }
 
@@ -299,17 +303,18 @@
                        [&](const Crash &crash) { return hasCompleted(record, crash.kind); });
 }
 
-/// The oldest harmless ones go; a flood of suspects must not free one that is in quarantine.
-bool SuspectTable::makeRoom()
+/// Evicts the oldest record that is not quarantined: a flood of suspects must not release a request
+/// from quarantine.
+bool SuspectTable::evictOldest()
 {
-    if (m_records.size() < m_options.mostRecords) {
+    if (m_records.size() < m_options.maxRecords) {
         return true;
     }
     auto oldest = m_records.end();
     for (auto it = m_records.begin(); it != m_records.end(); ++it) {
         const bool isOlder =
             oldest == m_records.end() || it->second.changedAt < oldest->second.changedAt;
-        if (isOlder && !isCondemned(it->second)) {
+        if (isOlder && !reachesCrashThreshold(it->second)) {
             oldest = it;
         }
     }
--- a/src/coordination/quarantine/tests/suspecttabletest.cpp
+++ b/src/coordination/quarantine/tests/suspecttabletest.cpp
@@ -26,15 +26,15 @@
         return m_table->addCrash(m_now, fingerprint,
                                  Crash{ UpstreamId(run), kind, m_now, true, isTrial });
     }
-    Suspicion at(const ServerKind &kind, const Fingerprint &fingerprint = REQUEST)
+    Suspicion suspicionAt(const ServerKind &kind, const Fingerprint &fingerprint = REQUEST)
     {
-        return m_table->standing(m_now, fingerprint, kind).suspicion;
+        return m_table->assess(m_now, fingerprint, kind).suspicion;
     }
-    Suspicion anywhere(const Fingerprint &fingerprint = REQUEST)
+    Suspicion suspicionAnywhere(const Fingerprint &fingerprint = REQUEST)
     {
-        return m_table->standing(m_now, fingerprint).suspicion;
+        return m_table->assess(m_now, fingerprint).suspicion;
     }
-    void condemn()
+    void quarantine()
     {
         crash(REQUEST, "i-1");
         crash(REQUEST, "i-2");
@@ -42,23 +42,23 @@
     }
 };
 
-TEST(SuspectTable, ThreeRunsOfServersThatEndedMakeAQuarantine)
+TEST(SuspectTable, ThreeCrashesQuarantine)
 {
-    CHECK(at(KIND) == Suspicion::None);
+    CHECK(suspicionAt(KIND) == Suspicion::None);
     crash(REQUEST, "i-1");
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
     crash(REQUEST, "i-2");
-    CHECK(at(KIND) == Suspicion::Held);
+    CHECK(suspicionAt(KIND) == Suspicion::Held);
     m_now += 3s;
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
     crash(REQUEST, "i-3");
-    CHECK(at(KIND) == Suspicion::Quarantined);
-    CHECK(anywhere() == Suspicion::Quarantined);
-    CHECK(m_table->standing(m_now, REQUEST).retryAfter == Duration::zero());
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAnywhere() == Suspicion::Quarantined);
+    CHECK(m_table->assess(m_now, REQUEST).retryAfter == Duration::zero());
 }
 
-// Guards against one crash that counts as several because several daemons tell of it.
-TEST(SuspectTable, WhatIsToldTwiceCountsOnce)
+// Guards against one crash that counts as several because several daemons report it.
+TEST(SuspectTable, CrashReportedTwiceCountsOnce)
 {
     CHECK(crash(REQUEST, "i-1"));
     CHECK_FALSE(crash(REQUEST, "i-1"));
@@ -67,108 +67,108 @@
         CHECK(copy->merge(m_now, record));
         CHECK_FALSE(copy->merge(m_now, record));
     }
-    LONGS_EQUAL(1, copy->standing(m_now, REQUEST, KIND).crashes);
+    LONGS_EQUAL(1, copy->assess(m_now, REQUEST, KIND).crashes);
     CHECK(copy->digest() == m_table->digest());
 }
 
-// Guards against a request in demand that is held responsible as it is under way at every crash.
-TEST(SuspectTable, ACompletedRequestIsNotTheCause)
+// Guards against a frequent request that is blamed because it is in progress at every crash.
+TEST(SuspectTable, CompletedRequestIsCleared)
 {
     crash(REQUEST, "i-1");
     CHECK(m_table->addCompletion(REQUEST, KIND));
     crash(REQUEST, "i-2");
     crash(REQUEST, "i-3");
     crash(REQUEST, "i-4");
-    CHECK(at(KIND) == Suspicion::None);
-    CHECK(anywhere() == Suspicion::None);
+    CHECK(suspicionAt(KIND) == Suspicion::None);
+    CHECK(suspicionAnywhere() == Suspicion::None);
 }
 
-// Guards against a request in demand that is held responsible when all servers end at once.
-TEST(SuspectTable, ServersThatEndTogetherCountOnce)
+// Guards against a frequent request that is blamed when all servers crash at once.
+TEST(SuspectTable, SimultaneousCrashesCountOnce)
 {
     for (const char *run : { "i-1", "i-2", "i-3", "i-4" }) {
         m_table->addCrash(m_now, REQUEST, Crash{ UpstreamId(run), KIND, m_now, false, false });
     }
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
     crash(REQUEST, "i-5");
-    CHECK(at(KIND) == Suspicion::Held);
+    CHECK(suspicionAt(KIND) == Suspicion::Held);
     crash(REQUEST, "i-6");
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, CompletionsOfOthersAreNotKept)
+TEST(SuspectTable, CompletionsWithoutRecordAreIgnored)
 {
     CHECK_FALSE(m_table->addCompletion(REQUEST, KIND));
     CHECK(m_table->isEmpty());
 }
 
-// Guards against a request that is quarantined for ever though its service was mended.
-TEST(SuspectTable, ServersOfAnotherKindGetOneTryEach)
+// Guards against a request that stays quarantined although its service was fixed.
+TEST(SuspectTable, OtherKindOfServerGetsOneTrial)
 {
-    condemn();
-    CHECK(m_table->addOffer(REQUEST, NEXT_KIND));
-    CHECK_FALSE(m_table->addOffer(REQUEST, OTHER_SERVICE));
+    quarantine();
+    CHECK(m_table->addUntried(REQUEST, NEXT_KIND));
+    CHECK_FALSE(m_table->addUntried(REQUEST, OTHER_SERVICE));
     m_now += 3s;
-    CHECK(m_table->standing(m_now, REQUEST, NEXT_KIND).isTrial);
-    CHECK(anywhere() == Suspicion::Suspect);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(m_table->assess(m_now, REQUEST, NEXT_KIND).isTrial);
+    CHECK(suspicionAnywhere() == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
     crash(REQUEST, "i-4", NEXT_KIND, true);
-    CHECK(at(NEXT_KIND) == Suspicion::Quarantined);
-    CHECK(anywhere() == Suspicion::Quarantined);
+    CHECK(suspicionAt(NEXT_KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAnywhere() == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, AMendedServiceEndsTheQuarantine)
+TEST(SuspectTable, CompletionAtNewVersionEndsTheQuarantine)
 {
-    condemn();
-    m_table->addOffer(REQUEST, NEXT_KIND);
+    quarantine();
+    m_table->addUntried(REQUEST, NEXT_KIND);
     m_table->addCompletion(REQUEST, NEXT_KIND);
-    CHECK(at(NEXT_KIND) == Suspicion::None);
-    CHECK(anywhere() == Suspicion::None);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(NEXT_KIND) == Suspicion::None);
+    CHECK(suspicionAnywhere() == Suspicion::None);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-// Guards against tries that together crash more servers than the quarantine was to save.
-TEST(SuspectTable, TriesAreBounded)
+// Guards against trials that together crash more servers than the quarantine saves.
+TEST(SuspectTable, TrialsAreBounded)
 {
-    condemn();
+    quarantine();
     for (int version = 2; version < 5; ++version) {
         m_now += 1min;
         const ServerKind kind{ KIND.service, UpstreamVersion("v" + std::to_string(version)) };
-        CHECK(m_table->standing(m_now, REQUEST, kind).isTrial);
+        CHECK(m_table->assess(m_now, REQUEST, kind).isTrial);
         crash(REQUEST, "i-v" + std::to_string(version), kind, true);
     }
     m_now += 1h;
-    CHECK(at(ServerKind{ KIND.service, UpstreamVersion("v9") }) == Suspicion::Quarantined);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(ServerKind{ KIND.service, UpstreamVersion("v9") }) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, AfterALongTimeItIsTriedAgain)
+TEST(SuspectTable, QuarantinedRequestGetsTrialAfterInterval)
 {
-    condemn();
+    quarantine();
     m_now += 9min;
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
     m_now += 1min;
-    CHECK(m_table->standing(m_now, REQUEST, KIND).isTrial);
+    CHECK(m_table->assess(m_now, REQUEST, KIND).isTrial);
     crash(REQUEST, "i-4", KIND, true);
-    CHECK(at(KIND) == Suspicion::Quarantined);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
 }
 
-TEST(SuspectTable, AnOperatorLiftsAQuarantineEverywhere)
+TEST(SuspectTable, LiftedQuarantineDoesNotReturnByMerge)
 {
-    condemn();
+    quarantine();
     const auto other = makeSuspectTable();
     other->merge(m_now, *m_table->find(REQUEST));
     CHECK(m_table->lift(m_now, REQUEST));
-    CHECK(at(KIND) == Suspicion::None);
-    // What another daemon still holds against it does not come back.
+    CHECK(suspicionAt(KIND) == Suspicion::None);
+    // The outdated record of another daemon does not restore the quarantine.
     CHECK_FALSE(m_table->merge(m_now, *other->find(REQUEST)));
     CHECK(other->merge(m_now, *m_table->find(REQUEST)));
-    CHECK(other->standing(m_now, REQUEST, KIND).suspicion == Suspicion::None);
+    CHECK(other->assess(m_now, REQUEST, KIND).suspicion == Suspicion::None);
     crash(REQUEST, "i-9");
-    CHECK(at(KIND) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Suspect);
 }
 
-TEST(SuspectTable, SuspectsAreForgotten)
+TEST(SuspectTable, RecordsExpire)
 {
     crash(REQUEST, "i-1");
     crash(OTHER, "i-1");
@@ -177,7 +177,7 @@
     m_table->expire(m_now);
     CHECK_FALSE(m_table->find(OTHER).has_value());
     CHECK(m_table->find(REQUEST).has_value());
-    // A daemon that has not forgotten yet does not bring it back.
+    // The record of a daemon that has not expired it yet is not merged again.
     const SuspectRecord late = *m_table->find(REQUEST);
     m_now += 4min;
     m_table->expire(m_now);
@@ -185,21 +185,21 @@
     CHECK_FALSE(m_table->merge(m_now, late));
 }
 
-// Guards against callers who free a request from quarantine with a flood of suspects.
-TEST(SuspectTable, AFloodOfSuspectsFreesNoneFromQuarantine)
+// Guards against callers that release a request from quarantine with a flood of suspects.
+TEST(SuspectTable, FloodOfSuspectsDoesNotEvictQuarantined)
 {
-    condemn();
+    quarantine();
     for (int i = 0; i < 5000; ++i) {
         m_now += 1ms;
         crash(Fingerprint("flood-" + std::to_string(i)), "i-" + std::to_string(i));
     }
-    CHECK(at(KIND) == Suspicion::Quarantined);
-    LONGS_EQUAL(SuspectTableOptions().mostRecords, m_table->records().size());
-    CHECK(at(KIND, Fingerprint("flood-4999")) == Suspicion::Suspect);
+    CHECK(suspicionAt(KIND) == Suspicion::Quarantined);
+    LONGS_EQUAL(SuspectTableOptions().maxRecords, m_table->records().size());
+    CHECK(suspicionAt(KIND, Fingerprint("flood-4999")) == Suspicion::Suspect);
 }
 
-// Guards against daemons that never agree on a record because each has dropped other crashes.
-TEST(SuspectTable, ManyCrashesAreCutTheSameEverywhere)
+// Guards against daemons whose records never converge because each drops different crashes.
+TEST(SuspectTable, CrashLimitDropsTheSameCrashesEverywhere)
 {
     const auto other = makeSuspectTable();
     for (int i = 0; i < 40; ++i) {
@@ -208,6 +208,6 @@
             m_now, REQUEST,
             Crash{ UpstreamId("i-" + std::to_string(39 - i)), KIND, m_now, true, false });
     }
-    LONGS_EQUAL(SuspectTableOptions().mostCrashes, m_table->find(REQUEST)->crashes.size());
+    LONGS_EQUAL(SuspectTableOptions().maxCrashesPerRecord, m_table->find(REQUEST)->crashes.size());
     CHECK(other->digest() == m_table->digest());
 }
--- a/src/protocol/internal/suspectexchange.cpp
+++ b/src/protocol/internal/suspectexchange.cpp
@@ -40,7 +40,7 @@
         .add(crash.kind.service)
         .add(crash.kind.version)
         .add(ageOf(crash.at, now))
-        .add(crash.isAlone)
+        .add(crash.wasIsolated)
         .add(crash.isTrial);
     return writer.take();
 }
@@ -63,7 +63,7 @@
     FieldWriter writer;
     writer.add(record.fingerprint).add(std::uint64_t(record.epoch));
     writer.add(ageOf(record.changedAt, now)).add(crashes.take());
-    writer.add(writeKinds(record.completed)).add(writeKinds(record.offered));
+    writer.add(writeKinds(record.completed)).add(writeKinds(record.untried));
     return writer.take();
 }
 
@@ -81,15 +81,15 @@
     return startMessage(MessageKind::Digest).add(digest.digest).take().bytes;
 }
 
-std::string encodeOne(const SuspectNews &news, TimePoint now)
+std::string encodeOne(const SuspectUpdate &news, TimePoint now)
 {
     return startMessage(MessageKind::News).add(writeRecords(news.records, now)).take().bytes;
 }
 
-std::string encodeOne(const SuspectState &state, TimePoint now)
+std::string encodeOne(const SuspectSnapshot &state, TimePoint now)
 {
     FieldWriter writer = startMessage(MessageKind::State);
-    writer.add(state.digest).add(state.isAnswerWanted).add(writeRecords(state.records, now));
+    writer.add(state.digest).add(state.isReplyRequested).add(writeRecords(state.records, now));
     return writer.take().bytes;
 }
 
@@ -142,7 +142,7 @@
     readText(reader, crash.run);
     readKind(reader, crash.kind);
     readTime(reader, now, crash.at);
-    reader.read(crash.isAlone);
+    reader.read(crash.wasIsolated);
     reader.read(crash.isTrial);
 }
 
@@ -154,7 +154,7 @@
     readItems(reader, MOST_ITEMS,
               [&](FieldReader &fields) { readCrash(fields, now, record.crashes.emplace_back()); });
     readKinds(reader, record.completed);
-    readKinds(reader, record.offered);
+    readKinds(reader, record.untried);
 }
 
 std::vector<SuspectRecord> readRecords(FieldReader &reader, TimePoint now)
@@ -168,12 +168,12 @@
 SuspectMessage readBody(MessageKind kind, FieldReader &reader, TimePoint now)
 {
     if (kind == MessageKind::News) {
-        return SuspectNews{ readRecords(reader, now) };
+        return SuspectUpdate{ readRecords(reader, now) };
     }
     if (kind == MessageKind::State) {
-        SuspectState state;
+        SuspectSnapshot state;
         reader.read(state.digest);
-        reader.read(state.isAnswerWanted);
+        reader.read(state.isReplyRequested);
         state.records = readRecords(reader, now);
         return state;
     }
