--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-#include "coordination/configuration/configurationfoldfactory.h"
+#include "coordination/configuration/configurationstatemachinefactory.h"
 #include "protocol/internal/configurationrecordcodec.h"
 
 namespace ivyspar {
@@ -32,7 +32,7 @@
     , m_exchange(exchange)
     , m_random(random)
     , m_events(std::move(events))
-    , m_fold(makeConfigurationFold())
+    , m_stateMachine(makeConfigurationStateMachine())
     , m_poll(m_settings.poll)
     , m_snapshot(m_settings.snapshot)
 {
@@ -78,15 +78,15 @@
 {
     ConfigurationStatus status;
     status.inForce = m_inForce ? m_inForce->version : ConfigurationVersion();
-    if (const AcceptedConfiguration *current = m_fold->current()) {
+    if (const AcceptedConfiguration *current = m_stateMachine->current()) {
         status.accepted = current->version;
         status.changeId = current->changeId;
     }
     status.unreadable = m_unreadable;
-    status.isJudging = m_fold->judged() != nullptr;
+    status.isJudging = m_stateMachine->judged() != nullptr;
     status.isFastPoller = m_poll.isFast();
-    status.nextOffset = m_fold->nextOffset();
-    status.anchor = m_fold->anchor();
+    status.nextOffset = m_stateMachine->nextOffset();
+    status.anchor = m_stateMachine->anchor();
     status.logError = m_logError;
     status.snapshotsAppended = m_snapshotsAppended;
     return status;
@@ -143,8 +143,9 @@
     }
     m_poll.setFast(isFastPoller(m_settings.self, domainPeers, m_settings.poll.fastPerDomain));
     const TimePoint start = m_loop.now();
-    const RetVal<LogPage> page = m_log.read(StreamName(CONFIGURATION_STREAM), m_fold->nextOffset(),
-                                            PAGE_RECORDS, m_poll.wait());
+    const RetVal<LogPage> page =
+        m_log.read(StreamName(CONFIGURATION_STREAM), m_stateMachine->nextOffset(), PAGE_RECORDS,
+                   m_poll.wait());
     if (m_isStopped) {
         return Duration::zero();
     }
@@ -154,11 +155,11 @@
     }
     setLogError({});
     foldPage(*page);
-    if (m_snapshot.update(m_loop.now(), *m_fold, page->first, page->end, m_poll.isFast(),
+    if (m_snapshot.update(m_loop.now(), *m_stateMachine, page->first, page->end, m_poll.isFast(),
                           m_random)) {
         renewSnapshot();
     }
-    const bool isAtEnd = m_fold->nextOffset() >= page->end || page->records.empty();
+    const bool isAtEnd = m_stateMachine->nextOffset() >= page->end || page->records.empty();
     if (isAtEnd && m_events.onConfirmed) {
         m_events.onConfirmed(start);
     }
@@ -167,12 +168,12 @@
 
 void ConfigurationFollower::foldPage(const LogPage &page)
 {
-    m_fold->forgetBefore(page.first);
+    m_stateMachine->forgetBefore(page.first);
     for (const LogRecord &record : page.records) {
         foldRecord(record);
     }
     // Nobody waits for these here; a publisher reads the stream itself.
-    m_fold->takeLateVerdicts();
+    m_stateMachine->takeLateVerdicts();
     useCurrent();
 }
 
@@ -181,13 +182,13 @@
     const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
     const std::string place = "record " + std::to_string(record.offset.value());
     if (!decoded) {
-        m_fold->skip(record.offset);
+        m_stateMachine->skip(record.offset);
         notice(place + " skipped: " + decoded.error().text);
         return;
     }
     const std::string change = "change " + decoded->changeId + " based on version "
         + std::to_string(decoded->base.value());
-    switch (m_fold->apply(record.offset, *decoded)) {
+    switch (m_stateMachine->apply(record.offset, *decoded)) {
     case FoldVerdict::Conflict:
         notice(place + " refused: " + change + " is not based on the current version");
         break;
@@ -205,7 +206,7 @@
 
 void ConfigurationFollower::renewSnapshot()
 {
-    const AcceptedConfiguration *judged = m_fold->judged();
+    const AcceptedConfiguration *judged = m_stateMachine->judged();
     ConfigurationRecord record;
     record.kind = ConfigurationRecord::Kind::Snapshot;
     record.changeId = judged->changeId;
@@ -263,7 +264,7 @@
 
 void ConfigurationFollower::handle(const DaemonId &from, const ConfigurationPush &push)
 {
-    if (m_fold->adopt(push.accepted)) {
+    if (m_stateMachine->adopt(push.accepted)) {
         notice("version " + std::to_string(push.accepted.version.value()) + " learned from "
                + from.value());
     }
@@ -296,7 +297,7 @@
     const ConfigurationOffer own = makeOffer();
     const bool isNewer = offer.version > own.version;
     const bool hasNeededPosition = offer.version == own.version && offer.hasPosition
-        && !m_fold->judged() && offer.version.value() > 0;
+        && !m_stateMachine->judged() && offer.version.value() > 0;
     if (!isNewer && !hasNeededPosition) {
         return false;
     }
@@ -322,8 +323,8 @@
 /// The version that is held, with a position if one is known.
 const AcceptedConfiguration *ConfigurationFollower::held() const
 {
-    const AcceptedConfiguration *current = m_fold->current();
-    const AcceptedConfiguration *judged = m_fold->judged();
+    const AcceptedConfiguration *current = m_stateMachine->current();
+    const AcceptedConfiguration *judged = m_stateMachine->judged();
     return current && judged && judged->version == current->version ? judged : current;
 }
 
@@ -331,7 +332,7 @@
 /// than the version's publisher, is still held and passed on; the previous one stays in force.
 void ConfigurationFollower::useCurrent()
 {
-    const AcceptedConfiguration *current = m_fold->current();
+    const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isKnown =
         !current || (current->version == m_readVersion && current->digest == m_readDigest);
     if (isKnown) {
--- a/src/app/internal/control/configurationfollower.h
+++ b/src/app/internal/control/configurationfollower.h
@@ -6,7 +6,7 @@
 
 #include "app/icontrolexchange.h"
 #include "app/internal/control/iconfigurationdriver.h"
-#include "coordination/configuration/iconfigurationfold.h"
+#include "coordination/configuration/iconfigurationstatemachine.h"
 #include "coordination/configuration/internal/pollschedule.h"
 #include "coordination/configuration/internal/snapshotschedule.h"
 #include "protocol/configurationexchange.h"
@@ -87,7 +87,7 @@
     IRandom &m_random;
     ConfigurationEvents m_events;
 
-    std::unique_ptr<IConfigurationFold> m_fold;
+    std::unique_ptr<IConfigurationStateMachine> m_stateMachine;
     PollSchedule m_poll;
     SnapshotSchedule m_snapshot;
     /// The accepted version that was last given to the reader.
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -5,7 +5,7 @@
 
 #include "app/internal/control/configurationfollower.h"
 #include "coordination/configuration/configurationdigest.h"
-#include "coordination/configuration/configurationfoldfactory.h"
+#include "coordination/configuration/configurationstatemachinefactory.h"
 #include "protocol/internal/configurationrecordcodec.h"
 
 namespace ivyspar {
@@ -35,7 +35,7 @@
     : m_settings(settings)
     , m_loop(loop)
     , m_log(log)
-    , m_fold(makeConfigurationFold())
+    , m_stateMachine(makeConfigurationStateMachine())
     , m_deadline(loop.now() + settings.timeout)
 {
 }
@@ -79,8 +79,8 @@
 {
     while (isTimeLeft() && !isDecided()) {
         const Duration limit = std::min(wait, m_deadline - m_loop.now());
-        const RetVal<LogPage> page =
-            m_log.read(StreamName(CONFIGURATION_STREAM), m_fold->nextOffset(), PAGE_RECORDS, limit);
+        const RetVal<LogPage> page = m_log.read(StreamName(CONFIGURATION_STREAM),
+                                                m_stateMachine->nextOffset(), PAGE_RECORDS, limit);
         if (!page) {
             m_logError = "the log cannot be read: " + page.error().text;
             return false;
@@ -97,16 +97,16 @@
 
 void ConfigurationPublisher::foldPage(const LogPage &page)
 {
-    m_isHistoryWhole = m_isHistoryWhole && page.first <= m_fold->nextOffset();
-    m_fold->forgetBefore(page.first);
+    m_isHistoryWhole = m_isHistoryWhole && page.first <= m_stateMachine->nextOffset();
+    m_stateMachine->forgetBefore(page.first);
     for (const LogRecord &record : page.records) {
         const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
         if (!decoded) {
-            m_fold->skip(record.offset);
+            m_stateMachine->skip(record.offset);
             continue;
         }
-        const FoldVerdict verdict = m_fold->apply(record.offset, *decoded);
-        const AcceptedConfiguration *judged = m_fold->judged();
+        const FoldVerdict verdict = m_stateMachine->apply(record.offset, *decoded);
+        const AcceptedConfiguration *judged = m_stateMachine->judged();
         const bool isSuccessor = m_base && judged && !m_successor && judged->version > *m_base;
         if (isSuccessor) {
             m_successor = *judged;
@@ -115,7 +115,7 @@
             noteVerdict(decoded->changeId, verdict,
                         judged ? judged->version : ConfigurationVersion());
         }
-        for (const LateVerdict &late : m_fold->takeLateVerdicts()) {
+        for (const LateVerdict &late : m_stateMachine->takeLateVerdicts()) {
             noteVerdict(late.changeId, late.verdict, late.version);
         }
     }
@@ -157,7 +157,7 @@
 /// False while the stream does not show enough yet.
 bool ConfigurationPublisher::chooseBase()
 {
-    const AcceptedConfiguration *judged = m_fold->judged();
+    const AcceptedConfiguration *judged = m_stateMachine->judged();
     if (m_settings.isRestart) {
         if (judged) {
             finish(PublishResult::Kind::NotSent,
@@ -231,7 +231,7 @@
         return;
     }
     // The snapshot of a version tells the change that made it.
-    const AcceptedConfiguration *current = m_fold->current();
+    const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isCurrent = current && current->changeId == m_settings.changeId;
     if (isCurrent || m_ownVerdict == FoldVerdict::Accepted) {
         finish(PublishResult::Kind::Accepted, {});
@@ -258,7 +258,7 @@
 void ConfigurationPublisher::finishConflict()
 {
     finish(PublishResult::Kind::Conflict, "another change came first");
-    const AcceptedConfiguration *current = m_fold->current();
+    const AcceptedConfiguration *current = m_stateMachine->current();
     if (m_successor) {
         m_result->winner = *m_successor;
     } else if (current) {
--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "app/publish.h"
-#include "coordination/configuration/iconfigurationfold.h"
+#include "coordination/configuration/iconfigurationstatemachine.h"
 #include "transport/ieventloop.h"
 #include "transport/ilogservice.h"
 
@@ -64,7 +64,7 @@
     const PublishSettings &m_settings;
     IEventLoop &m_loop;
     ILogService &m_log;
-    std::unique_ptr<IConfigurationFold> m_fold;
+    std::unique_ptr<IConfigurationStateMachine> m_stateMachine;
     TimePoint m_deadline;
     std::optional<PublishResult> m_result;
     std::optional<ConfigurationVersion> m_base;
--- a/src/coordination/configuration/iconfigurationfold.h
+++ b/src/coordination/configuration/iconfigurationstatemachine.h
@@ -73,10 +73,10 @@
 /// last, known when the stream was read from offset 0, or from a position that a snapshot or a
 /// peer vouches for. And what is held: the newest accepted version that was seen anywhere, which
 /// never goes back. Only the first judges records.
-class IConfigurationFold
+class IConfigurationStateMachine
 {
 public:
-    virtual ~IConfigurationFold() = default;
+    virtual ~IConfigurationStateMachine() = default;
 
     /// Records are given in order of offset. An offset that was given before changes nothing; a
     /// jump forward means that records were forgotten.
--- a/src/coordination/configuration/internal/configurationfold.cpp
+++ b/src/coordination/configuration/internal/configurationstatemachine.cpp
@@ -1,10 +1,10 @@
-#include "coordination/configuration/internal/configurationfold.h"
+#include "coordination/configuration/internal/configurationstatemachine.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "coordination/configuration/configurationdigest.h"
-#include "coordination/configuration/configurationfoldfactory.h"
+#include "coordination/configuration/configurationstatemachinefactory.h"
 
 namespace ivyspar {
 
@@ -46,12 +46,12 @@
 
 } // namespace
 
-ConfigurationFold::ConfigurationFold()
+ConfigurationStateMachine::ConfigurationStateMachine()
 {
     m_log.position = m_next;
 }
 
-FoldVerdict ConfigurationFold::apply(LogOffset offset, const ConfigurationRecord &record)
+FoldVerdict ConfigurationStateMachine::apply(LogOffset offset, const ConfigurationRecord &record)
 {
     if (!advanceTo(offset)) {
         return FoldVerdict::Duplicate;
@@ -74,19 +74,19 @@
     return judgeChange(offset, record);
 }
 
-void ConfigurationFold::forgetBefore(LogOffset first)
+void ConfigurationStateMachine::forgetBefore(LogOffset first)
 {
     if (first > m_next) {
         loseHistory(first);
     }
 }
 
-void ConfigurationFold::skip(LogOffset offset)
+void ConfigurationStateMachine::skip(LogOffset offset)
 {
     advanceTo(offset);
 }
 
-bool ConfigurationFold::adopt(const AcceptedConfiguration &accepted)
+bool ConfigurationStateMachine::adopt(const AcceptedConfiguration &accepted)
 {
     const bool isIntactText =
         accepted.digest == configurationDigest(accepted.inventory, accepted.rules);
@@ -105,23 +105,23 @@
     return m_held.version > before;
 }
 
-std::vector<LateVerdict> ConfigurationFold::takeLateVerdicts()
+std::vector<LateVerdict> ConfigurationStateMachine::takeLateVerdicts()
 {
     return std::exchange(m_late, {});
 }
 
-const AcceptedConfiguration *ConfigurationFold::current() const
+const AcceptedConfiguration *ConfigurationStateMachine::current() const
 {
     return m_held.version.value() > 0 ? &m_held : nullptr;
 }
 
-const AcceptedConfiguration *ConfigurationFold::judged() const
+const AcceptedConfiguration *ConfigurationStateMachine::judged() const
 {
     return m_isJudging ? &m_log : nullptr;
 }
 
 /// False for an offset that was read before.
-bool ConfigurationFold::advanceTo(LogOffset offset)
+bool ConfigurationStateMachine::advanceTo(LogOffset offset)
 {
     if (offset < m_next) {
         return false;
@@ -139,7 +139,7 @@
 /// Records before `start` were forgotten unread. One of them may have been an accepted change: a
 /// fold that judged on would accept a change that all others refuse, for good. So nothing is judged
 /// until a snapshot or a peer tells the version at a position that was read.
-void ConfigurationFold::loseHistory(LogOffset start)
+void ConfigurationStateMachine::loseHistory(LogOffset start)
 {
     m_isJudging = false;
     m_start = start;
@@ -151,7 +151,7 @@
     }
 }
 
-void ConfigurationFold::keepPending(LogOffset offset, const ConfigurationRecord &record)
+void ConfigurationStateMachine::keepPending(LogOffset offset, const ConfigurationRecord &record)
 {
     m_pending.push_back({ offset, record });
     m_pendingBytes += sizeOf(record);
@@ -162,7 +162,8 @@
     }
 }
 
-FoldVerdict ConfigurationFold::judgeChange(LogOffset offset, const ConfigurationRecord &record)
+FoldVerdict ConfigurationStateMachine::judgeChange(LogOffset offset,
+                                                   const ConfigurationRecord &record)
 {
     if (record.base != m_log.version) {
         return FoldVerdict::Conflict;
@@ -177,7 +178,8 @@
 /// Its version may be outdated: the author had read only up to `position`, and changes may lie
 /// between there and the snapshot. A fold that took the version at the snapshot's own offset would
 /// undo them and accept a change of a loser.
-FoldVerdict ConfigurationFold::applySnapshot(LogOffset offset, const ConfigurationRecord &record)
+FoldVerdict ConfigurationStateMachine::applySnapshot(LogOffset offset,
+                                                     const ConfigurationRecord &record)
 {
     if (record.position > offset || record.base.value() == 0) {
         return FoldVerdict::Malformed;
@@ -197,7 +199,8 @@
 }
 
 /// Nothing is known to be left of what came before, so an unjudged stream is judged from here on.
-FoldVerdict ConfigurationFold::applyRestart(LogOffset offset, const ConfigurationRecord &record)
+FoldVerdict ConfigurationStateMachine::applyRestart(LogOffset offset,
+                                                    const ConfigurationRecord &record)
 {
     if (m_isJudging && record.base <= m_log.version) {
         return FoldVerdict::Conflict;
@@ -213,7 +216,7 @@
 }
 
 /// `at` was the current version just before `position`, which is not before `m_start`.
-void ConfigurationFold::startJudging(const AcceptedConfiguration &at, LogOffset position)
+void ConfigurationStateMachine::startJudging(const AcceptedConfiguration &at, LogOffset position)
 {
     m_isJudging = true;
     m_log = at;
@@ -234,7 +237,7 @@
 }
 
 /// Versions only grow. Of two texts of one version that of the log counts.
-void ConfigurationFold::hold(const AcceptedConfiguration &accepted)
+void ConfigurationStateMachine::hold(const AcceptedConfiguration &accepted)
 {
     if (accepted.version < m_held.version) {
         return;
@@ -248,9 +251,9 @@
     m_held.position = position;
 }
 
-std::unique_ptr<IConfigurationFold> makeConfigurationFold()
+std::unique_ptr<IConfigurationStateMachine> makeConfigurationStateMachine()
 {
-    return std::make_unique<ConfigurationFold>();
+    return std::make_unique<ConfigurationStateMachine>();
 }
 
 } // namespace ivyspar
--- a/src/coordination/configuration/internal/configurationfold.h
+++ b/src/coordination/configuration/internal/configurationstatemachine.h
@@ -2,14 +2,14 @@
 
 #include <deque>
 
-#include "coordination/configuration/iconfigurationfold.h"
+#include "coordination/configuration/iconfigurationstatemachine.h"
 
 namespace ivyspar {
 
-class ConfigurationFold : public IConfigurationFold
+class ConfigurationStateMachine : public IConfigurationStateMachine
 {
 public:
-    ConfigurationFold();
+    ConfigurationStateMachine();
 
     FoldVerdict apply(LogOffset offset, const ConfigurationRecord &record) override;
     void forgetBefore(LogOffset first) override;
--- a/src/coordination/configuration/internal/snapshotschedule.cpp
+++ b/src/coordination/configuration/internal/snapshotschedule.cpp
@@ -17,17 +17,17 @@
 {
 }
 
-bool SnapshotSchedule::update(TimePoint now, const IConfigurationFold &fold, LogOffset first,
-                              LogOffset end, bool isFast, IRandom &random)
+bool SnapshotSchedule::update(TimePoint now, const IConfigurationStateMachine &stateMachine,
+                              LogOffset first, LogOffset end, bool isFast, IRandom &random)
 {
-    const AcceptedConfiguration *judged = fold.judged();
-    const bool isAtEnd = fold.nextOffset() >= end;
+    const AcceptedConfiguration *judged = stateMachine.judged();
+    const bool isAtEnd = stateMachine.nextOffset() >= end;
     // A daemon that cannot judge, or has not read all, would vouch for what it does not know.
     if (!judged || judged->version.value() == 0 || !isAtEnd) {
         m_due.reset();
         return false;
     }
-    observeAnchor(now, fold.anchor(), random);
+    observeAnchor(now, stateMachine.anchor(), random);
     if (!isRenewalNeeded(now, first, end, isFast)) {
         m_due.reset();
         return false;
--- a/src/coordination/configuration/internal/snapshotschedule.h
+++ b/src/coordination/configuration/internal/snapshotschedule.h
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "coordination/configuration/iconfigurationfold.h"
+#include "coordination/configuration/iconfigurationstatemachine.h"
 #include "state/irandom.h"
 #include "state/time.h"
 
@@ -31,8 +31,8 @@
 
     /// After a page of the log was folded; `first` and `end` are the page's. True when a snapshot
     /// is to be appended now.
-    bool update(TimePoint now, const IConfigurationFold &fold, LogOffset first, LogOffset end,
-                bool isFast, IRandom &random);
+    bool update(TimePoint now, const IConfigurationStateMachine &stateMachine, LogOffset first,
+                LogOffset end, bool isFast, IRandom &random);
     /// The snapshot could not be appended, or it is not known whether it was.
     void onFailure(TimePoint now, IRandom &random);
 
--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "coordination/configuration/configurationdigest.h"
-#include "coordination/configuration/configurationfoldfactory.h"
+#include "coordination/configuration/configurationstatemachinefactory.h"
 #include "coordination/configuration/internal/pollschedule.h"
 #include "coordination/configuration/internal/snapshotschedule.h"
 #include "state/internal/seededrandom.h"
@@ -148,13 +148,13 @@
     SnapshotSettings m_settings;
     SnapshotSchedule m_schedule{ m_settings };
     SeededRandom m_random{ 4 };
-    std::unique_ptr<IConfigurationFold> m_fold = makeConfigurationFold();
+    std::unique_ptr<IConfigurationStateMachine> m_stateMachine = makeConfigurationStateMachine();
     TimePoint m_now{ std::chrono::hours(100) };
 
     bool update(std::uint64_t first, bool isFast = true)
     {
-        return m_schedule.update(m_now, *m_fold, LogOffset(first), m_fold->nextOffset(), isFast,
-                                 m_random);
+        return m_schedule.update(m_now, *m_stateMachine, LogOffset(first),
+                                 m_stateMachine->nextOffset(), isFast, m_random);
     }
     /// Time until an append is due, asked each second.
     Duration waitForAppend(std::uint64_t first, bool isFast = true)
@@ -167,12 +167,13 @@
     }
     void appendSnapshot()
     {
-        const std::uint64_t next = m_fold->nextOffset().value();
-        m_fold->apply(LogOffset(next), makeRecord(ConfigurationRecord::Kind::Snapshot, 1, next));
+        const std::uint64_t next = m_stateMachine->nextOffset().value();
+        m_stateMachine->apply(LogOffset(next),
+                              makeRecord(ConfigurationRecord::Kind::Snapshot, 1, next));
     }
     void appendChange()
     {
-        m_fold->apply(LogOffset(0), makeRecord({}, 0, 0));
+        m_stateMachine->apply(LogOffset(0), makeRecord({}, 0, 0));
     }
 };
 
@@ -226,8 +227,8 @@
     update(0);
     CHECK(waitForAppend(5) <= m_settings.jitter + seconds(1));
     appendSnapshot();
-    for (std::uint64_t i = m_fold->nextOffset().value(); i < 40; ++i) {
-        m_fold->skip(LogOffset(i));
+    for (std::uint64_t i = m_stateMachine->nextOffset().value(); i < 40; ++i) {
+        m_stateMachine->skip(LogOffset(i));
     }
     update(0);
     CHECK_FALSE(update(0));
@@ -238,7 +239,7 @@
 TEST(SnapshotSchedule, ADaemonThatCannotJudgeAppendsNothing)
 {
     appendChange();
-    m_fold->apply(LogOffset(50), makeRecord({}, 1, 0));
-    CHECK(m_fold->judged() == nullptr);
+    m_stateMachine->apply(LogOffset(50), makeRecord({}, 1, 0));
+    CHECK(m_stateMachine->judged() == nullptr);
     CHECK(waitForAppend(50) == std::chrono::hours(5));
 }
--- a/src/coordination/configuration/tests/configurationfoldtest.cpp
+++ b/src/coordination/configuration/tests/configurationstatemachinetest.cpp
@@ -6,7 +6,7 @@
 #include <rapidcheck.h>
 
 #include "coordination/configuration/configurationdigest.h"
-#include "coordination/configuration/configurationfoldfactory.h"
+#include "coordination/configuration/configurationstatemachinefactory.h"
 #include "state/internal/seededrandom.h"
 
 #include <CppUTest/TestHarness.h>
@@ -115,20 +115,21 @@
 class Reader
 {
 public:
-    Reader(const Stream &stream, std::unique_ptr<IConfigurationFold> fold)
+    Reader(const Stream &stream, std::unique_ptr<IConfigurationStateMachine> stateMachine)
         : m_stream(stream)
-        , m_fold(std::move(fold))
+        , m_stateMachine(std::move(stateMachine))
     {
     }
 
     void read(std::uint64_t offset)
     {
-        const FoldVerdict verdict = m_fold->apply(LogOffset(offset), m_stream.records[offset]);
+        const FoldVerdict verdict =
+            m_stateMachine->apply(LogOffset(offset), m_stream.records[offset]);
         const bool isChange = m_stream.records[offset].kind != ConfigurationRecord::Kind::Snapshot;
         const bool isSilent =
             verdict == FoldVerdict::Unjudged || verdict == FoldVerdict::Duplicate || !isChange;
         require(isSilent || verdict == m_stream.verdicts[offset], "verdict");
-        for (const LateVerdict &late : m_fold->takeLateVerdicts()) {
+        for (const LateVerdict &late : m_stateMachine->takeLateVerdicts()) {
             require(late.verdict == m_stream.verdicts[late.offset.value()], "late verdict");
         }
         check();
@@ -136,7 +137,7 @@
 
     void forgetBefore(std::uint64_t first)
     {
-        m_fold->forgetBefore(LogOffset(first));
+        m_stateMachine->forgetBefore(LogOffset(first));
         check();
     }
 
@@ -147,12 +148,12 @@
         if (isPositionKnown) {
             accepted.position = LogOffset(position);
         }
-        m_fold->adopt(accepted);
+        m_stateMachine->adopt(accepted);
         check();
     }
 
-    std::uint64_t next() const { return m_fold->nextOffset().value(); }
-    const IConfigurationFold &fold() const { return *m_fold; }
+    std::uint64_t next() const { return m_stateMachine->nextOffset().value(); }
+    const IConfigurationStateMachine &stateMachine() const { return *m_stateMachine; }
     const std::string &violation() const { return m_violation; }
 
 private:
@@ -165,11 +166,11 @@
 
     void check()
     {
-        const AcceptedConfiguration *judged = m_fold->judged();
+        const AcceptedConfiguration *judged = m_stateMachine->judged();
         require(!judged || judged->version == m_stream.before[next()].version, "judged version");
         require(!judged || judged->digest == m_stream.before[next()].digest, "judged text");
-        require(!judged || judged->position == m_fold->nextOffset(), "judged position");
-        const AcceptedConfiguration *current = m_fold->current();
+        require(!judged || judged->position == m_stateMachine->nextOffset(), "judged position");
+        const AcceptedConfiguration *current = m_stateMachine->current();
         require(!current || !current->position
                     || m_stream.before[current->position->value()].version == current->version,
                 "held position");
@@ -185,20 +186,20 @@
     }
 
     const Stream &m_stream;
-    std::unique_ptr<IConfigurationFold> m_fold;
+    std::unique_ptr<IConfigurationStateMachine> m_stateMachine;
     ConfigurationVersion m_lastHeld;
     std::string m_violation;
 };
 
-using MakeFold = std::function<std::unique_ptr<IConfigurationFold>()>;
+using MakeStateMachine = std::function<std::unique_ptr<IConfigurationStateMachine>()>;
 
 /// Reads a random stream from a random start with replays, gaps and peers of any age. Returns the
 /// first thing that went wrong, or an empty text.
-std::string findViolation(std::uint64_t seed, const MakeFold &makeFold)
+std::string findViolation(std::uint64_t seed, const MakeStateMachine &makeStateMachine)
 {
     SeededRandom random(seed);
     const Stream stream = makeStream(random, 5 + random.below(40));
-    Reader reader(stream, makeFold());
+    Reader reader(stream, makeStateMachine());
     std::uint64_t first = random.below(2) * random.below(stream.end());
     for (int step = 0; step < 120; ++step) {
         const std::uint64_t kind = random.below(12);
@@ -216,15 +217,15 @@
     return reader.violation();
 }
 
-bool holdsFor(const MakeFold &makeFold)
+bool holdsFor(const MakeStateMachine &makeStateMachine)
 {
     rc::detail::TestMetadata metadata;
     metadata.id = "ConfigurationFold";
     rc::detail::TestParams params;
     params.seed = SEED;
     params.maxSuccess = 10000;
-    const auto property = [&makeFold](std::uint64_t seed) {
-        const std::string violation = findViolation(seed, makeFold);
+    const auto property = [&makeStateMachine](std::uint64_t seed) {
+        const std::string violation = findViolation(seed, makeStateMachine);
         RC_ASSERT(violation == "");
     };
     const auto result = rc::detail::checkTestable(property, metadata, params);
@@ -236,7 +237,7 @@
 }
 
 /// What one would write at first: one version for both judging and holding.
-class NaiveFold : public IConfigurationFold
+class NaiveStateMachine : public IConfigurationStateMachine
 {
 public:
     FoldVerdict apply(LogOffset offset, const ConfigurationRecord &record) override
@@ -280,17 +281,17 @@
 
 } // namespace
 
-TEST_GROUP(ConfigurationFold)
+TEST_GROUP(ConfigurationStateMachine)
 {
-    std::unique_ptr<IConfigurationFold> m_fold = makeConfigurationFold();
+    std::unique_ptr<IConfigurationStateMachine> m_stateMachine = makeConfigurationStateMachine();
 
     FoldVerdict apply(std::uint64_t offset, const ConfigurationRecord &record)
     {
-        return m_fold->apply(LogOffset(offset), record);
+        return m_stateMachine->apply(LogOffset(offset), record);
     }
     std::uint64_t version() const
     {
-        return m_fold->current() ? m_fold->current()->version.value() : 0;
+        return m_stateMachine->current() ? m_stateMachine->current()->version.value() : 0;
     }
     AcceptedConfiguration acceptedAs(std::uint64_t number, const std::string &id) const
     {
@@ -301,17 +302,17 @@
     }
 };
 
-TEST(ConfigurationFold, OneOfRacingOperatorsWins)
+TEST(ConfigurationStateMachine, OneOfRacingOperatorsWins)
 {
     CHECK(apply(0, makeChange(0, "a")) == FoldVerdict::Accepted);
     CHECK(apply(1, makeChange(1, "b")) == FoldVerdict::Accepted);
     CHECK(apply(2, makeChange(1, "c")) == FoldVerdict::Conflict);
     CHECK(apply(3, makeChange(9, "d")) == FoldVerdict::Conflict);
-    STRCMP_EQUAL("b", m_fold->current()->changeId.c_str());
+    STRCMP_EQUAL("b", m_stateMachine->current()->changeId.c_str());
     CHECK_EQUAL(2, version());
 }
 
-TEST(ConfigurationFold, DamagedTextChangesNothing)
+TEST(ConfigurationStateMachine, DamagedTextChangesNothing)
 {
     ConfigurationRecord record = makeChange(0, "a");
     record.rules += "x";
@@ -323,10 +324,10 @@
 // 1. This daemon learns version 5 from a peer, before it has read the log that far.
 // 2. A change that names base 5 lies in the log before version 5 came to be, and lost there.
 // If the daemon judged by what it holds, it alone would make that change version 6.
-TEST(ConfigurationFold, PeersVersionDoesNotJudgeOlderRecords)
+TEST(ConfigurationStateMachine, PeersVersionDoesNotJudgeOlderRecords)
 {
     apply(0, makeChange(0, "a"));
-    CHECK(m_fold->adopt(acceptedAs(5, "peer")));
+    CHECK(m_stateMachine->adopt(acceptedAs(5, "peer")));
     CHECK(apply(1, makeChange(5, "premature")) == FoldVerdict::Conflict);
     CHECK(apply(2, makeChange(1, "b")) == FoldVerdict::Accepted);
     CHECK_EQUAL(5, version());
@@ -334,47 +335,49 @@
 
 // A fresh host starts after retention took the beginning. A snapshot that lies behind a change was
 // written by a daemon that had not read the change. Taking it at face value would undo the change.
-TEST(ConfigurationFold, OutdatedSnapshotCountsFromItsPosition)
+TEST(ConfigurationStateMachine, OutdatedSnapshotCountsFromItsPosition)
 {
     CHECK(apply(7, makeChange(3, "d")) == FoldVerdict::Unjudged);
     const ConfigurationRecord snapshot = makeSnapshot(acceptedAs(3, "c"), 7);
     CHECK(apply(8, snapshot) == FoldVerdict::Accepted);
     CHECK_EQUAL(4, version());
-    const std::vector<LateVerdict> late = m_fold->takeLateVerdicts();
+    const std::vector<LateVerdict> late = m_stateMachine->takeLateVerdicts();
     CHECK_EQUAL(1, late.size());
     CHECK(late[0].verdict == FoldVerdict::Accepted);
     CHECK(apply(9, makeChange(3, "e")) == FoldVerdict::Conflict);
 }
 
-TEST(ConfigurationFold, SnapshotOfForgottenPositionIsHeldButDoesNotJudge)
+TEST(ConfigurationStateMachine, SnapshotOfForgottenPositionIsHeldButDoesNotJudge)
 {
     CHECK(apply(8, makeSnapshot(acceptedAs(3, "c"), 7)) == FoldVerdict::Accepted);
     CHECK_EQUAL(3, version());
-    CHECK(m_fold->judged() == nullptr);
+    CHECK(m_stateMachine->judged() == nullptr);
     CHECK(apply(9, makeChange(3, "e")) == FoldVerdict::Unjudged);
 }
 
 // A fresh host while the log is down: it has the version and the position from a peer. When the log
 // is back, its first records were forgotten, but the position lies behind them.
-TEST(ConfigurationFold, PeersPositionBridgesForgottenRecords)
+TEST(ConfigurationStateMachine, PeersPositionBridgesForgottenRecords)
 {
     AcceptedConfiguration fromPeer = acceptedAs(4, "d");
     fromPeer.position = LogOffset(20);
-    CHECK(m_fold->adopt(fromPeer));
+    CHECK(m_stateMachine->adopt(fromPeer));
     CHECK(apply(20, makeChange(4, "e")) == FoldVerdict::Accepted);
     CHECK_EQUAL(5, version());
 }
 
-TEST(ConfigurationFold, AgreesWithTheWholeStreamFromAnyStart)
+TEST(ConfigurationStateMachine, AgreesWithTheWholeStreamFromAnyStart)
 {
-    CHECK(holdsFor(makeConfigurationFold));
+    CHECK(holdsFor(makeConfigurationStateMachine));
 }
 
-TEST(ConfigurationFold, NaiveFoldIsCaught)
+TEST(ConfigurationStateMachine, NaiveFoldIsCaught)
 {
     std::size_t caught = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
-        caught += findViolation(seed, [] { return std::make_unique<NaiveFold>(); }).empty() ? 0 : 1;
+        caught += findViolation(seed, [] { return std::make_unique<NaiveStateMachine>(); }).empty()
+            ? 0
+            : 1;
     }
     CHECK(caught > 0);
 }
--- a/src/protocol/configurationexchange.h
+++ b/src/protocol/configurationexchange.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <variant>
 
-#include "coordination/configuration/iconfigurationfold.h"
+#include "coordination/configuration/iconfigurationstatemachine.h"
 #include "state/result.h"
 
 namespace ivyspar {
--- a/src/protocol/internal/configurationrecordcodec.h
+++ b/src/protocol/internal/configurationrecordcodec.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "coordination/configuration/iconfigurationfold.h"
+#include "coordination/configuration/iconfigurationstatemachine.h"
 #include "state/result.h"
 
 namespace ivyspar {
--- a/standins/control/tests/configurationpublishertest.cpp
+++ b/standins/control/tests/configurationpublishertest.cpp
@@ -3,7 +3,7 @@
 
 #include "app/internal/commands/linediff.h"
 #include "app/internal/control/configurationpublisher.h"
-#include "coordination/configuration/configurationfoldfactory.h"
+#include "coordination/configuration/configurationstatemachinefactory.h"
 #include "protocol/internal/configurationrecordcodec.h"
 #include "standins/log/inprocesshttpclient.h"
 #include "standins/log/logserver.h"
@@ -68,11 +68,11 @@
     std::vector<std::string> acceptedChanges()
     {
         std::vector<std::string> accepted;
-        const auto fold = makeConfigurationFold();
+        const auto stateMachine = makeConfigurationStateMachine();
         const LogPage page = m_core.read(STREAM, LogOffset(0), 10000, "", m_loop->now()).page;
         for (const LogRecord &record : page.records) {
             const ConfigurationRecord decoded = decodeConfigurationRecord(record.payload).value();
-            if (fold->apply(record.offset, decoded) == FoldVerdict::Accepted) {
+            if (stateMachine->apply(record.offset, decoded) == FoldVerdict::Accepted) {
                 accepted.push_back(decoded.changeId);
             }
         }
