--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -173,7 +173,7 @@
         foldRecord(record);
     }
     // Nobody waits for these here; a publisher reads the stream itself.
-    m_stateMachine->takeLateVerdicts();
+    m_stateMachine->takeDeferredResults();
     useCurrent();
 }
 
@@ -189,17 +189,17 @@
     const std::string change = "change " + decoded->changeId + " based on version "
         + std::to_string(decoded->base.value());
     switch (m_stateMachine->apply(record.offset, *decoded)) {
-    case FoldVerdict::Conflict:
+    case ApplyResult::Conflict:
         notice(place + " refused: " + change + " is not based on the current version");
         break;
-    case FoldVerdict::Malformed:
+    case ApplyResult::Malformed:
         notice(place + " refused: the text of " + change + " is damaged");
         break;
-    case FoldVerdict::Unjudged:
+    case ApplyResult::Deferred:
         notice(place + " not judged yet: older records were lost, waiting for a snapshot");
         break;
-    case FoldVerdict::Accepted:
-    case FoldVerdict::Duplicate:
+    case ApplyResult::Accepted:
+    case ApplyResult::Duplicate:
         break;
     }
 }
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -105,7 +105,7 @@
             m_stateMachine->skip(record.offset);
             continue;
         }
-        const FoldVerdict verdict = m_stateMachine->apply(record.offset, *decoded);
+        const ApplyResult verdict = m_stateMachine->apply(record.offset, *decoded);
         const AcceptedConfiguration *judged = m_stateMachine->judged();
         const bool isSuccessor = m_base && judged && !m_successor && judged->version > *m_base;
         if (isSuccessor) {
@@ -115,19 +115,19 @@
             noteVerdict(decoded->changeId, verdict,
                         judged ? judged->version : ConfigurationVersion());
         }
-        for (const LateVerdict &late : m_stateMachine->takeLateVerdicts()) {
-            noteVerdict(late.changeId, late.verdict, late.version);
+        for (const DeferredResult &deferred : m_stateMachine->takeDeferredResults()) {
+            noteVerdict(deferred.changeId, deferred.result, deferred.version);
         }
     }
 }
 
 /// Copies of one change may get different verdicts; one that was accepted counts for all.
-void ConfigurationPublisher::noteVerdict(const std::string &changeId, FoldVerdict verdict,
+void ConfigurationPublisher::noteVerdict(const std::string &changeId, ApplyResult verdict,
                                          ConfigurationVersion version)
 {
-    const bool isVerdict = verdict == FoldVerdict::Accepted || verdict == FoldVerdict::Conflict
-        || verdict == FoldVerdict::Malformed;
-    if (changeId != m_settings.changeId || !isVerdict || m_ownVerdict == FoldVerdict::Accepted) {
+    const bool isVerdict = verdict == ApplyResult::Accepted || verdict == ApplyResult::Conflict
+        || verdict == ApplyResult::Malformed;
+    if (changeId != m_settings.changeId || !isVerdict || m_ownVerdict == ApplyResult::Accepted) {
         return;
     }
     m_ownVerdict = verdict;
@@ -233,14 +233,14 @@
     // The snapshot of a version tells the change that made it.
     const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isCurrent = current && current->changeId == m_settings.changeId;
-    if (isCurrent || m_ownVerdict == FoldVerdict::Accepted) {
+    if (isCurrent || m_ownVerdict == ApplyResult::Accepted) {
         finish(PublishResult::Kind::Accepted, {});
-        m_result->version = m_ownVerdict == FoldVerdict::Accepted ? m_ownVersion : current->version;
+        m_result->version = m_ownVerdict == ApplyResult::Accepted ? m_ownVersion : current->version;
         return;
     }
     // Another change took the place of this one's base: this one can no longer win, even if its
     // record is still on the way.
-    if (m_ownVerdict == FoldVerdict::Conflict || m_successor) {
+    if (m_ownVerdict == ApplyResult::Conflict || m_successor) {
         finishConflict();
     }
 }
--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -49,7 +49,7 @@
     void pause();
     bool readToEnd(Duration wait);
     void foldPage(const LogPage &page);
-    void noteVerdict(const std::string &changeId, FoldVerdict verdict,
+    void noteVerdict(const std::string &changeId, ApplyResult verdict,
                      ConfigurationVersion version);
 
     bool prepare();
@@ -70,7 +70,7 @@
     std::optional<ConfigurationVersion> m_base;
     /// The first version that was accepted on top of `m_base`, once seen.
     std::optional<AcceptedConfiguration> m_successor;
-    std::optional<FoldVerdict> m_ownVerdict;
+    std::optional<ApplyResult> m_ownVerdict;
     ConfigurationVersion m_ownVersion;
     /// The log said that it took an append.
     bool m_isAppended = false;
--- a/src/coordination/configuration/iconfigurationstatemachine.h
+++ b/src/coordination/configuration/iconfigurationstatemachine.h
@@ -35,12 +35,12 @@
     LogOffset position;
 };
 
-enum class FoldVerdict {
+enum class ApplyResult {
     Accepted,
     Conflict, ///< `base` is not the current version.
     Duplicate, ///< A snapshot of, or an older version than, what is held.
     Malformed, ///< The digest does not fit the text.
-    Unjudged, ///< The stream starts after records that were forgotten: wait for a snapshot.
+    Deferred, ///< The stream starts after records that were forgotten: wait for a snapshot.
 };
 
 struct AcceptedConfiguration
@@ -57,11 +57,11 @@
 };
 
 /// The verdict of a change that was found only after the record had been read.
-struct LateVerdict
+struct DeferredResult
 {
     LogOffset offset;
     std::string changeId;
-    FoldVerdict verdict = FoldVerdict::Unjudged;
+    ApplyResult result = ApplyResult::Deferred;
     /// The version in force after the record.
     ConfigurationVersion version;
 };
@@ -80,7 +80,7 @@
 
     /// Records are given in order of offset. An offset that was given before changes nothing; a
     /// jump forward means that records were forgotten.
-    virtual FoldVerdict apply(LogOffset offset, const ConfigurationRecord &record) = 0;
+    virtual ApplyResult apply(LogOffset offset, const ConfigurationRecord &record) = 0;
     /// The log keeps no record before `first`.
     virtual void forgetBefore(LogOffset first) = 0;
     /// There is a record at `offset` that no program of this age can read. It changes nothing.
@@ -88,7 +88,7 @@
     /// A peer holds this accepted version. True if it is newer than what is held.
     virtual bool adopt(const AcceptedConfiguration &accepted) = 0;
     /// Verdicts that `apply` and `adopt` found for earlier, unjudged records since the last call.
-    virtual std::vector<LateVerdict> takeLateVerdicts() = 0;
+    virtual std::vector<DeferredResult> takeDeferredResults() = 0;
 
     /// The newest accepted version. Nothing before the first one.
     virtual const AcceptedConfiguration *current() const = 0;
--- a/src/coordination/configuration/internal/configurationstatemachine.cpp
+++ b/src/coordination/configuration/internal/configurationstatemachine.cpp
@@ -14,7 +14,7 @@
 /// is needed before records can be judged.
 constexpr std::size_t MAX_PENDING_BYTES = 16 * 1024 * 1024;
 /// Bound on verdicts that nobody takes.
-constexpr std::size_t MAX_LATE_VERDICTS = 10000;
+constexpr std::size_t MAX_DEFERRED_RESULTS = 10000;
 
 LogOffset after(LogOffset offset)
 {
@@ -51,13 +51,13 @@
     m_log.position = m_next;
 }
 
-FoldVerdict ConfigurationStateMachine::apply(LogOffset offset, const ConfigurationRecord &record)
+ApplyResult ConfigurationStateMachine::apply(LogOffset offset, const ConfigurationRecord &record)
 {
     if (!advanceTo(offset)) {
-        return FoldVerdict::Duplicate;
+        return ApplyResult::Duplicate;
     }
     if (!isIntact(record)) {
-        return FoldVerdict::Malformed;
+        return ApplyResult::Malformed;
     }
     switch (record.kind) {
     case ConfigurationRecord::Kind::Snapshot:
@@ -69,7 +69,7 @@
     }
     if (!m_isJudging) {
         keepPending(offset, record);
-        return FoldVerdict::Unjudged;
+        return ApplyResult::Deferred;
     }
     return judgeChange(offset, record);
 }
@@ -105,9 +105,9 @@
     return m_held.version > before;
 }
 
-std::vector<LateVerdict> ConfigurationStateMachine::takeLateVerdicts()
+std::vector<DeferredResult> ConfigurationStateMachine::takeDeferredResults()
 {
-    return std::exchange(m_late, {});
+    return std::exchange(m_deferredResults, {});
 }
 
 const AcceptedConfiguration *ConfigurationStateMachine::current() const
@@ -162,27 +162,27 @@
     }
 }
 
-FoldVerdict ConfigurationStateMachine::judgeChange(LogOffset offset,
+ApplyResult ConfigurationStateMachine::judgeChange(LogOffset offset,
                                                    const ConfigurationRecord &record)
 {
     if (record.base != m_log.version) {
-        return FoldVerdict::Conflict;
+        return ApplyResult::Conflict;
     }
     m_log = acceptedFrom(record, ConfigurationVersion(m_log.version.value() + 1), offset);
     m_log.position = m_next;
     hold(m_log);
-    return FoldVerdict::Accepted;
+    return ApplyResult::Accepted;
 }
 
 /// While records are judged, a snapshot tells nothing new, as its author judged the same stream.
 /// Its version may be outdated: the author had read only up to `position`, and changes may lie
 /// between there and the snapshot. A fold that took the version at the snapshot's own offset would
 /// undo them and accept a change of a loser.
-FoldVerdict ConfigurationStateMachine::applySnapshot(LogOffset offset,
+ApplyResult ConfigurationStateMachine::applySnapshot(LogOffset offset,
                                                      const ConfigurationRecord &record)
 {
     if (record.position > offset || record.base.value() == 0) {
-        return FoldVerdict::Malformed;
+        return ApplyResult::Malformed;
     }
     const ConfigurationVersion before = m_held.version;
     AcceptedConfiguration snapshot = acceptedFrom(record, record.base, offset);
@@ -195,15 +195,15 @@
         m_log.offset = offset;
     }
     m_anchor = std::max(m_anchor, record.position);
-    return m_held.version > before ? FoldVerdict::Accepted : FoldVerdict::Duplicate;
+    return m_held.version > before ? ApplyResult::Accepted : ApplyResult::Duplicate;
 }
 
 /// Nothing is known to be left of what came before, so an unjudged stream is judged from here on.
-FoldVerdict ConfigurationStateMachine::applyRestart(LogOffset offset,
+ApplyResult ConfigurationStateMachine::applyRestart(LogOffset offset,
                                                     const ConfigurationRecord &record)
 {
     if (m_isJudging && record.base <= m_log.version) {
-        return FoldVerdict::Conflict;
+        return ApplyResult::Conflict;
     }
     m_pending.clear();
     m_pendingBytes = 0;
@@ -212,7 +212,7 @@
     m_log.position = m_next;
     hold(m_log);
     m_anchor = std::max(m_anchor, offset);
-    return FoldVerdict::Accepted;
+    return ApplyResult::Accepted;
 }
 
 /// `at` was the current version just before `position`, which is not before `m_start`.
@@ -229,9 +229,10 @@
         if (each.offset < position) {
             continue;
         }
-        const FoldVerdict verdict = judgeChange(each.offset, each.record);
-        if (m_late.size() < MAX_LATE_VERDICTS) {
-            m_late.push_back({ each.offset, each.record.changeId, verdict, m_log.version });
+        const ApplyResult result = judgeChange(each.offset, each.record);
+        if (m_deferredResults.size() < MAX_DEFERRED_RESULTS) {
+            m_deferredResults.push_back(
+                { each.offset, each.record.changeId, result, m_log.version });
         }
     }
 }
--- a/src/coordination/configuration/internal/configurationstatemachine.h
+++ b/src/coordination/configuration/internal/configurationstatemachine.h
@@ -11,11 +11,11 @@
 public:
     ConfigurationStateMachine();
 
-    FoldVerdict apply(LogOffset offset, const ConfigurationRecord &record) override;
+    ApplyResult apply(LogOffset offset, const ConfigurationRecord &record) override;
     void forgetBefore(LogOffset first) override;
     void skip(LogOffset offset) override;
     bool adopt(const AcceptedConfiguration &accepted) override;
-    std::vector<LateVerdict> takeLateVerdicts() override;
+    std::vector<DeferredResult> takeDeferredResults() override;
 
     const AcceptedConfiguration *current() const override;
     const AcceptedConfiguration *judged() const override;
@@ -32,9 +32,9 @@
     bool advanceTo(LogOffset offset);
     void loseHistory(LogOffset start);
     void keepPending(LogOffset offset, const ConfigurationRecord &record);
-    FoldVerdict judgeChange(LogOffset offset, const ConfigurationRecord &record);
-    FoldVerdict applySnapshot(LogOffset offset, const ConfigurationRecord &record);
-    FoldVerdict applyRestart(LogOffset offset, const ConfigurationRecord &record);
+    ApplyResult judgeChange(LogOffset offset, const ConfigurationRecord &record);
+    ApplyResult applySnapshot(LogOffset offset, const ConfigurationRecord &record);
+    ApplyResult applyRestart(LogOffset offset, const ConfigurationRecord &record);
     void startJudging(const AcceptedConfiguration &at, LogOffset position);
     void hold(const AcceptedConfiguration &accepted);
 
@@ -48,7 +48,7 @@
     /// Changes read while not judging, to be judged once a checkpoint is found.
     std::deque<PendingRecord> m_pending;
     std::size_t m_pendingBytes = 0;
-    std::vector<LateVerdict> m_late;
+    std::vector<DeferredResult> m_deferredResults;
     AcceptedConfiguration m_held;
 };
 
--- a/src/coordination/configuration/tests/configurationstatemachinetest.cpp
+++ b/src/coordination/configuration/tests/configurationstatemachinetest.cpp
@@ -46,7 +46,7 @@
 {
     std::vector<ConfigurationRecord> records;
     std::vector<AcceptedConfiguration> before = { {} };
-    std::vector<FoldVerdict> verdicts;
+    std::vector<ApplyResult> results;
 
     std::uint64_t end() const { return records.size(); }
 
@@ -70,9 +70,9 @@
         }
         records.push_back(record);
         before.push_back(next);
-        verdicts.push_back(!isIntact        ? FoldVerdict::Malformed
-                               : isAccepted ? FoldVerdict::Accepted
-                                            : FoldVerdict::Conflict);
+        results.push_back(!isIntact        ? ApplyResult::Malformed
+                              : isAccepted ? ApplyResult::Accepted
+                                           : ApplyResult::Conflict);
     }
 };
 
@@ -93,7 +93,7 @@
             stream.add(makeChange(current, id));
             stream.records.back().digest ^= 1;
             stream.before.back() = stream.before[stream.end() - 1];
-            stream.verdicts.back() = FoldVerdict::Malformed;
+            stream.results.back() = ApplyResult::Malformed;
         } else if (kind < 8 && random.below(8) == 0) {
             ConfigurationRecord restart = makeChange(current + random.below(2000), id);
             restart.kind = ConfigurationRecord::Kind::Restart;
@@ -123,14 +123,14 @@
 
     void read(std::uint64_t offset)
     {
-        const FoldVerdict verdict =
+        const ApplyResult result =
             m_stateMachine->apply(LogOffset(offset), m_stream.records[offset]);
         const bool isChange = m_stream.records[offset].kind != ConfigurationRecord::Kind::Snapshot;
         const bool isSilent =
-            verdict == FoldVerdict::Unjudged || verdict == FoldVerdict::Duplicate || !isChange;
-        require(isSilent || verdict == m_stream.verdicts[offset], "verdict");
-        for (const LateVerdict &late : m_stateMachine->takeLateVerdicts()) {
-            require(late.verdict == m_stream.verdicts[late.offset.value()], "late verdict");
+            result == ApplyResult::Deferred || result == ApplyResult::Duplicate || !isChange;
+        require(isSilent || result == m_stream.results[offset], "verdict");
+        for (const DeferredResult &deferred : m_stateMachine->takeDeferredResults()) {
+            require(deferred.result == m_stream.results[deferred.offset.value()], "late verdict");
         }
         check();
     }
@@ -240,14 +240,14 @@
 class NaiveStateMachine : public IConfigurationStateMachine
 {
 public:
-    FoldVerdict apply(LogOffset offset, const ConfigurationRecord &record) override
+    ApplyResult apply(LogOffset offset, const ConfigurationRecord &record) override
     {
         m_next = std::max(m_next, LogOffset(offset.value() + 1));
         const bool isSnapshot = record.kind == ConfigurationRecord::Kind::Snapshot;
         const bool isNext =
             isSnapshot ? record.base > m_held.version : record.base == m_held.version;
         if (!isNext || record.digest != configurationDigest(record.inventory, record.rules)) {
-            return isNext ? FoldVerdict::Malformed : FoldVerdict::Conflict;
+            return isNext ? ApplyResult::Malformed : ApplyResult::Conflict;
         }
         m_held = { ConfigurationVersion(record.base.value() + (isSnapshot ? 0 : 1)),
                    record.changeId,
@@ -256,7 +256,7 @@
                    record.rules,
                    {},
                    {} };
-        return FoldVerdict::Accepted;
+        return ApplyResult::Accepted;
     }
     void forgetBefore(LogOffset) override { }
     void skip(LogOffset) override { }
@@ -268,7 +268,7 @@
         m_held = accepted;
         return true;
     }
-    std::vector<LateVerdict> takeLateVerdicts() override { return {}; }
+    std::vector<DeferredResult> takeDeferredResults() override { return {}; }
     const AcceptedConfiguration *current() const override { return &m_held; }
     const AcceptedConfiguration *judged() const override { return nullptr; }
     LogOffset nextOffset() const override { return m_next; }
@@ -285,7 +285,7 @@
 {
     std::unique_ptr<IConfigurationStateMachine> m_stateMachine = makeConfigurationStateMachine();
 
-    FoldVerdict apply(std::uint64_t offset, const ConfigurationRecord &record)
+    ApplyResult apply(std::uint64_t offset, const ConfigurationRecord &record)
     {
         return m_stateMachine->apply(LogOffset(offset), record);
     }
@@ -304,10 +304,10 @@
 
 TEST(ConfigurationStateMachine, OneOfRacingOperatorsWins)
 {
-    CHECK(apply(0, makeChange(0, "a")) == FoldVerdict::Accepted);
-    CHECK(apply(1, makeChange(1, "b")) == FoldVerdict::Accepted);
-    CHECK(apply(2, makeChange(1, "c")) == FoldVerdict::Conflict);
-    CHECK(apply(3, makeChange(9, "d")) == FoldVerdict::Conflict);
+    CHECK(apply(0, makeChange(0, "a")) == ApplyResult::Accepted);
+    CHECK(apply(1, makeChange(1, "b")) == ApplyResult::Accepted);
+    CHECK(apply(2, makeChange(1, "c")) == ApplyResult::Conflict);
+    CHECK(apply(3, makeChange(9, "d")) == ApplyResult::Conflict);
     STRCMP_EQUAL("b", m_stateMachine->current()->changeId.c_str());
     CHECK_EQUAL(2, version());
 }
@@ -316,7 +316,7 @@
 {
     ConfigurationRecord record = makeChange(0, "a");
     record.rules += "x";
-    CHECK(apply(0, record) == FoldVerdict::Malformed);
+    CHECK(apply(0, record) == ApplyResult::Malformed);
     CHECK_EQUAL(0, version());
 }
 
@@ -328,8 +328,8 @@
 {
     apply(0, makeChange(0, "a"));
     CHECK(m_stateMachine->adopt(acceptedAs(5, "peer")));
-    CHECK(apply(1, makeChange(5, "premature")) == FoldVerdict::Conflict);
-    CHECK(apply(2, makeChange(1, "b")) == FoldVerdict::Accepted);
+    CHECK(apply(1, makeChange(5, "premature")) == ApplyResult::Conflict);
+    CHECK(apply(2, makeChange(1, "b")) == ApplyResult::Accepted);
     CHECK_EQUAL(5, version());
 }
 
@@ -337,22 +337,22 @@
 // written by a daemon that had not read the change. Taking it at face value would undo the change.
 TEST(ConfigurationStateMachine, OutdatedSnapshotCountsFromItsPosition)
 {
-    CHECK(apply(7, makeChange(3, "d")) == FoldVerdict::Unjudged);
+    CHECK(apply(7, makeChange(3, "d")) == ApplyResult::Deferred);
     const ConfigurationRecord snapshot = makeSnapshot(acceptedAs(3, "c"), 7);
-    CHECK(apply(8, snapshot) == FoldVerdict::Accepted);
+    CHECK(apply(8, snapshot) == ApplyResult::Accepted);
     CHECK_EQUAL(4, version());
-    const std::vector<LateVerdict> late = m_stateMachine->takeLateVerdicts();
-    CHECK_EQUAL(1, late.size());
-    CHECK(late[0].verdict == FoldVerdict::Accepted);
-    CHECK(apply(9, makeChange(3, "e")) == FoldVerdict::Conflict);
+    const std::vector<DeferredResult> deferred = m_stateMachine->takeDeferredResults();
+    CHECK_EQUAL(1, deferred.size());
+    CHECK(deferred[0].result == ApplyResult::Accepted);
+    CHECK(apply(9, makeChange(3, "e")) == ApplyResult::Conflict);
 }
 
 TEST(ConfigurationStateMachine, SnapshotOfForgottenPositionIsHeldButDoesNotJudge)
 {
-    CHECK(apply(8, makeSnapshot(acceptedAs(3, "c"), 7)) == FoldVerdict::Accepted);
+    CHECK(apply(8, makeSnapshot(acceptedAs(3, "c"), 7)) == ApplyResult::Accepted);
     CHECK_EQUAL(3, version());
     CHECK(m_stateMachine->judged() == nullptr);
-    CHECK(apply(9, makeChange(3, "e")) == FoldVerdict::Unjudged);
+    CHECK(apply(9, makeChange(3, "e")) == ApplyResult::Deferred);
 }
 
 // A fresh host while the log is down: it has the version and the position from a peer. When the log
@@ -362,7 +362,7 @@
     AcceptedConfiguration fromPeer = acceptedAs(4, "d");
     fromPeer.position = LogOffset(20);
     CHECK(m_stateMachine->adopt(fromPeer));
-    CHECK(apply(20, makeChange(4, "e")) == FoldVerdict::Accepted);
+    CHECK(apply(20, makeChange(4, "e")) == ApplyResult::Accepted);
     CHECK_EQUAL(5, version());
 }
 
--- a/standins/control/tests/configurationpublishertest.cpp
+++ b/standins/control/tests/configurationpublishertest.cpp
@@ -72,7 +72,7 @@
         const LogPage page = m_core.read(STREAM, LogOffset(0), 10000, "", m_loop->now()).page;
         for (const LogRecord &record : page.records) {
             const ConfigurationRecord decoded = decodeConfigurationRecord(record.payload).value();
-            if (stateMachine->apply(record.offset, decoded) == FoldVerdict::Accepted) {
+            if (stateMachine->apply(record.offset, decoded) == ApplyResult::Accepted) {
                 accepted.push_back(decoded.changeId);
             }
         }
