--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -83,7 +83,7 @@
         status.changeId = current->changeId;
     }
     status.unreadable = m_unreadable;
-    status.isJudging = m_stateMachine->judged() != nullptr;
+    status.isJudging = m_stateMachine->logState() != nullptr;
     status.isFastPoller = m_poll.isFast();
     status.nextOffset = m_stateMachine->nextOffset();
     status.anchor = m_stateMachine->anchor();
@@ -206,7 +206,7 @@
 
 void ConfigurationFollower::renewSnapshot()
 {
-    const AcceptedConfiguration *judged = m_stateMachine->judged();
+    const AcceptedConfiguration *judged = m_stateMachine->logState();
     ConfigurationRecord record;
     record.kind = ConfigurationRecord::Kind::Snapshot;
     record.changeId = judged->changeId;
@@ -297,7 +297,7 @@
     const ConfigurationOffer own = makeOffer();
     const bool isNewer = offer.version > own.version;
     const bool hasNeededPosition = offer.version == own.version && offer.hasPosition
-        && !m_stateMachine->judged() && offer.version.value() > 0;
+        && !m_stateMachine->logState() && offer.version.value() > 0;
     if (!isNewer && !hasNeededPosition) {
         return false;
     }
@@ -324,7 +324,7 @@
 const AcceptedConfiguration *ConfigurationFollower::held() const
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
-    const AcceptedConfiguration *judged = m_stateMachine->judged();
+    const AcceptedConfiguration *judged = m_stateMachine->logState();
     return current && judged && judged->version == current->version ? judged : current;
 }
 
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -106,7 +106,7 @@
             continue;
         }
         const ApplyResult verdict = m_stateMachine->apply(record.offset, *decoded);
-        const AcceptedConfiguration *judged = m_stateMachine->judged();
+        const AcceptedConfiguration *judged = m_stateMachine->logState();
         const bool isSuccessor = m_base && judged && !m_successor && judged->version > *m_base;
         if (isSuccessor) {
             m_successor = *judged;
@@ -157,7 +157,7 @@
 /// False while the stream does not show enough yet.
 bool ConfigurationPublisher::chooseBase()
 {
-    const AcceptedConfiguration *judged = m_stateMachine->judged();
+    const AcceptedConfiguration *judged = m_stateMachine->logState();
     if (m_settings.isRestart) {
         if (judged) {
             finish(PublishResult::Kind::NotSent,
--- a/src/coordination/configuration/iconfigurationstatemachine.h
+++ b/src/coordination/configuration/iconfigurationstatemachine.h
@@ -94,7 +94,7 @@
     virtual const AcceptedConfiguration *current() const = 0;
     /// What the log says, while records can be judged; else nothing. Its version is 0 before the
     /// first accepted change, and its position is `nextOffset()`.
-    virtual const AcceptedConfiguration *judged() const = 0;
+    virtual const AcceptedConfiguration *logState() const = 0;
     /// The offset to read next.
     virtual LogOffset nextOffset() const = 0;
     /// A reader that starts here, or earlier, can judge all records from here on.
--- a/src/coordination/configuration/internal/configurationstatemachine.cpp
+++ b/src/coordination/configuration/internal/configurationstatemachine.cpp
@@ -48,7 +48,7 @@
 
 ConfigurationStateMachine::ConfigurationStateMachine()
 {
-    m_log.position = m_next;
+    m_logState.position = m_next;
 }
 
 ApplyResult ConfigurationStateMachine::apply(LogOffset offset, const ConfigurationRecord &record)
@@ -67,17 +67,17 @@
     case ConfigurationRecord::Kind::Change:
         break;
     }
-    if (!m_isJudging) {
-        keepPending(offset, record);
+    if (!m_isLogStateKnown) {
+        deferChange(offset, record);
         return ApplyResult::Deferred;
     }
-    return judgeChange(offset, record);
+    return applyChange(offset, record);
 }
 
 void ConfigurationStateMachine::forgetBefore(LogOffset first)
 {
     if (first > m_next) {
-        loseHistory(first);
+        discardHistory(first);
     }
 }
 
@@ -93,16 +93,16 @@
     if (accepted.version.value() == 0 || !isIntactText) {
         return false;
     }
-    const ConfigurationVersion before = m_held.version;
+    const ConfigurationVersion before = m_newest.version;
     // Also while judging: what lies before the position need not be read from the log any more.
-    const LogOffset useful = m_isJudging ? after(m_next) : m_start;
+    const LogOffset useful = m_isLogStateKnown ? after(m_next) : m_readSince;
     if (accepted.position && *accepted.position >= useful) {
-        startJudging(accepted, *accepted.position);
+        resumeAt(accepted, *accepted.position);
     }
     AcceptedConfiguration learned = accepted;
     learned.offset.reset();
-    hold(learned);
-    return m_held.version > before;
+    updateNewest(learned);
+    return m_newest.version > before;
 }
 
 std::vector<DeferredResult> ConfigurationStateMachine::takeDeferredResults()
@@ -112,12 +112,12 @@
 
 const AcceptedConfiguration *ConfigurationStateMachine::current() const
 {
-    return m_held.version.value() > 0 ? &m_held : nullptr;
+    return m_newest.version.value() > 0 ? &m_newest : nullptr;
 }
 
-const AcceptedConfiguration *ConfigurationStateMachine::judged() const
+const AcceptedConfiguration *ConfigurationStateMachine::logState() const
 {
-    return m_isJudging ? &m_log : nullptr;
+    return m_isLogStateKnown ? &m_logState : nullptr;
 }
 
 /// False for an offset that was read before.
@@ -132,45 +132,45 @@
         return false;
     }
     m_next = after(offset);
-    m_log.position = m_next;
+    m_logState.position = m_next;
     return true;
 }
 
 /// Records before `start` were forgotten unread. One of them may have been an accepted change: a
 /// fold that judged on would accept a change that all others refuse, for good. So nothing is judged
 /// until a snapshot or a peer tells the version at a position that was read.
-void ConfigurationStateMachine::loseHistory(LogOffset start)
+void ConfigurationStateMachine::discardHistory(LogOffset start)
 {
-    m_isJudging = false;
-    m_start = start;
+    m_isLogStateKnown = false;
+    m_readSince = start;
     m_next = start;
     m_pending.clear();
     m_pendingBytes = 0;
-    if (m_held.position && *m_held.position >= start) {
-        startJudging(AcceptedConfiguration(m_held), *m_held.position);
+    if (m_newest.position && *m_newest.position >= start) {
+        resumeAt(AcceptedConfiguration(m_newest), *m_newest.position);
     }
 }
 
-void ConfigurationStateMachine::keepPending(LogOffset offset, const ConfigurationRecord &record)
+void ConfigurationStateMachine::deferChange(LogOffset offset, const ConfigurationRecord &record)
 {
     m_pending.push_back({ offset, record });
     m_pendingBytes += sizeOf(record);
     while (m_pendingBytes > MAX_PENDING_BYTES) {
         m_pendingBytes -= sizeOf(m_pending.front().record);
-        m_start = after(m_pending.front().offset);
+        m_readSince = after(m_pending.front().offset);
         m_pending.pop_front();
     }
 }
 
-ApplyResult ConfigurationStateMachine::judgeChange(LogOffset offset,
+ApplyResult ConfigurationStateMachine::applyChange(LogOffset offset,
                                                    const ConfigurationRecord &record)
 {
-    if (record.base != m_log.version) {
+    if (record.base != m_logState.version) {
         return ApplyResult::Conflict;
     }
-    m_log = acceptedFrom(record, ConfigurationVersion(m_log.version.value() + 1), offset);
-    m_log.position = m_next;
-    hold(m_log);
+    m_logState = acceptedFrom(record, ConfigurationVersion(m_logState.version.value() + 1), offset);
+    m_logState.position = m_next;
+    updateNewest(m_logState);
     return ApplyResult::Accepted;
 }
 
@@ -184,72 +184,72 @@
     if (record.position > offset || record.base.value() == 0) {
         return ApplyResult::Malformed;
     }
-    const ConfigurationVersion before = m_held.version;
+    const ConfigurationVersion before = m_newest.version;
     AcceptedConfiguration snapshot = acceptedFrom(record, record.base, offset);
     snapshot.position = record.position;
-    if (!m_isJudging && record.position >= m_start) {
-        startJudging(snapshot, record.position);
+    if (!m_isLogStateKnown && record.position >= m_readSince) {
+        resumeAt(snapshot, record.position);
     }
-    hold(snapshot);
-    if (m_isJudging && record.base == m_log.version) {
-        m_log.offset = offset;
+    updateNewest(snapshot);
+    if (m_isLogStateKnown && record.base == m_logState.version) {
+        m_logState.offset = offset;
     }
     m_anchor = std::max(m_anchor, record.position);
-    return m_held.version > before ? ApplyResult::Accepted : ApplyResult::Duplicate;
+    return m_newest.version > before ? ApplyResult::Accepted : ApplyResult::Duplicate;
 }
 
 /// Nothing is known to be left of what came before, so an unjudged stream is judged from here on.
 ApplyResult ConfigurationStateMachine::applyRestart(LogOffset offset,
                                                     const ConfigurationRecord &record)
 {
-    if (m_isJudging && record.base <= m_log.version) {
+    if (m_isLogStateKnown && record.base <= m_logState.version) {
         return ApplyResult::Conflict;
     }
     m_pending.clear();
     m_pendingBytes = 0;
-    m_isJudging = true;
-    m_log = acceptedFrom(record, record.base, offset);
-    m_log.position = m_next;
-    hold(m_log);
+    m_isLogStateKnown = true;
+    m_logState = acceptedFrom(record, record.base, offset);
+    m_logState.position = m_next;
+    updateNewest(m_logState);
     m_anchor = std::max(m_anchor, offset);
     return ApplyResult::Accepted;
 }
 
-/// `at` was the current version just before `position`, which is not before `m_start`.
-void ConfigurationStateMachine::startJudging(const AcceptedConfiguration &at, LogOffset position)
+/// `at` was the current version just before `position`, which is not before `m_readSince`.
+void ConfigurationStateMachine::resumeAt(const AcceptedConfiguration &at, LogOffset position)
 {
-    m_isJudging = true;
-    m_log = at;
+    m_isLogStateKnown = true;
+    m_logState = at;
     m_next = std::max(m_next, position);
-    m_log.position = m_next;
-    hold(m_log);
+    m_logState.position = m_next;
+    updateNewest(m_logState);
     const std::deque<PendingRecord> pending = std::exchange(m_pending, {});
     m_pendingBytes = 0;
     for (const PendingRecord &each : pending) {
         if (each.offset < position) {
             continue;
         }
-        const ApplyResult result = judgeChange(each.offset, each.record);
+        const ApplyResult result = applyChange(each.offset, each.record);
         if (m_deferredResults.size() < MAX_DEFERRED_RESULTS) {
             m_deferredResults.push_back(
-                { each.offset, each.record.changeId, result, m_log.version });
+                { each.offset, each.record.changeId, result, m_logState.version });
         }
     }
 }
 
 /// Versions only grow. Of two texts of one version that of the log counts.
-void ConfigurationStateMachine::hold(const AcceptedConfiguration &accepted)
+void ConfigurationStateMachine::updateNewest(const AcceptedConfiguration &accepted)
 {
-    if (accepted.version < m_held.version) {
+    if (accepted.version < m_newest.version) {
         return;
     }
-    const bool isNewer = accepted.version > m_held.version;
+    const bool isNewer = accepted.version > m_newest.version;
     const std::optional<LogOffset> position =
-        isNewer ? accepted.position : std::max(accepted.position, m_held.position);
+        isNewer ? accepted.position : std::max(accepted.position, m_newest.position);
     if (isNewer || accepted.offset) {
-        m_held = accepted;
+        m_newest = accepted;
     }
-    m_held.position = position;
+    m_newest.position = position;
 }
 
 std::unique_ptr<IConfigurationStateMachine> makeConfigurationStateMachine()
--- a/src/coordination/configuration/internal/configurationstatemachine.h
+++ b/src/coordination/configuration/internal/configurationstatemachine.h
@@ -18,7 +18,7 @@
     std::vector<DeferredResult> takeDeferredResults() override;
 
     const AcceptedConfiguration *current() const override;
-    const AcceptedConfiguration *judged() const override;
+    const AcceptedConfiguration *logState() const override;
     LogOffset nextOffset() const override { return m_next; }
     LogOffset anchor() const override { return m_anchor; }
 
@@ -30,26 +30,26 @@
     };
 
     bool advanceTo(LogOffset offset);
-    void loseHistory(LogOffset start);
-    void keepPending(LogOffset offset, const ConfigurationRecord &record);
-    ApplyResult judgeChange(LogOffset offset, const ConfigurationRecord &record);
+    void discardHistory(LogOffset start);
+    void deferChange(LogOffset offset, const ConfigurationRecord &record);
+    ApplyResult applyChange(LogOffset offset, const ConfigurationRecord &record);
     ApplyResult applySnapshot(LogOffset offset, const ConfigurationRecord &record);
     ApplyResult applyRestart(LogOffset offset, const ConfigurationRecord &record);
-    void startJudging(const AcceptedConfiguration &at, LogOffset position);
-    void hold(const AcceptedConfiguration &accepted);
+    void resumeAt(const AcceptedConfiguration &at, LogOffset position);
+    void updateNewest(const AcceptedConfiguration &accepted);
 
-    /// What the log says just before `m_next`. Meaningless while `m_isJudging` is false.
-    AcceptedConfiguration m_log;
-    bool m_isJudging = true;
+    /// What the log says just before `m_next`. Meaningless while `m_isLogStateKnown` is false.
+    AcceptedConfiguration m_logState;
+    bool m_isLogStateKnown = true;
     /// While not judging: records from here on were seen without a gap.
-    LogOffset m_start;
+    LogOffset m_readSince;
     LogOffset m_next;
     LogOffset m_anchor;
     /// Changes read while not judging, to be judged once a checkpoint is found.
     std::deque<PendingRecord> m_pending;
     std::size_t m_pendingBytes = 0;
     std::vector<DeferredResult> m_deferredResults;
-    AcceptedConfiguration m_held;
+    AcceptedConfiguration m_newest;
 };
 
 } // namespace ivyspar
--- a/src/coordination/configuration/internal/snapshotschedule.cpp
+++ b/src/coordination/configuration/internal/snapshotschedule.cpp
@@ -20,10 +20,10 @@
 bool SnapshotSchedule::update(TimePoint now, const IConfigurationStateMachine &stateMachine,
                               LogOffset first, LogOffset end, bool isFast, IRandom &random)
 {
-    const AcceptedConfiguration *judged = stateMachine.judged();
+    const AcceptedConfiguration *logState = stateMachine.logState();
     const bool isAtEnd = stateMachine.nextOffset() >= end;
     // A daemon that cannot judge, or has not read all, would vouch for what it does not know.
-    if (!judged || judged->version.value() == 0 || !isAtEnd) {
+    if (!logState || logState->version.value() == 0 || !isAtEnd) {
         m_due.reset();
         return false;
     }
--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -240,6 +240,6 @@
 {
     appendChange();
     m_stateMachine->apply(LogOffset(50), makeRecord({}, 1, 0));
-    CHECK(m_stateMachine->judged() == nullptr);
+    CHECK(m_stateMachine->logState() == nullptr);
     CHECK(waitForAppend(50) == std::chrono::hours(5));
 }
--- a/src/coordination/configuration/tests/configurationstatemachinetest.cpp
+++ b/src/coordination/configuration/tests/configurationstatemachinetest.cpp
@@ -166,10 +166,10 @@
 
     void check()
     {
-        const AcceptedConfiguration *judged = m_stateMachine->judged();
-        require(!judged || judged->version == m_stream.before[next()].version, "judged version");
-        require(!judged || judged->digest == m_stream.before[next()].digest, "judged text");
-        require(!judged || judged->position == m_stateMachine->nextOffset(), "judged position");
+        const AcceptedConfiguration *logState = m_stateMachine->logState();
+        require(!logState || logState->version == m_stream.before[next()].version, "judged version");
+        require(!logState || logState->digest == m_stream.before[next()].digest, "judged text");
+        require(!logState || logState->position == m_stateMachine->nextOffset(), "judged position");
         const AcceptedConfiguration *current = m_stateMachine->current();
         require(!current || !current->position
                     || m_stream.before[current->position->value()].version == current->version,
@@ -177,7 +177,7 @@
         const ConfigurationVersion held = current ? current->version : ConfigurationVersion();
         require(held >= m_lastHeld, "held version reverts");
         require(held <= m_stream.before.back().version, "held version was never accepted");
-        require(!judged || judged->version <= held, "held version is behind the log");
+        require(!logState || logState->version <= held, "held version is behind the log");
         for (const AcceptedConfiguration &each : m_stream.before) {
             require(each.version != held || held.value() == 0 || each.digest == current->digest,
                     "held text");
@@ -270,7 +270,7 @@
     }
     std::vector<DeferredResult> takeDeferredResults() override { return {}; }
     const AcceptedConfiguration *current() const override { return &m_held; }
-    const AcceptedConfiguration *judged() const override { return nullptr; }
+    const AcceptedConfiguration *logState() const override { return nullptr; }
     LogOffset nextOffset() const override { return m_next; }
     LogOffset anchor() const override { return {}; }
 
@@ -351,7 +351,7 @@
 {
     CHECK(apply(8, makeSnapshot(acceptedAs(3, "c"), 7)) == ApplyResult::Accepted);
     CHECK_EQUAL(3, version());
-    CHECK(m_stateMachine->judged() == nullptr);
+    CHECK(m_stateMachine->logState() == nullptr);
     CHECK(apply(9, makeChange(3, "e")) == ApplyResult::Deferred);
 }
 
