--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -145,7 +145,7 @@
     const TimePoint start = m_loop.now();
     const RetVal<LogPage> page =
         m_log.read(StreamName(CONFIGURATION_STREAM), m_stateMachine->nextOffset(), PAGE_RECORDS,
-                   m_poll.wait());
+                   m_poll.longPollTimeout());
     if (m_isStopped) {
         return Duration::zero();
     }
--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -22,8 +22,9 @@
     , m_check(loop, logs.check, m_settings.stream, *m_freshness,
               [this](const DocumentRead &read) { onCheck(read); })
     , m_watch(
-          loop, logs.watch, m_settings.stream, m_settings.wait, m_settings.freshness.longestRetry,
-          [this] { return isReader(); }, [this](const DocumentRead &read) { onWatch(read); })
+          loop, logs.watch, m_settings.stream, m_settings.wait,
+          m_settings.freshness.maxRetryInterval, [this] { return isReader(); },
+          [this](const DocumentRead &read) { onWatch(read); })
 {
 }
 
@@ -231,7 +232,7 @@
 void DocumentFollower::takeAge(const DaemonId &from, Duration age)
 {
     const TimePoint now = m_loop.now();
-    const Duration worthTelling = m_settings.freshness.longestAge() / 4;
+    const Duration worthTelling = m_settings.freshness.maxAge() / 4;
     const std::optional<Duration> own = m_freshness->age(now);
     if (own && age > *own + worthTelling) {
         m_offers.sendTo(from);
@@ -316,7 +317,7 @@
 Duration DocumentFollower::untilNextOffer() const
 {
     const std::optional<Duration> age = m_freshness->age(m_loop.now());
-    const Duration longest = m_settings.freshness.longestAge();
+    const Duration longest = m_settings.freshness.maxAge();
     const Duration untilStale = longest - age.value_or(longest);
     return std::min(std::max(untilStale, m_settings.staleOfferInterval), m_settings.offerInterval);
 }
--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -61,7 +61,7 @@
         const Ret done = step();
         if (done) {
             pause = m_settings.retry;
-            m_fiber.pause(pauseOfShare(m_settings.readShare, m_countDaemons(), m_random));
+            m_fiber.pause(drawSharedReadPause(m_settings.readShare, m_countDaemons(), m_random));
             continue;
         }
         m_observers.log.debug("member directory: " + done.error().text);
--- a/src/coordination/configuration/ifreshness.h
+++ b/src/coordination/configuration/ifreshness.h
@@ -20,12 +20,12 @@
     /// waits for its turn.
     Duration margin = std::chrono::milliseconds(400);
     /// From the start of a read that failed to the next one; it doubles up to the longest one.
-    Duration retry = std::chrono::milliseconds(100);
-    Duration longestRetry = std::chrono::seconds(1);
+    Duration firstRetryInterval = std::chrono::milliseconds(100);
+    Duration maxRetryInterval = std::chrono::seconds(1);
 
     /// A daemon that knows the log's state of no later than this ago has to read it: the change may
     /// have come right after, and the read may meet a connection that went silent.
-    Duration longestAge() const
+    Duration maxAge() const
     {
         const Duration shortest = applyWithin / 4;
         return std::max(shortest, applyWithin - readTimeout - margin);
--- a/src/coordination/configuration/internal/freshness.cpp
+++ b/src/coordination/configuration/internal/freshness.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint32_t MAX_DOUBLINGS = 10;
 
 /// Between `least` and `most`.
-Duration draw(Duration least, Duration most, IRandom &random)
+Duration drawBetween(Duration least, Duration most, IRandom &random)
 {
     const auto width = std::max<Duration::rep>(1, (most - least).count());
     return least + Duration(static_cast<Duration::rep>(random.below(std::uint64_t(width))));
@@ -29,8 +29,8 @@
         return false;
     }
     m_asOf = known;
-    const Duration longest = m_options.longestAge();
-    m_dueAt = known + draw(longest / 2, longest, random);
+    const Duration longest = m_options.maxAge();
+    m_dueAt = known + drawBetween(longest / 2, longest, random);
     // Peers that are as stale as this daemon are no reason to press the log.
     if (!isStale(now)) {
         m_failures = 0;
@@ -58,9 +58,10 @@
     if (m_failures == 0) {
         return Duration::zero();
     }
-    const Duration pause = std::min(m_options.longestRetry,
-                                    m_options.retry * (1U << std::min(m_failures, MAX_DOUBLINGS)));
-    return draw(pause / 2, pause, random);
+    const Duration pause =
+        std::min(m_options.maxRetryInterval,
+                 m_options.firstRetryInterval * (1U << std::min(m_failures, MAX_DOUBLINGS)));
+    return drawBetween(pause / 2, pause, random);
 }
 
 TimePoint Freshness::nextRead() const
@@ -78,7 +79,7 @@
 
 bool Freshness::isStale(TimePoint now) const
 {
-    return !m_asOf || now - *m_asOf >= m_options.longestAge();
+    return !m_asOf || now - *m_asOf >= m_options.maxAge();
 }
 
 std::unique_ptr<IFreshness> makeFreshness(const FreshnessOptions &options)
--- a/src/coordination/configuration/internal/pollschedule.cpp
+++ b/src/coordination/configuration/internal/pollschedule.cpp
@@ -14,7 +14,7 @@
 }
 
 /// From half to one and a half of `mean`.
-Duration spread(Duration mean, IRandom &random)
+Duration drawAround(Duration mean, IRandom &random)
 {
     const auto width = static_cast<std::uint64_t>(std::max<Duration::rep>(1, mean.count()));
     return mean / 2 + Duration(static_cast<Duration::rep>(random.below(width)));
@@ -34,10 +34,10 @@
     return before < static_cast<std::int64_t>(fastPerDomain);
 }
 
-Duration pauseOfShare(Duration interval, std::size_t daemons, IRandom &random)
+Duration drawSharedReadPause(Duration interval, std::size_t daemons, IRandom &random)
 {
     const auto count = static_cast<Duration::rep>(std::max<std::size_t>(1, daemons));
-    return spread(interval * count, random);
+    return drawAround(interval * count, random);
 }
 
 PollSchedule::PollSchedule(const PollSettings &settings)
@@ -45,7 +45,7 @@
 {
 }
 
-Duration PollSchedule::wait() const
+Duration PollSchedule::longPollTimeout() const
 {
     return m_isFast && m_failures == 0 ? m_settings.longPoll : Duration::zero();
 }
@@ -57,7 +57,7 @@
         return Duration::zero();
     }
     if (!m_isFast) {
-        return spread(m_settings.slowInterval, random);
+        return drawAround(m_settings.slowInterval, random);
     }
     if (!isEmpty) {
         return Duration::zero();
@@ -75,9 +75,10 @@
                  m_settings.firstBackoff * (1U << std::min(m_failures, MAX_DOUBLINGS)));
     const bool isFirst = m_failures == 0;
     ++m_failures;
-    const Duration pause = spread(backoff, random);
+    const Duration pause = drawAround(backoff, random);
     // A single failure may be a connection that went silent: the next read opens another.
-    return m_isFast || isFirst ? pause : std::max(pause, spread(m_settings.slowInterval, random));
+    return m_isFast || isFirst ? pause
+                               : std::max(pause, drawAround(m_settings.slowInterval, random));
 }
 
 } // namespace ivyspar
--- a/src/coordination/configuration/internal/pollschedule.h
+++ b/src/coordination/configuration/internal/pollschedule.h
@@ -36,7 +36,7 @@
 /// Pause before the next read of a daemon that shares one read in each `interval` with all others:
 /// the log sees as many reads from a thousand daemons as from ten. A daemon that knows of few
 /// others reads often, so one that lost them all goes by the log alone.
-Duration pauseOfShare(Duration interval, std::size_t daemons, IRandom &random);
+Duration drawSharedReadPause(Duration interval, std::size_t daemons, IRandom &random);
 
 /// When to read the log next. Plain object.
 class PollSchedule
@@ -47,7 +47,7 @@
     void setFast(bool isFast) { m_isFast = isFast; }
     bool isFast() const { return m_isFast; }
     /// For how long the log may hold the next answer back.
-    Duration wait() const;
+    Duration longPollTimeout() const;
     /// A page came. `isAtEnd`: nothing more is there to read now. Returns the pause before the
     /// next read.
     Duration onPage(bool isEmpty, bool isAtEnd, Duration took, IRandom &random);
--- a/src/coordination/configuration/internal/snapshotschedule.cpp
+++ b/src/coordination/configuration/internal/snapshotschedule.cpp
@@ -28,7 +28,7 @@
         return false;
     }
     observeAnchor(now, stateMachine.anchor(), random);
-    if (!isRenewalNeeded(now, first, end, isFast)) {
+    if (!isRenewalDue(now, first, end, isFast)) {
         m_due.reset();
         return false;
     }
@@ -62,10 +62,10 @@
     m_anchorSince = now - Duration(static_cast<Duration::rep>(age));
 }
 
-bool SnapshotSchedule::isRenewalNeeded(TimePoint now, LogOffset first, LogOffset end,
-                                       bool isFast) const
+bool SnapshotSchedule::isRenewalDue(TimePoint now, LogOffset first, LogOffset end,
+                                    bool isFast) const
 {
-    const int factor = isFast ? 1 : static_cast<int>(m_settings.slowFactor);
+    const int factor = isFast ? 1 : static_cast<int>(m_settings.slowReaderFactor);
     if (now - m_anchorSince >= factor * m_settings.retention / RENEWALS_IN_RETENTION) {
         return true;
     }
--- a/src/coordination/configuration/internal/snapshotschedule.h
+++ b/src/coordination/configuration/internal/snapshotschedule.h
@@ -16,7 +16,7 @@
     Duration jitter = std::chrono::seconds(20);
     /// Daemons that read the log rarely wait so many times as long, so that they act only when the
     /// close followers do not.
-    std::uint32_t slowFactor = 2;
+    std::uint32_t slowReaderFactor = 2;
 };
 
 /// When to append the current version again, so that a daemon that starts later can judge the
@@ -38,7 +38,7 @@
 
 private:
     void observeAnchor(TimePoint now, LogOffset anchor, IRandom &random);
-    bool isRenewalNeeded(TimePoint now, LogOffset first, LogOffset end, bool isFast) const;
+    bool isRenewalDue(TimePoint now, LogOffset first, LogOffset end, bool isFast) const;
     Duration drawJitter(IRandom &random) const;
 
     SnapshotSettings m_settings;
--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -57,7 +57,7 @@
 TEST(PollSchedule, EmptyAnswersThatComeAtOnceAreNotAskedForAgainAtOnce)
 {
     m_schedule.setFast(true);
-    CHECK(m_schedule.wait() == m_settings.longPoll);
+    CHECK(m_schedule.longPollTimeout() == m_settings.longPoll);
     CHECK(m_schedule.onPage(true, true, Duration(0), m_random) == m_settings.fastInterval);
     CHECK(m_schedule.onPage(true, true, m_settings.longPoll, m_random) == Duration::zero());
     CHECK(m_schedule.onPage(false, true, Duration(0), m_random) == Duration::zero());
@@ -65,7 +65,7 @@
 
 TEST(PollSchedule, TheOthersReadOnWhileThereIsMoreAndThenRarely)
 {
-    CHECK(m_schedule.wait() == Duration::zero());
+    CHECK(m_schedule.longPollTimeout() == Duration::zero());
     CHECK(m_schedule.onPage(false, false, Duration(0), m_random) == Duration::zero());
     for (int i = 0; i < 100; ++i) {
         const Duration pause = m_schedule.onPage(true, true, Duration(0), m_random);
@@ -81,7 +81,7 @@
     m_schedule.setFast(true);
     const Duration first = m_schedule.onFailure(m_random);
     CHECK(first <= m_settings.firstBackoff * 3 / 2);
-    CHECK(m_schedule.wait() == Duration::zero());
+    CHECK(m_schedule.longPollTimeout() == Duration::zero());
     for (int i = 0; i < 100; ++i) {
         m_schedule.onFailure(m_random);
     }
@@ -108,7 +108,7 @@
         Duration longest{ 0 };
         for (int i = 0; i < 1000; ++i) {
             const Duration pause = m_schedule.onPage(true, true, Duration(0), m_random);
-            const Duration lost = m_schedule.wait() + m_settings.readTimeout;
+            const Duration lost = m_schedule.longPollTimeout() + m_settings.readTimeout;
             const Duration retry = m_schedule.onFailure(m_random);
             longest = std::max(longest, pause + lost + retry + m_settings.readTimeout);
         }
@@ -125,7 +125,7 @@
     const auto readsIn = [this](std::size_t daemons) {
         Duration pauses{ 0 };
         for (std::size_t i = 0; i < daemons; ++i) {
-            pauses += pauseOfShare(std::chrono::milliseconds(400), daemons, m_random);
+            pauses += drawSharedReadPause(std::chrono::milliseconds(400), daemons, m_random);
         }
         const Duration mean = pauses / static_cast<Duration::rep>(daemons);
         return static_cast<double>(daemons) * (minutes(1) / 1.0 / mean);
@@ -138,7 +138,7 @@
 TEST(PollSchedule, ADaemonAloneTakesEachTurn)
 {
     for (int i = 0; i < 100; ++i) {
-        CHECK(pauseOfShare(std::chrono::milliseconds(400), 0, m_random)
+        CHECK(drawSharedReadPause(std::chrono::milliseconds(400), 0, m_random)
               <= std::chrono::milliseconds(600));
     }
 }
--- a/src/coordination/configuration/tests/configurationstatemachinetest.cpp
+++ b/src/coordination/configuration/tests/configurationstatemachinetest.cpp
@@ -167,7 +167,8 @@
     void check()
     {
         const AcceptedConfiguration *logState = m_stateMachine->logState();
-        require(!logState || logState->version == m_stream.before[next()].version, "judged version");
+        require(!logState || logState->version == m_stream.before[next()].version,
+                "judged version");
         require(!logState || logState->digest == m_stream.before[next()].digest, "judged text");
         require(!logState || logState->position == m_stateMachine->nextOffset(), "judged position");
         const AcceptedConfiguration *current = m_stateMachine->current();
--- a/src/coordination/configuration/tests/freshnesstest.cpp
+++ b/src/coordination/configuration/tests/freshnesstest.cpp
@@ -19,10 +19,9 @@
 
 TEST(Freshness, WaitsAddUpToTheTimeInWhichAChangeIsInForce)
 {
-    CHECK(m_options.longestAge() + m_options.readTimeout + m_options.margin
-          <= m_options.applyWithin);
+    CHECK(m_options.maxAge() + m_options.readTimeout + m_options.margin <= m_options.applyWithin);
     // After the log answers again: the read that was lost meanwhile, or the longest pause.
-    CHECK(std::max(m_options.readTimeout, m_options.longestRetry) <= m_options.applyWithin);
+    CHECK(std::max(m_options.readTimeout, m_options.maxRetryInterval) <= m_options.applyWithin);
 }
 
 TEST(Freshness, ADaemonThatKnowsNothingReadsAtOnce)
@@ -38,8 +37,8 @@
     for (int i = 0; i < 100; ++i) {
         m_now += milliseconds(10);
         CHECK(m_freshness.confirm(m_now, m_now, m_random));
-        CHECK(m_freshness.nextRead() >= m_now + m_options.longestAge() / 2);
-        CHECK(m_freshness.nextRead() <= m_now + m_options.longestAge());
+        CHECK(m_freshness.nextRead() >= m_now + m_options.maxAge() / 2);
+        CHECK(m_freshness.nextRead() <= m_now + m_options.maxAge());
         CHECK_FALSE(m_freshness.isStale(m_freshness.nextRead() - milliseconds(1)));
         times.insert(m_freshness.nextRead());
     }
@@ -59,7 +58,7 @@
 TEST(Freshness, NobodyKnowsTheFuture)
 {
     m_freshness.confirm(m_now, m_now + seconds(60), m_random);
-    CHECK(m_freshness.nextRead() <= m_now + m_options.longestAge());
+    CHECK(m_freshness.nextRead() <= m_now + m_options.maxAge());
 }
 
 TEST(Freshness, WhoIsBehindReadsAtOnce)
@@ -84,10 +83,10 @@
 {
     for (int i = 0; i < 20; ++i) {
         m_freshness.onReadFailed(m_now, m_random);
-        CHECK(m_freshness.nextRead() <= m_now + m_options.longestRetry);
+        CHECK(m_freshness.nextRead() <= m_now + m_options.maxRetryInterval);
     }
-    CHECK(m_freshness.nextRead() >= m_now + m_options.longestRetry / 2);
+    CHECK(m_freshness.nextRead() >= m_now + m_options.maxRetryInterval / 2);
     m_freshness.confirm(m_now, m_now, m_random);
     m_freshness.onReadFailed(m_now, m_random);
-    CHECK(m_freshness.nextRead() <= m_now + m_options.longestAge());
+    CHECK(m_freshness.nextRead() <= m_now + m_options.maxAge());
 }
