--- a/bench/membershipbench.cpp
+++ b/bench/membershipbench.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/membership/tests/mocks/membershipfabric.h"
+#include "coordination/membership/tests/mocks/membershipsimulation.h"
 #include "protocol/internal/membershipcodec.h"
 
 namespace ivyspar::lab {
--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "app/tests/mocks/simulatedfollowers.h"
-#include "coordination/membership/tests/mocks/membershipfabric.h"
+#include "coordination/membership/tests/mocks/membershipsimulation.h"
 #include "protocol/internal/membershipcodec.h"
 
 #include <CppUTest/TestHarness.h>
--- a/src/coordination/membership/internal/membership.cpp
+++ b/src/coordination/membership/internal/membership.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t GOODBYE_RECEIVERS = 8;
 constexpr std::uint64_t RECONTACTS_PER_SEED = 6;
 /// Daemons of a failure domain that exchange whole records with another one at a time.
-constexpr double FAR_EXCHANGES = 4;
+constexpr double REMOTE_SYNCS = 4;
 /// Others in a failure domain up to which each of them exchanges with other domains: as much is
 /// said in a large one by a few.
 constexpr std::size_t SMALL_DOMAIN = 8;
@@ -41,7 +41,7 @@
 Membership::Membership(TimePoint now, const Member &self, const MembershipOptions &options)
     : m_options(options)
     , m_self(self.id)
-    , m_rings(m_table, self.id, self.domain)
+    , m_peerSelector(m_table, self.id, self.domain)
     , m_seeds(self.domain, options.maxSeeds)
     , m_start(now)
     , m_nextPing(now)
@@ -91,7 +91,7 @@
     m_table.put(entry);
     actions.changed = true;
     // Not by the queue: its bound on sends may be smaller than the number of those to be told.
-    for (const MemberEntry *receiver : m_rings.next(GOODBYE_RECEIVERS, m_self)) {
+    for (const MemberEntry *receiver : m_peerSelector.next(GOODBYE_RECEIVERS, m_self)) {
         MembershipMessage message = makeMessage(GossipMessage());
         message.updates.push_back(makeUpdate(entry, false));
         send(receiver->member.id, receiver->member.peerEndpoint, std::move(message), actions);
@@ -125,7 +125,7 @@
         return actions;
     }
     if (!m_lastTick) {
-        m_rings.setSalt(random.next());
+        m_peerSelector.setSalt(random.next());
         // Daemons that start together would otherwise ping in step for ever.
         m_nextPing = now + Duration(random.below(m_options.period.count()));
     }
@@ -308,7 +308,7 @@
     if (m_nextPing <= now) {
         m_nextPing = now + m_options.period;
     }
-    if (const MemberEntry *next = m_rings.nextToPing(random)) {
+    if (const MemberEntry *next = m_peerSelector.nextToPing(random)) {
         startProbe(now, next->member.id, actions);
     }
 }
@@ -361,7 +361,7 @@
     m_nextSync = now + (isYoung ? m_seedPause : syncPause());
     // Two failure domains that differ do so in all their members. A few of them exchange; the
     // others have it from these within their own.
-    if (!m_rings.isNear(m_differing->id) && random.unit() >= farExchangeChance()) {
+    if (!m_peerSelector.isLocal(m_differing->id) && random.unit() >= remoteSyncChance()) {
         return;
     }
     const auto &buckets = m_table.buckets();
@@ -426,8 +426,8 @@
 void Membership::contactSeed(TimePoint now, IRandom &random, MembershipActions &actions)
 {
     const bool isLonely = m_table.upCount() <= 1 && now >= m_start + LONELY_TIME;
-    const bool isFarWanted = isLonely || random.unit() < farExchangeChance();
-    const auto seed = m_seeds.choose(m_table, isFarWanted, random);
+    const bool isRemoteAllowed = isLonely || random.unit() < remoteSyncChance();
+    const auto seed = m_seeds.choose(m_table, isRemoteAllowed, random);
     if (!seed) {
         return;
     }
@@ -439,10 +439,10 @@
 }
 
 /// Of the exchanges that a daemon could have with another failure domain, those that it has.
-double Membership::farExchangeChance() const
+double Membership::remoteSyncChance() const
 {
-    const std::size_t near = std::max(m_rings.nearCount(), m_seeds.nearCount());
-    return near <= SMALL_DOMAIN ? 1 : FAR_EXCHANGES / static_cast<double>(near);
+    const std::size_t local = std::max(m_peerSelector.localCount(), m_seeds.localCount());
+    return local <= SMALL_DOMAIN ? 1 : REMOTE_SYNCS / static_cast<double>(local);
 }
 
 double Membership::logMembers() const
--- a/src/coordination/membership/internal/membership.h
+++ b/src/coordination/membership/internal/membership.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/membership/internal/contactrings.h"
 #include "coordination/membership/internal/membertable.h"
+#include "coordination/membership/internal/peerselector.h"
 #include "coordination/membership/internal/seedlist.h"
 #include "coordination/membership/internal/updatequeue.h"
 #include "coordination/membership/membershipfactory.h"
@@ -104,7 +104,7 @@
               MembershipActions &actions) const;
     void sendGossip(std::size_t receivers, MembershipActions &actions);
 
-    double farExchangeChance() const;
+    double remoteSyncChance() const;
     std::size_t takeSyncBytes(TimePoint now);
 
     double logMembers() const;
@@ -122,7 +122,7 @@
     /// Members that another daemon holds for dead at a version, and this one does not.
     std::deque<std::pair<DaemonId, std::uint64_t>> m_doubted;
 
-    ContactRings m_rings;
+    PeerSelector m_peerSelector;
     SeedList m_seeds;
     std::optional<Differing> m_differing;
     /// The digest has agreed with another member's at least once.
--- a/src/coordination/membership/internal/membershipexchange.cpp
+++ b/src/coordination/membership/internal/membershipexchange.cpp
@@ -78,10 +78,10 @@
         m_queue.push(update);
     }
     if (wasUp != isUp(entry.health) || isRecordNew) {
-        m_rings.markStale();
+        m_peerSelector.markStale();
     }
     if (!wasUp && isUp(entry.health)) {
-        m_rings.join(update.id);
+        m_peerSelector.join(update.id);
     }
 }
 
@@ -146,7 +146,7 @@
     m_table.put(std::move(entry));
     if (wasUp != isUp(health)) {
         actions.changed = true;
-        m_rings.markStale();
+        m_peerSelector.markStale();
     }
 }
 
@@ -311,7 +311,7 @@
         return;
     }
     // An exchange within the failure domain comes first.
-    if (m_differing && m_rings.isNear(m_differing->id) && !m_rings.isNear(from)) {
+    if (m_differing && m_peerSelector.isLocal(m_differing->id) && !m_peerSelector.isLocal(from)) {
         return;
     }
     const TimePoint since = m_differing ? m_differing->since : now;
@@ -349,14 +349,14 @@
         return;
     }
     const PingRequestMessage request{ sequence, probe.target, target->member.peerEndpoint };
-    for (const MemberEntry *helper : m_rings.next(m_options.indirectProbes, probe.target)) {
+    for (const MemberEntry *helper : m_peerSelector.next(m_options.indirectProbes, probe.target)) {
         send(helper->member.id, helper->member.peerEndpoint, makeMessage(request), actions);
     }
 }
 
 void Membership::sendGossip(std::size_t receivers, MembershipActions &actions)
 {
-    for (const MemberEntry *receiver : m_rings.next(receivers, m_self)) {
+    for (const MemberEntry *receiver : m_peerSelector.next(receivers, m_self)) {
         send(receiver->member.id, receiver->member.peerEndpoint, makeMessage(GossipMessage()),
              actions);
     }
--- a/src/coordination/membership/internal/peerselector.cpp
+++ b/src/coordination/membership/internal/peerselector.cpp
@@ -1,4 +1,4 @@
-#include "coordination/membership/internal/contactrings.h"
+#include "coordination/membership/internal/peerselector.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,18 +8,18 @@
 namespace {
 
 /// Messages to each other failure domain while each member of the own one gets one.
-constexpr double FAR_PER_DOMAIN = 1;
+constexpr double MESSAGES_PER_REMOTE_DOMAIN = 1;
 
 } // namespace
 
-ContactRings::ContactRings(const MemberTable &table, DaemonId self, DomainName domain)
+PeerSelector::PeerSelector(const MemberTable &table, DaemonId self, DomainName domain)
     : m_table(table)
     , m_self(std::move(self))
     , m_domain(std::move(domain))
 {
 }
 
-void ContactRings::refresh()
+void PeerSelector::refresh()
 {
     if (!std::exchange(m_isStale, false)) {
         return;
@@ -43,29 +43,29 @@
     }
 }
 
-void ContactRings::join(const DaemonId &id)
+void PeerSelector::join(const DaemonId &id)
 {
-    if (!isNear(id)) {
+    if (!isLocal(id)) {
         return;
     }
-    const std::size_t at = std::min(m_pingAt, m_pingRing.size());
+    const std::size_t at = std::min(m_pingPosition, m_pingRing.size());
     const std::size_t rest = m_pingRing.size() - at;
     const std::size_t place = (std::hash<DaemonId>()(id) ^ m_salt) % (rest + 1);
     m_pingRing.insert(m_pingRing.begin() + static_cast<std::ptrdiff_t>(at + place), id);
 }
 
-const MemberEntry *ContactRings::next()
+const MemberEntry *PeerSelector::next()
 {
     refresh();
-    const MemberEntry *far = isFarDue(m_farDue) ? nextFar() : nullptr;
-    if (far != nullptr) {
-        return far;
+    const MemberEntry *remote = isRemoteDue(m_remoteDue) ? nextRemote() : nullptr;
+    if (remote != nullptr) {
+        return remote;
     }
-    const MemberEntry *near = nextIn(m_domain);
-    return near != nullptr ? near : nextFar();
+    const MemberEntry *local = nextIn(m_domain);
+    return local != nullptr ? local : nextRemote();
 }
 
-std::vector<const MemberEntry *> ContactRings::next(std::size_t count, const DaemonId &except)
+std::vector<const MemberEntry *> PeerSelector::next(std::size_t count, const DaemonId &except)
 {
     std::vector<const MemberEntry *> receivers;
     for (std::size_t tried = 0; tried < 2 * count && receivers.size() < count; ++tried) {
@@ -79,22 +79,22 @@
     return receivers;
 }
 
-const MemberEntry *ContactRings::nextToPing(IRandom &random)
+const MemberEntry *PeerSelector::nextToPing(IRandom &random)
 {
     refresh();
-    const MemberEntry *far = isFarDue(m_farPingDue) ? nextFar() : nullptr;
-    return far != nullptr ? far : nextNearToPing(random);
+    const MemberEntry *remote = isRemoteDue(m_remotePingDue) ? nextRemote() : nullptr;
+    return remote != nullptr ? remote : nextLocalToPing(random);
 }
 
-const MemberEntry *ContactRings::nextNearToPing(IRandom &random)
+const MemberEntry *PeerSelector::nextLocalToPing(IRandom &random)
 {
     for (std::size_t rounds = 0; rounds < 2;) {
-        if (m_pingAt >= m_pingRing.size()) {
+        if (m_pingPosition >= m_pingRing.size()) {
             ++rounds;
             startPingRound(random);
             continue;
         }
-        const MemberEntry *entry = m_table.find(m_pingRing[m_pingAt++]);
+        const MemberEntry *entry = m_table.find(m_pingRing[m_pingPosition++]);
         if (entry != nullptr && isUp(entry->health)) {
             return entry;
         }
@@ -102,41 +102,41 @@
     return nullptr;
 }
 
-void ContactRings::startPingRound(IRandom &random)
+void PeerSelector::startPingRound(IRandom &random)
 {
     for (auto &[domain, ring] : m_rings) {
         shuffle(ring, random);
     }
-    m_pingAt = 0;
-    const auto near = m_rings.find(m_domain);
-    m_pingRing = near == m_rings.end() ? Ring() : near->second;
+    m_pingPosition = 0;
+    const auto local = m_rings.find(m_domain);
+    m_pingRing = local == m_rings.end() ? Ring() : local->second;
 }
 
-bool ContactRings::isNear(const DaemonId &id) const
+bool PeerSelector::isLocal(const DaemonId &id) const
 {
     const MemberEntry *entry = m_table.find(id);
-    return entry != nullptr && isNear(entry->member.domain);
+    return entry != nullptr && isLocal(entry->member.domain);
 }
 
-std::size_t ContactRings::nearCount() const
+std::size_t PeerSelector::localCount() const
 {
-    const auto near = m_rings.find(m_domain);
-    return near == m_rings.end() ? 0 : near->second.size();
+    const auto local = m_rings.find(m_domain);
+    return local == m_rings.end() ? 0 : local->second.size();
 }
 
 /// Of the messages to others, those that leave the failure domain. A large one has more members to
 /// tell at home, and as many to tell others.
-double ContactRings::farShare() const
+double PeerSelector::remoteShare() const
 {
-    const auto near = static_cast<double>(nearCount());
+    const auto local = static_cast<double>(localCount());
     const std::size_t domains = m_rings.size() - m_rings.count(m_domain);
-    const double far = FAR_PER_DOMAIN * static_cast<double>(domains);
-    return far == 0 ? 0 : far / (near + far);
+    const double remote = MESSAGES_PER_REMOTE_DOMAIN * static_cast<double>(domains);
+    return remote == 0 ? 0 : remote / (local + remote);
 }
 
-bool ContactRings::isFarDue(double &due) const
+bool PeerSelector::isRemoteDue(double &due) const
 {
-    due += farShare();
+    due += remoteShare();
     if (due < 1) {
         return false;
     }
@@ -145,7 +145,7 @@
 }
 
 /// Takes the other failure domains in turn.
-const MemberEntry *ContactRings::nextFar()
+const MemberEntry *PeerSelector::nextRemote()
 {
     for (std::size_t tried = 0; tried <= m_rings.size(); ++tried) {
         auto ring = m_rings.upper_bound(m_lastDomain);
@@ -156,7 +156,7 @@
             return nullptr;
         }
         m_lastDomain = ring->first;
-        if (isNear(ring->first)) {
+        if (isLocal(ring->first)) {
             continue;
         }
         if (const MemberEntry *entry = nextIn(ring->first)) {
@@ -167,19 +167,19 @@
 }
 
 /// Null when the next one there is not up.
-const MemberEntry *ContactRings::nextIn(const DomainName &domain)
+const MemberEntry *PeerSelector::nextIn(const DomainName &domain)
 {
     const auto ring = m_rings.find(domain);
     if (ring == m_rings.end()) {
         return nullptr;
     }
-    std::size_t &at = m_at[domain];
+    std::size_t &at = m_positions[domain];
     at = (at + 1) % ring->second.size();
     const MemberEntry *entry = m_table.find(ring->second[at]);
     return entry != nullptr && isUp(entry->health) ? entry : nullptr;
 }
 
-void ContactRings::shuffle(Ring &ring, IRandom &random)
+void PeerSelector::shuffle(Ring &ring, IRandom &random)
 {
     for (std::size_t i = ring.size(); i > 1; --i) {
         std::swap(ring[i - 1], ring[random.below(i)]);
--- a/src/coordination/membership/internal/peerselector.h
+++ b/src/coordination/membership/internal/peerselector.h
@@ -12,11 +12,11 @@
 /// In which order a daemon speaks with the others. Each member of its own failure domain has its
 /// turn, and one of each other domain for a round of the own: what crosses between two domains then
 /// does not grow with the square of their members.
-class ContactRings
+class PeerSelector
 {
 public:
     /// `table` outlives the rings.
-    ContactRings(const MemberTable &table, DaemonId self, DomainName domain);
+    PeerSelector(const MemberTable &table, DaemonId self, DomainName domain);
 
     /// Rings of two daemons with the same table differ by their salt.
     void setSalt(std::uint64_t salt) { m_salt = salt; }
@@ -34,20 +34,20 @@
     /// The next one to ping: in the own domain each once in a round, in random order.
     const MemberEntry *nextToPing(IRandom &random);
 
-    bool isNear(const DomainName &domain) const { return domain == m_domain; }
-    bool isNear(const DaemonId &id) const;
+    bool isLocal(const DomainName &domain) const { return domain == m_domain; }
+    bool isLocal(const DaemonId &id) const;
     /// Members of the own failure domain besides this one.
-    std::size_t nearCount() const;
+    std::size_t localCount() const;
 
 private:
     using Ring = std::vector<DaemonId>;
 
-    double farShare() const;
+    double remoteShare() const;
     /// Whether one more message is due to another domain, counted in `due`.
-    bool isFarDue(double &due) const;
-    const MemberEntry *nextFar();
+    bool isRemoteDue(double &due) const;
+    const MemberEntry *nextRemote();
     const MemberEntry *nextIn(const DomainName &domain);
-    const MemberEntry *nextNearToPing(IRandom &random);
+    const MemberEntry *nextLocalToPing(IRandom &random);
     void startPingRound(IRandom &random);
     static void shuffle(Ring &ring, IRandom &random);
 
@@ -58,13 +58,13 @@
     bool m_isStale = true;
     /// Those that are up, by failure domain.
     std::map<DomainName, Ring> m_rings;
-    std::map<DomainName, std::size_t> m_at;
+    std::map<DomainName, std::size_t> m_positions;
     DomainName m_lastDomain;
     Ring m_pingRing;
-    std::size_t m_pingAt = 0;
+    std::size_t m_pingPosition = 0;
     /// Messages, and pings, to other failure domains that are due, and parts of one.
-    double m_farDue = 0;
-    double m_farPingDue = 0;
+    double m_remoteDue = 0;
+    double m_remotePingDue = 0;
 };
 
 } // namespace ivyspar
--- a/src/coordination/membership/internal/seedlist.cpp
+++ b/src/coordination/membership/internal/seedlist.cpp
@@ -16,20 +16,20 @@
         return;
     }
     m_silent.insert(seed.endpoint);
-    m_nearCount += seed.domain == m_domain ? 1 : 0;
+    m_localCount += seed.domain == m_domain ? 1 : 0;
 }
 
-std::optional<Endpoint> SeedList::choose(const MemberTable &table, bool isFarWanted,
+std::optional<Endpoint> SeedList::choose(const MemberTable &table, bool isRemoteAllowed,
                                          IRandom &random) const
 {
-    const std::vector<Endpoint> found = candidates(table, isFarWanted);
+    const std::vector<Endpoint> found = candidates(table, isRemoteAllowed);
     if (found.empty()) {
         return std::nullopt;
     }
     return found[random.below(found.size())];
 }
 
-std::vector<Endpoint> SeedList::candidates(const MemberTable &table, bool isFarWanted) const
+std::vector<Endpoint> SeedList::candidates(const MemberTable &table, bool isRemoteAllowed) const
 {
     std::set<Endpoint> up;
     for (const auto &[id, entry] : table.entries()) {
@@ -40,7 +40,7 @@
     std::vector<Endpoint> found;
     for (const auto &[endpoint, domain] : m_seeds) {
         const bool isWanted = m_silent.empty() || m_silent.count(endpoint) != 0;
-        const bool isInReach = isFarWanted || isNear(domain);
+        const bool isInReach = isRemoteAllowed || isLocal(domain);
         if (isWanted && isInReach && up.count(endpoint) == 0) {
             found.push_back(endpoint);
         }
@@ -49,7 +49,7 @@
 }
 
 /// One whose failure domain is not known may be near.
-bool SeedList::isNear(const DomainName &domain) const
+bool SeedList::isLocal(const DomainName &domain) const
 {
     return domain.value().empty() || domain == m_domain;
 }
--- a/src/coordination/membership/internal/seedlist.h
+++ b/src/coordination/membership/internal/seedlist.h
@@ -24,22 +24,22 @@
     /// Whether some have not spoken yet.
     bool hasSilent() const { return !m_silent.empty(); }
     /// Those of the own failure domain.
-    std::size_t nearCount() const { return m_nearCount; }
+    std::size_t localCount() const { return m_localCount; }
 
     /// One that is not known to be up, and has not spoken yet if there is such a one: of any
     /// failure domain, or of the own one if `isFarWanted` is false. Nothing if there is none.
-    std::optional<Endpoint> choose(const MemberTable &table, bool isFarWanted,
+    std::optional<Endpoint> choose(const MemberTable &table, bool isRemoteAllowed,
                                    IRandom &random) const;
 
 private:
-    std::vector<Endpoint> candidates(const MemberTable &table, bool isFarWanted) const;
-    bool isNear(const DomainName &domain) const;
+    std::vector<Endpoint> candidates(const MemberTable &table, bool isRemoteAllowed) const;
+    bool isLocal(const DomainName &domain) const;
 
     DomainName m_domain;
     std::size_t m_most;
     std::map<Endpoint, DomainName> m_seeds;
     std::set<Endpoint> m_silent;
-    std::size_t m_nearCount = 0;
+    std::size_t m_localCount = 0;
 };
 
 } // namespace ivyspar
--- a/src/coordination/membership/tests/membershiptest.cpp
+++ b/src/coordination/membership/tests/membershiptest.cpp
@@ -1,6 +1,6 @@
 #include "coordination/membership/membershipfactory.h"
 
-#include "coordination/membership/tests/mocks/membershipfabric.h"
+#include "coordination/membership/tests/mocks/membershipsimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/src/coordination/membership/tests/peerselectortest.cpp
+++ b/src/coordination/membership/tests/peerselectortest.cpp
@@ -1,4 +1,4 @@
-#include "coordination/membership/internal/contactrings.h"
+#include "coordination/membership/internal/peerselector.h"
 
 #include <map>
 #include <set>
@@ -12,9 +12,9 @@
 
 namespace {
 
-const DomainName HERE("here");
-const DomainName THERE("there");
-const DomainName BEYOND("beyond");
+const DomainName LOCAL("here");
+const DomainName REMOTE("there");
+const DomainName THIRD("beyond");
 
 MemberEntry makeEntry(const DomainName &domain, int number)
 {
@@ -27,107 +27,107 @@
 
 } // namespace
 
-TEST_GROUP(ContactRings)
+TEST_GROUP(PeerSelector)
 {
     MemberTable m_table;
     SeededRandom m_random{ 4 };
-    ContactRings m_rings{ m_table, DaemonId("here-0"), HERE };
+    PeerSelector m_peerSelector{ m_table, DaemonId("here-0"), LOCAL };
 
     void add(const DomainName &domain, int count)
     {
         for (int i = 0; i < count; ++i) {
             m_table.put(makeEntry(domain, i));
         }
-        m_rings.markStale();
+        m_peerSelector.markStale();
     }
     /// How many of the next contacts are in each failure domain.
     std::map<DomainName, int> contact(int count)
     {
         std::map<DomainName, int> contacts;
         for (int i = 0; i < count; ++i) {
-            ++contacts[m_rings.next()->member.domain];
+            ++contacts[m_peerSelector.next()->member.domain];
         }
         return contacts;
     }
 };
 
 // The member itself, with which nobody speaks, is the eleventh of its domain.
-TEST(ContactRings, EachOtherDomainHasOneTurnForARoundOfTheOwn)
+TEST(PeerSelector, EachOtherDomainHasOneTurnForARoundOfTheOwn)
 {
-    add(HERE, 11);
-    add(THERE, 30);
-    add(BEYOND, 2);
+    add(LOCAL, 11);
+    add(REMOTE, 30);
+    add(THIRD, 2);
     constexpr int ROUNDS = 100;
     std::map<DomainName, int> contacts = contact(12 * ROUNDS);
-    LONGS_EQUAL(0, (contacts[HERE] - 10 * ROUNDS) / 2);
-    LONGS_EQUAL(0, (contacts[THERE] - ROUNDS) / 2);
-    LONGS_EQUAL(0, (contacts[BEYOND] - ROUNDS) / 2);
+    LONGS_EQUAL(0, (contacts[LOCAL] - 10 * ROUNDS) / 2);
+    LONGS_EQUAL(0, (contacts[REMOTE] - ROUNDS) / 2);
+    LONGS_EQUAL(0, (contacts[THIRD] - ROUNDS) / 2);
 }
 
-TEST(ContactRings, ADaemonAloneInItsDomainSpeaksWithTheOthers)
+TEST(PeerSelector, ADaemonAloneInItsDomainSpeaksWithTheOthers)
 {
-    add(THERE, 3);
-    CHECK_EQUAL(5, contact(5)[THERE]);
+    add(REMOTE, 3);
+    CHECK_EQUAL(5, contact(5)[REMOTE]);
 }
 
 // 1. All others of the failure domain have died, and its ring is empty or holds the dead alone.
 // 2. The daemon still speaks with other domains; else it would be alone with a store that is down.
-TEST(ContactRings, TheDeadAreLeftOut)
+TEST(PeerSelector, TheDeadAreLeftOut)
 {
-    add(HERE, 3);
-    add(THERE, 2);
-    m_rings.refresh();
+    add(LOCAL, 3);
+    add(REMOTE, 2);
+    m_peerSelector.refresh();
     for (int i = 1; i < 3; ++i) {
-        MemberEntry dead = makeEntry(HERE, i);
+        MemberEntry dead = makeEntry(LOCAL, i);
         dead.health = MemberHealth::Dead;
         m_table.put(dead);
     }
     for (int i = 0; i < 10; ++i) {
-        const MemberEntry *next = m_rings.next();
-        CHECK(next == nullptr || next->member.domain == THERE);
+        const MemberEntry *next = m_peerSelector.next();
+        CHECK(next == nullptr || next->member.domain == REMOTE);
     }
 }
 
-TEST(ContactRings, ARoundOfPingsReachesEachNearMemberOnce)
+TEST(PeerSelector, ARoundOfPingsReachesEachNearMemberOnce)
 {
-    add(HERE, 9);
+    add(LOCAL, 9);
     std::set<DaemonId> pinged;
     for (int i = 0; i < 8; ++i) {
-        pinged.insert(m_rings.nextToPing(m_random)->member.id);
+        pinged.insert(m_peerSelector.nextToPing(m_random)->member.id);
     }
     CHECK_EQUAL(8, pinged.size());
 }
 
 // The first round too: a domain that is lost while all are young must be noticed from outside.
-TEST(ContactRings, PingsOfOtherDomainsTakeTheirTurnFromTheFirst)
+TEST(PeerSelector, PingsOfOtherDomainsTakeTheirTurnFromTheFirst)
 {
-    add(HERE, 50);
-    add(THERE, 50);
-    int far = 0;
+    add(LOCAL, 50);
+    add(REMOTE, 50);
+    int remote = 0;
     for (int i = 0; i < 50; ++i) {
-        far += m_rings.nextToPing(m_random)->member.domain == THERE ? 1 : 0;
+        remote += m_peerSelector.nextToPing(m_random)->member.domain == REMOTE ? 1 : 0;
     }
-    CHECK_EQUAL(1, far);
+    CHECK_EQUAL(1, remote);
 }
 
-TEST(ContactRings, NobodyIsThere)
+TEST(PeerSelector, NobodyIsThere)
 {
-    CHECK(m_rings.next() == nullptr);
-    CHECK(m_rings.nextToPing(m_random) == nullptr);
-    CHECK(m_rings.next(3, DaemonId()).empty());
+    CHECK(m_peerSelector.next() == nullptr);
+    CHECK(m_peerSelector.nextToPing(m_random) == nullptr);
+    CHECK(m_peerSelector.next(3, DaemonId()).empty());
 }
 
 TEST_GROUP(SeedList)
 {
     MemberTable m_table;
     SeededRandom m_random{ 4 };
-    SeedList m_seeds{ HERE, 4 };
+    SeedList m_seeds{ LOCAL, 4 };
 
-    std::set<Endpoint> chosen(bool isFarWanted)
+    std::set<Endpoint> chosen(bool isRemoteAllowed)
     {
         std::set<Endpoint> endpoints;
         for (int i = 0; i < 50; ++i) {
-            if (const auto endpoint = m_seeds.choose(m_table, isFarWanted, m_random)) {
+            if (const auto endpoint = m_seeds.choose(m_table, isRemoteAllowed, m_random)) {
                 endpoints.insert(*endpoint);
             }
         }
@@ -137,23 +137,23 @@
 
 TEST(SeedList, AsksItsOwnDomainUnlessOthersAreWanted)
 {
-    const Endpoint near{ "10.0.0.1", 1 };
-    const Endpoint far{ "10.0.0.1", 2 };
+    const Endpoint local{ "10.0.0.1", 1 };
+    const Endpoint remote{ "10.0.0.1", 2 };
     const Endpoint unknown{ "10.0.0.1", 3 };
-    m_seeds.add({ near, HERE });
-    m_seeds.add({ far, THERE });
+    m_seeds.add({ local, LOCAL });
+    m_seeds.add({ remote, REMOTE });
     m_seeds.add({ unknown, DomainName() });
-    CHECK(chosen(false) == (std::set<Endpoint>{ near, unknown }));
-    CHECK(chosen(true) == (std::set<Endpoint>{ near, far, unknown }));
-    CHECK_EQUAL(1, m_seeds.nearCount());
+    CHECK(chosen(false) == (std::set<Endpoint>{ local, unknown }));
+    CHECK(chosen(true) == (std::set<Endpoint>{ local, remote, unknown }));
+    CHECK_EQUAL(1, m_seeds.localCount());
 }
 
 TEST(SeedList, AsksThoseWhoHaveNotSpokenFirst)
 {
     const Endpoint first{ "10.0.0.1", 1 };
     const Endpoint second{ "10.0.0.1", 2 };
-    m_seeds.add({ first, HERE });
-    m_seeds.add({ second, HERE });
+    m_seeds.add({ first, LOCAL });
+    m_seeds.add({ second, LOCAL });
     m_seeds.note(first);
     CHECK(chosen(false) == std::set<Endpoint>{ second });
     m_seeds.note(second);
@@ -163,16 +163,16 @@
 
 TEST(SeedList, LeavesOutWhoIsKnownToBeUp)
 {
-    const MemberEntry up = makeEntry(HERE, 1);
+    const MemberEntry up = makeEntry(LOCAL, 1);
     m_table.put(up);
-    m_seeds.add({ up.member.peerEndpoint, HERE });
+    m_seeds.add({ up.member.peerEndpoint, LOCAL });
     CHECK(chosen(true).empty());
 }
 
 TEST(SeedList, IsBounded)
 {
     for (std::uint16_t port = 1; port < 10; ++port) {
-        m_seeds.add({ Endpoint{ "10.0.0.1", port }, HERE });
+        m_seeds.add({ Endpoint{ "10.0.0.1", port }, LOCAL });
     }
     CHECK_EQUAL(4, chosen(true).size());
 }
