--- a/bench/membershipbench.cpp
+++ b/bench/membershipbench.cpp
@@ -28,22 +28,22 @@
 {
 public:
     explicit Bench(std::size_t members)
-        : m_fabric(1)
+        : m_simulation(1)
         , m_members(members)
     {
         for (std::size_t i = 0; i < members; ++i) {
-            m_fabric.start(domainOf(i), i == 0 ? MembershipFabric::NONE : i / 2);
+            m_simulation.start(domainOf(i), i == 0 ? MembershipSimulation::NONE : i / 2);
         }
-        m_fabric.run(30s);
-        m_fabric.runUntil([this] { return m_fabric.agreeOn(m_members); }, LIMIT);
-        m_fabric.run(60s);
-        m_fabric.onSend = [this](std::size_t sender, const MembershipMessage &message) {
+        m_simulation.run(30s);
+        m_simulation.runUntil([this] { return m_simulation.agreeOn(m_members); }, LIMIT);
+        m_simulation.run(60s);
+        m_simulation.onSend = [this](std::size_t sender, const MembershipMessage &message) {
             countSent(sender, message);
         };
-        m_fabric.onTick = [this](bool isBegin) { countTick(isBegin); };
+        m_simulation.onTick = [this](bool isBegin) { countTick(isBegin); };
     }
 
-    MembershipFabric &fabric() { return m_fabric; }
+    MembershipSimulation &simulation() { return m_simulation; }
     std::size_t members() const { return m_members; }
     std::string domainOf(std::size_t index) const
     {
@@ -54,25 +54,26 @@
     void measure(const char *name, std::size_t count)
     {
         reset();
-        const Duration taken = m_fabric.runUntil([&] { return m_fabric.agreeOn(count); }, LIMIT);
+        const Duration taken =
+            m_simulation.runUntil([&] { return m_simulation.agreeOn(count); }, LIMIT);
         const Duration after = 30s;
-        m_fabric.run(after);
+        m_simulation.run(after);
         print(name, taken, taken + after);
     }
 
     void measureSteady()
     {
         reset();
-        m_fabric.run(60s);
+        m_simulation.run(60s);
         print("steady", Duration(0), 60s);
     }
 
 private:
     void reset()
     {
-        m_bytes.assign(m_fabric.size(), 0);
-        m_second.assign(m_fabric.size(), 0);
-        m_secondStart = m_fabric.now();
+        m_bytes.assign(m_simulation.size(), 0);
+        m_second.assign(m_simulation.size(), 0);
+        m_secondStart = m_simulation.now();
         m_peak = 0;
         m_messages = 0;
         m_largest = 0;
@@ -93,8 +94,8 @@
             m_bytes.resize(sender + 1);
             m_second.resize(sender + 1);
         }
-        if (m_fabric.now() - m_secondStart >= 1s) {
-            m_secondStart = m_fabric.now();
+        if (m_simulation.now() - m_secondStart >= 1s) {
+            m_secondStart = m_simulation.now();
             m_second.assign(m_second.size(), 0);
         }
         m_bytes[sender] += size + FRAME_BYTES;
@@ -141,7 +142,7 @@
         std::fflush(stdout);
     }
 
-    MembershipFabric m_fabric;
+    MembershipSimulation m_simulation;
     std::size_t m_members;
     std::vector<std::size_t> m_bytes;
     /// Bytes sent in the running second.
@@ -161,13 +162,13 @@
 {
     bench.measureSteady();
     std::size_t count = bench.members();
-    bench.fabric().start(bench.domainOf(0), 0);
+    bench.simulation().start(bench.domainOf(0), 0);
     bench.measure("one_join", ++count);
-    bench.fabric().crash(count / 2);
+    bench.simulation().crash(count / 2);
     bench.measure("one_crash", --count);
-    bench.fabric().restart(count / 2, 0);
+    bench.simulation().restart(count / 2, 0);
     bench.measure("one_restart", ++count);
-    bench.fabric().leave(count / 3);
+    bench.simulation().leave(count / 3);
     bench.measure("one_goodbye", --count);
 }
 
@@ -175,7 +176,7 @@
 {
     // All in one failure domain.
     for (std::size_t i = 0; i < RACK_SIZE; ++i) {
-        bench.fabric().crash(1 + i * DOMAIN_COUNT);
+        bench.simulation().crash(1 + i * DOMAIN_COUNT);
     }
     bench.measure("rack_lost", bench.members() - RACK_SIZE);
 }
@@ -186,17 +187,17 @@
     for (std::size_t i = 0; i < bench.members(); ++i) {
         inside += bench.domainOf(i) == bench.domainOf(1) ? 1 : 0;
     }
-    bench.fabric().cut(bench.domainOf(1));
-    bench.fabric().run(10s);
-    bench.fabric().run(50s);
-    bench.fabric().mend();
+    bench.simulation().partition(bench.domainOf(1));
+    bench.simulation().run(10s);
+    bench.simulation().run(50s);
+    bench.simulation().heal();
     bench.measure("domain_back", bench.members());
 }
 
 void measureMassStart(Bench &bench)
 {
     for (std::size_t i = 0; i < MASS_START; ++i) {
-        bench.fabric().start(bench.domainOf(i), i % 3);
+        bench.simulation().start(bench.domainOf(i), i % 3);
     }
     bench.measure("start_130", bench.members() + MASS_START);
 }
--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -37,34 +37,34 @@
     explicit Gossip(std::size_t count)
         : m_sent(count)
     {
-        m_fabric.onDatagram = [this](std::size_t sender, const MembershipDatagram &datagram) {
+        m_simulation.onDatagram = [this](std::size_t sender, const MembershipDatagram &datagram) {
             note(sender, datagram);
         };
         for (std::size_t i = 0; i < count; ++i) {
-            m_fabric.start(domainOf(i).value());
+            m_simulation.start(domainOf(i).value());
             showList(i, i);
-            m_fabric.run(milliseconds(1));
+            m_simulation.run(milliseconds(1));
         }
     }
 
-    MembershipFabric &fabric() { return m_fabric; }
+    MembershipSimulation &simulation() { return m_simulation; }
 
     /// The processes of these daemons end at once and start again.
     void restart(const std::vector<std::size_t> &daemons)
     {
         for (const std::size_t index : daemons) {
-            m_fabric.crash(index);
+            m_simulation.crash(index);
         }
-        m_fabric.run(seconds(1));
+        m_simulation.run(seconds(1));
         for (const std::size_t index : daemons) {
-            m_fabric.restart(index, MembershipFabric::NONE);
+            m_simulation.restart(index, MembershipSimulation::NONE);
         }
         for (const std::size_t index : daemons) {
-            showList(index, m_fabric.size());
+            showList(index, m_simulation.size());
         }
     }
 
-    bool agree() const { return m_fabric.agreeOn(m_sent.size()); }
+    bool agree() const { return m_simulation.agreeOn(m_sent.size()); }
 
     /// Returns the bytes that each daemon sent to other failure domains, in the mean.
     std::size_t run(Duration time)
@@ -72,7 +72,7 @@
         m_far = 0;
         for (Duration done{ 0 }; done < time; done += seconds(1)) {
             std::fill(m_sent.begin(), m_sent.end(), 0);
-            m_fabric.run(seconds(1));
+            m_simulation.run(seconds(1));
             m_mostInASecond = *std::max_element(m_sent.begin(), m_sent.end());
             m_mostEver = std::max(m_mostEver, m_mostInASecond);
         }
@@ -86,22 +86,24 @@
     void showList(std::size_t index, std::size_t entered)
     {
         for (std::size_t other = 0; other < entered; ++other) {
-            const Member &member = m_fabric.node(other).record;
+            const Member &member = m_simulation.node(other).record;
             const MembershipSeed seed{ member.peerEndpoint, member.domain };
-            m_fabric.deliver(index, m_fabric.node(index).membership->addSeed(m_fabric.now(), seed));
+            m_simulation.deliver(
+                index, m_simulation.node(index).membership->addSeed(m_simulation.now(), seed));
         }
     }
 
     void note(std::size_t sender, const MembershipDatagram &datagram)
     {
         const std::size_t bytes = encodeMembership(datagram.message).size() + OVERHEAD_BYTES;
-        const std::size_t owner = m_fabric.ownerOf(datagram.endpoint);
-        const bool isNear = owner != MembershipFabric::NONE && domainOf(owner) == domainOf(sender);
+        const std::size_t owner = m_simulation.ownerOf(datagram.endpoint);
+        const bool isNear =
+            owner != MembershipSimulation::NONE && domainOf(owner) == domainOf(sender);
         m_sent[sender] += bytes;
         m_far += isNear ? 0 : bytes;
     }
 
-    MembershipFabric m_fabric{ 11 };
+    MembershipSimulation m_simulation{ 11 };
     std::vector<std::size_t> m_sent;
     std::size_t m_far = 0;
     std::size_t m_mostInASecond = 0;
@@ -171,13 +173,13 @@
 {
     Gossip many(MANY);
     many.run(seconds(10));
-    many.fabric().cut(domainOf(0).value());
+    many.simulation().partition(domainOf(0).value());
     many.run(seconds(40));
     CHECK(!many.agree());
-    many.fabric().mend();
+    many.simulation().heal();
     many.takeMostInASecond();
     const Duration limit = seconds(30);
-    CHECK(many.fabric().runUntil([&] { return many.agree(); }, limit) < limit);
+    CHECK(many.simulation().runUntil([&] { return many.agree(); }, limit) < limit);
     many.run(seconds(10));
     CHECK(many.takeMostInASecond() <= MOST_BYTES_PER_SECOND);
 }
--- a/src/coordination/membership/tests/membershiptest.cpp
+++ b/src/coordination/membership/tests/membershiptest.cpp
@@ -12,20 +12,20 @@
 const char *const DOMAINS[] = { "fortitude-hall", "southbank-hall", "coorparoo-dc", "eagle-farm" };
 
 /// Daemons in four failure domains, all of which know the first one as their seed.
-void startAll(MembershipFabric &fabric, std::size_t count)
+void startAll(MembershipSimulation &simulation, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
-        fabric.start(DOMAINS[i % 4], i == 0 ? MembershipFabric::NONE : 0);
+        simulation.start(DOMAINS[i % 4], i == 0 ? MembershipSimulation::NONE : 0);
     }
     const Duration limit = 60s;
-    CHECK(fabric.runUntil([&] { return fabric.agreeOn(count); }, limit) < limit);
+    CHECK(simulation.runUntil([&] { return simulation.agreeOn(count); }, limit) < limit);
 }
 
-std::size_t totalChanges(MembershipFabric &fabric)
+std::size_t totalChanges(MembershipSimulation &simulation)
 {
     std::size_t changes = 0;
-    for (std::size_t i = 0; i < fabric.size(); ++i) {
-        changes += fabric.node(i).changes;
+    for (std::size_t i = 0; i < simulation.size(); ++i) {
+        changes += simulation.node(i).changes;
     }
     return changes;
 }
@@ -37,8 +37,8 @@
 TEST(Membership, DaemonsThatStartTogetherFindEachOther)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        MembershipFabric fabric(seed);
-        startAll(fabric, 48);
+        MembershipSimulation simulation(seed);
+        startAll(simulation, 48);
     }
 }
 
@@ -47,11 +47,11 @@
 TEST(Membership, CrashIsNoticedByAll)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        MembershipFabric fabric(seed);
-        startAll(fabric, 32);
-        fabric.crash(7);
+        MembershipSimulation simulation(seed);
+        startAll(simulation, 32);
+        simulation.crash(7);
         const Duration limit = 25s;
-        CHECK(fabric.runUntil([&] { return fabric.agreeOn(31); }, limit) < limit);
+        CHECK(simulation.runUntil([&] { return simulation.agreeOn(31); }, limit) < limit);
     }
 }
 
@@ -61,16 +61,16 @@
 TEST(Membership, FrozenProcessDeclaresNobodyDead)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        MembershipFabric fabric(seed);
-        startAll(fabric, 24);
-        fabric.freeze(3, 60s);
-        fabric.run(59s);
-        CHECK_FALSE(fabric.sees(5, 3));
+        MembershipSimulation simulation(seed);
+        startAll(simulation, 24);
+        simulation.freeze(3, 60s);
+        simulation.run(59s);
+        CHECK_FALSE(simulation.sees(5, 3));
         for (int i = 0; i < 100; ++i) {
-            fabric.run(200ms);
-            CHECK(fabric.node(3).membership->working().size() == 24);
+            simulation.run(200ms);
+            CHECK(simulation.node(3).membership->working().size() == 24);
         }
-        CHECK(fabric.agreeOn(24));
+        CHECK(simulation.agreeOn(24));
     }
 }
 
@@ -79,13 +79,13 @@
 TEST(Membership, LossCausesNoFalseDeath)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        MembershipFabric fabric(seed);
-        startAll(fabric, 32);
-        fabric.setLoss(0.2);
-        const std::size_t before = totalChanges(fabric);
-        fabric.run(300s);
-        CHECK_EQUAL(before, totalChanges(fabric));
-        CHECK(fabric.agreeOn(32));
+        MembershipSimulation simulation(seed);
+        startAll(simulation, 32);
+        simulation.setLoss(0.2);
+        const std::size_t before = totalChanges(simulation);
+        simulation.run(300s);
+        CHECK_EQUAL(before, totalChanges(simulation));
+        CHECK(simulation.agreeOn(32));
     }
 }
 
@@ -95,24 +95,24 @@
 TEST(Membership, DomainsMergeAfterPartition)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        MembershipFabric fabric(seed);
-        startAll(fabric, 32);
-        fabric.cut(DOMAINS[0]);
-        fabric.run(120s);
-        CHECK(fabric.agreeOn(8, DOMAINS[0]));
-        CHECK(fabric.agreeOn(24, DOMAINS[1]));
-        fabric.mend();
+        MembershipSimulation simulation(seed);
+        startAll(simulation, 32);
+        simulation.partition(DOMAINS[0]);
+        simulation.run(120s);
+        CHECK(simulation.agreeOn(8, DOMAINS[0]));
+        CHECK(simulation.agreeOn(24, DOMAINS[1]));
+        simulation.heal();
         const auto isOwnSideWhole = [&] {
-            return fabric.node(0).membership->working().size() >= 8
-                && fabric.node(1).membership->working().size() >= 24;
+            return simulation.node(0).membership->working().size() >= 8
+                && simulation.node(1).membership->working().size() >= 24;
         };
         bool isWhole = true;
         const Duration limit = 60s;
         const auto isMerged = [&] {
             isWhole = isWhole && isOwnSideWhole();
-            return fabric.agreeOn(32);
+            return simulation.agreeOn(32);
         };
-        CHECK(fabric.runUntil(isMerged, limit) < limit);
+        CHECK(simulation.runUntil(isMerged, limit) < limit);
         CHECK(isWhole);
     }
 }
@@ -122,43 +122,43 @@
 {
     MembershipOptions options;
     options.deadRetention = 60s;
-    MembershipFabric fabric(1, options);
-    startAll(fabric, 16);
-    fabric.cut(DOMAINS[0]);
-    fabric.run(300s);
-    CHECK(fabric.node(1).membership->all().size() == 12);
-    fabric.mend();
+    MembershipSimulation simulation(1, options);
+    startAll(simulation, 16);
+    simulation.partition(DOMAINS[0]);
+    simulation.run(300s);
+    CHECK(simulation.node(1).membership->all().size() == 12);
+    simulation.heal();
     const Duration limit = 180s;
-    CHECK(fabric.runUntil([&] { return fabric.agreeOn(16); }, limit) < limit);
+    CHECK(simulation.runUntil([&] { return simulation.agreeOn(16); }, limit) < limit);
 }
 
 TEST(Membership, GoodbyeIsSeenAtOnceByThoseToldAndSoonByAll)
 {
-    MembershipFabric fabric(1);
-    startAll(fabric, 64);
-    fabric.leave(9);
-    fabric.run(5ms);
+    MembershipSimulation simulation(1);
+    startAll(simulation, 64);
+    simulation.leave(9);
+    simulation.run(5ms);
     std::size_t told = 0;
-    for (std::size_t i = 0; i < fabric.size(); ++i) {
-        told += i != 9 && !fabric.sees(i, 9) ? 1 : 0;
+    for (std::size_t i = 0; i < simulation.size(); ++i) {
+        told += i != 9 && !simulation.sees(i, 9) ? 1 : 0;
     }
     CHECK(told >= 8);
     const Duration limit = 5s;
-    CHECK(fabric.runUntil([&] { return fabric.agreeOn(63); }, limit) < limit);
+    CHECK(simulation.runUntil([&] { return simulation.agreeOn(63); }, limit) < limit);
 }
 
 // A daemon is to stop once its requests are done: it says so, and goes on answering pings.
 TEST(Membership, LeavingMemberTakesNoWorkButStaysAMember)
 {
-    MembershipFabric fabric(1);
-    startAll(fabric, 32);
-    Member self = fabric.node(4).record;
+    MembershipSimulation simulation(1);
+    startAll(simulation, 32);
+    Member self = simulation.node(4).record;
     self.leaving = true;
-    fabric.deliver(4, fabric.node(4).membership->updateSelf(fabric.now(), self));
+    simulation.deliver(4, simulation.node(4).membership->updateSelf(simulation.now(), self));
     const Duration limit = 5s;
-    CHECK(fabric.runUntil([&] { return fabric.agreeOn(31); }, limit) < limit);
-    fabric.run(30s);
-    for (const MemberStatus &status : fabric.node(8).membership->all()) {
+    CHECK(simulation.runUntil([&] { return simulation.agreeOn(31); }, limit) < limit);
+    simulation.run(30s);
+    for (const MemberStatus &status : simulation.node(8).membership->all()) {
         CHECK(status.health == MemberHealth::Alive);
     }
 }
@@ -166,20 +166,20 @@
 // A host is replaced: the same daemon comes back on another port before anyone noticed the crash.
 TEST(Membership, NewIncarnationReplacesTheOldRecord)
 {
-    MembershipFabric fabric(1);
-    startAll(fabric, 32);
-    fabric.restart(6, 0);
+    MembershipSimulation simulation(1);
+    startAll(simulation, 32);
+    simulation.restart(6, 0);
     const auto isReplaced = [&] {
-        for (std::size_t i = 0; i < fabric.size(); ++i) {
-            if (!fabric.sees(i, 6)) {
+        for (std::size_t i = 0; i < simulation.size(); ++i) {
+            if (!simulation.sees(i, 6)) {
                 return false;
             }
         }
         return true;
     };
     const Duration limit = 10s;
-    CHECK(fabric.runUntil(isReplaced, limit) < limit);
-    fabric.run(60s);
+    CHECK(simulation.runUntil(isReplaced, limit) < limit);
+    simulation.run(60s);
     CHECK(isReplaced());
 }
 
@@ -187,17 +187,17 @@
 // would ignore it for ever. It is told, and can start anew with a larger incarnation.
 TEST(Membership, DaemonLearnsThatItsIncarnationIsTooSmall)
 {
-    MembershipFabric fabric(1);
-    startAll(fabric, 8);
+    MembershipSimulation simulation(1);
+    startAll(simulation, 8);
     MembershipMessage message;
-    message.sender = fabric.node(1).record.peerEndpoint;
+    message.sender = simulation.node(1).record.peerEndpoint;
     MemberUpdate update;
-    update.id = fabric.node(0).record.id;
+    update.id = simulation.node(0).record.id;
     update.incarnation = Incarnation(1000);
     update.health = MemberHealth::Dead;
     message.updates.push_back(update);
-    const auto actions =
-        fabric.node(0).membership->receive(fabric.now(), fabric.node(1).record.id, message);
+    const auto actions = simulation.node(0).membership->receive(
+        simulation.now(), simulation.node(1).record.id, message);
     CHECK(actions.newerSelf == Incarnation(1000));
 }
 
@@ -208,37 +208,37 @@
 {
     constexpr std::size_t COUNT = 17;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-        MembershipFabric fabric(seed);
+        MembershipSimulation simulation(seed);
         for (std::size_t i = 0; i < 2 * COUNT; ++i) {
-            fabric.start(DOMAINS[i % 4]);
+            simulation.start(DOMAINS[i % 4]);
         }
         for (std::size_t i = COUNT; i < 2 * COUNT; ++i) {
-            fabric.crash(i);
+            simulation.crash(i);
         }
-        fabric.run(50ms);
+        simulation.run(50ms);
         for (std::size_t i = 0; i < COUNT; ++i) {
             for (std::size_t other = 0; other < 2 * COUNT; ++other) {
-                fabric.deliver(
-                    i,
-                    fabric.node(i).membership->addSeed(fabric.now(),
-                                                       { fabric.node(other).record.peerEndpoint,
-                                                         fabric.node(other).record.domain }));
+                simulation.deliver(i,
+                                   simulation.node(i).membership->addSeed(
+                                       simulation.now(),
+                                       { simulation.node(other).record.peerEndpoint,
+                                         simulation.node(other).record.domain }));
             }
         }
-        CHECK(fabric.runUntil([&] { return fabric.agreeOn(COUNT); }, 2s) <= 1200ms);
+        CHECK(simulation.runUntil([&] { return simulation.agreeOn(COUNT); }, 2s) <= 1200ms);
     }
 }
 
 // The log lists a seed whose host is gone; a daemon that knows only it must not give up.
 TEST(Membership, SeedIsTriedAgainUntilItAnswers)
 {
-    MembershipFabric fabric(1);
-    const std::size_t seed = fabric.start(DOMAINS[0]);
-    fabric.crash(seed);
-    const std::size_t other = fabric.start(DOMAINS[1], seed);
-    fabric.run(20s);
-    CHECK(fabric.node(other).membership->working().size() == 1);
-    fabric.node(seed).isRunning = true;
+    MembershipSimulation simulation(1);
+    const std::size_t seed = simulation.start(DOMAINS[0]);
+    simulation.crash(seed);
+    const std::size_t other = simulation.start(DOMAINS[1], seed);
+    simulation.run(20s);
+    CHECK(simulation.node(other).membership->working().size() == 1);
+    simulation.node(seed).isRunning = true;
     const Duration limit = 10s;
-    CHECK(fabric.runUntil([&] { return fabric.agreeOn(2); }, limit) < limit);
+    CHECK(simulation.runUntil([&] { return simulation.agreeOn(2); }, limit) < limit);
 }
--- a/src/coordination/membership/tests/mocks/membershipsimulation.h
+++ b/src/coordination/membership/tests/mocks/membershipsimulation.h
@@ -18,7 +18,7 @@
 
 /// Membership objects under a fake clock that exchange messages with a delay, losses, freezes and
 /// cuts between failure domains.
-class MembershipFabric
+class MembershipSimulation
 {
 public:
     struct Node
@@ -32,7 +32,7 @@
         std::vector<std::pair<DaemonId, MembershipMessage>> unread;
     };
 
-    MembershipFabric(std::uint64_t seed, const MembershipOptions &options = {})
+    MembershipSimulation(std::uint64_t seed, const MembershipOptions &options = {})
         : m_options(options)
         , m_random(seed)
     {
@@ -77,8 +77,8 @@
     }
     void setLoss(double share) { m_loss = share; }
     /// Cuts one failure domain from all others.
-    void cut(const std::string &domain) { m_cut.insert(DomainName(domain)); }
-    void mend() { m_cut.clear(); }
+    void partition(const std::string &domain) { m_partitioned.insert(DomainName(domain)); }
+    void heal() { m_partitioned.clear(); }
 
     void run(Duration time) { m_time.run(time); }
 
@@ -98,9 +98,9 @@
     bool agreeOn(std::size_t count, const std::string &domain = {}) const
     {
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const Node &node) {
-            const bool isMeant =
+            const bool isSelected =
                 node.isRunning && (domain.empty() || node.record.domain == DomainName(domain));
-            return !isMeant || node.membership->working().size() == count;
+            return !isSelected || node.membership->working().size() == count;
         });
     }
 
@@ -203,9 +203,9 @@
     {
         Node &node = m_nodes[receiver];
         const DomainName &from = m_nodes[sender].record.domain;
-        const bool isCut = from != node.record.domain
-            && (m_cut.count(from) != 0 || m_cut.count(node.record.domain) != 0);
-        if (isCut || !node.isRunning || node.record.peerEndpoint != datagram.endpoint) {
+        const bool isPartitioned = from != node.record.domain
+            && (m_partitioned.count(from) != 0 || m_partitioned.count(node.record.domain) != 0);
+        if (isPartitioned || !node.isRunning || node.record.peerEndpoint != datagram.endpoint) {
             return;
         }
         if (m_time.now() < node.frozenUntil) {
@@ -224,7 +224,7 @@
     SimulatedTime m_time{ TimePoint(std::chrono::hours(1)) };
     std::uint64_t m_boots = 0;
     double m_loss = 0;
-    std::set<DomainName> m_cut;
+    std::set<DomainName> m_partitioned;
 };
 
 } // namespace ivyspar
