--- a/src/app/internal/control/membershipdriver.cpp
+++ b/src/app/internal/control/membershipdriver.cpp
@@ -36,7 +36,7 @@
     for (const Endpoint &seed : seeds) {
         addSeed({ seed, DomainName() });
     }
-    m_working = m_membership->working();
+    m_working = m_membership->availableMembers();
     m_events.onMembers(m_working);
     tick();
 }
@@ -105,7 +105,7 @@
     for (const auto &[endpoint, domain] : seeds) {
         addSeed({ endpoint, domain });
     }
-    m_working = m_membership->working();
+    m_working = m_membership->availableMembers();
     m_events.onMembers(m_working);
 }
 
@@ -114,12 +114,12 @@
     for (const MembershipDatagram &datagram : actions.send) {
         m_events.send(datagram.to, datagram.endpoint, encodeMembership(datagram.message));
     }
-    if (actions.newerSelf) {
-        onNewerSelf(*actions.newerSelf);
+    if (actions.conflictingIncarnation) {
+        onNewerSelf(*actions.conflictingIncarnation);
         return;
     }
     if (actions.changed) {
-        m_working = m_membership->working();
+        m_working = m_membership->availableMembers();
         m_events.onMembers(m_working);
     }
 }
--- a/src/coordination/membership/imembership.h
+++ b/src/coordination/membership/imembership.h
@@ -42,7 +42,7 @@
     /// Another process runs under this daemon's id with this larger incarnation. Within the first
     /// seconds after the start it is this host's previous run under a clock that was ahead: start
     /// anew with a larger incarnation. Later it is a second daemon with the same id: stop.
-    std::optional<Incarnation> newerSelf;
+    std::optional<Incarnation> conflictingIncarnation;
 };
 
 /// Who is there. Failure detection and spreading by gossip; times only the observer's own clock.
@@ -66,8 +66,8 @@
     /// To be called every `MembershipOptions::gossipInterval`.
     virtual MembershipActions tick(TimePoint now, IRandom &random) = 0;
     /// Members that take work: alive or suspect, without those leaving. Includes this daemon.
-    virtual std::vector<Member> working() const = 0;
-    virtual std::vector<MemberStatus> all() const = 0;
+    virtual std::vector<Member> availableMembers() const = 0;
+    virtual std::vector<MemberStatus> allMembers() const = 0;
 };
 
 } // namespace ivyspar
--- a/src/coordination/membership/internal/membership.cpp
+++ b/src/coordination/membership/internal/membership.cpp
@@ -141,7 +141,7 @@
     return actions;
 }
 
-std::vector<Member> Membership::working() const
+std::vector<Member> Membership::availableMembers() const
 {
     std::vector<Member> members;
     for (const auto &[id, entry] : m_table.entries()) {
@@ -152,7 +152,7 @@
     return members;
 }
 
-std::vector<MemberStatus> Membership::all() const
+std::vector<MemberStatus> Membership::allMembers() const
 {
     std::vector<MemberStatus> members;
     for (const auto &[id, entry] : m_table.entries()) {
--- a/src/coordination/membership/internal/membership.h
+++ b/src/coordination/membership/internal/membership.h
@@ -28,8 +28,8 @@
                               const MembershipMessage &message) override;
     MembershipActions onUnreachable(TimePoint now, const DaemonId &daemon) override;
     MembershipActions tick(TimePoint now, IRandom &random) override;
-    std::vector<Member> working() const override;
-    std::vector<MemberStatus> all() const override;
+    std::vector<Member> availableMembers() const override;
+    std::vector<MemberStatus> allMembers() const override;
 
 private:
     /// A ping of ours that waits for its ack.
--- a/src/coordination/membership/internal/membershipexchange.cpp
+++ b/src/coordination/membership/internal/membershipexchange.cpp
@@ -112,7 +112,7 @@
 {
     const MemberEntry &own = self();
     if (update.incarnation > own.member.incarnation) {
-        actions.newerSelf = update.incarnation;
+        actions.conflictingIncarnation = update.incarnation;
         return;
     }
     if (update.incarnation < own.member.incarnation) {
--- a/src/coordination/membership/tests/membershiptest.cpp
+++ b/src/coordination/membership/tests/membershiptest.cpp
@@ -68,7 +68,7 @@
         CHECK_FALSE(simulation.sees(5, 3));
         for (int i = 0; i < 100; ++i) {
             simulation.run(200ms);
-            CHECK(simulation.node(3).membership->working().size() == 24);
+            CHECK(simulation.node(3).membership->availableMembers().size() == 24);
         }
         CHECK(simulation.agreeOn(24));
     }
@@ -103,8 +103,8 @@
         CHECK(simulation.agreeOn(24, DOMAINS[1]));
         simulation.heal();
         const auto isOwnSideWhole = [&] {
-            return simulation.node(0).membership->working().size() >= 8
-                && simulation.node(1).membership->working().size() >= 24;
+            return simulation.node(0).membership->availableMembers().size() >= 8
+                && simulation.node(1).membership->availableMembers().size() >= 24;
         };
         bool isWhole = true;
         const Duration limit = 60s;
@@ -126,7 +126,7 @@
     startAll(simulation, 16);
     simulation.partition(DOMAINS[0]);
     simulation.run(300s);
-    CHECK(simulation.node(1).membership->all().size() == 12);
+    CHECK(simulation.node(1).membership->allMembers().size() == 12);
     simulation.heal();
     const Duration limit = 180s;
     CHECK(simulation.runUntil([&] { return simulation.agreeOn(16); }, limit) < limit);
@@ -158,7 +158,7 @@
     const Duration limit = 5s;
     CHECK(simulation.runUntil([&] { return simulation.agreeOn(31); }, limit) < limit);
     simulation.run(30s);
-    for (const MemberStatus &status : simulation.node(8).membership->all()) {
+    for (const MemberStatus &status : simulation.node(8).membership->allMembers()) {
         CHECK(status.health == MemberHealth::Alive);
     }
 }
@@ -198,7 +198,7 @@
     message.updates.push_back(update);
     const auto actions = simulation.node(0).membership->receive(
         simulation.now(), simulation.node(1).record.id, message);
-    CHECK(actions.newerSelf == Incarnation(1000));
+    CHECK(actions.conflictingIncarnation == Incarnation(1000));
 }
 
 // 1. A power failure ends all daemons. Each starts again and reads the same list of endpoints, half
@@ -237,7 +237,7 @@
     simulation.crash(seed);
     const std::size_t other = simulation.start(DOMAINS[1], seed);
     simulation.run(20s);
-    CHECK(simulation.node(other).membership->working().size() == 1);
+    CHECK(simulation.node(other).membership->availableMembers().size() == 1);
     simulation.node(seed).isRunning = true;
     const Duration limit = 10s;
     CHECK(simulation.runUntil([&] { return simulation.agreeOn(2); }, limit) < limit);
--- a/src/coordination/membership/tests/mocks/membershipsimulation.h
+++ b/src/coordination/membership/tests/mocks/membershipsimulation.h
@@ -100,13 +100,13 @@
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const Node &node) {
             const bool isSelected =
                 node.isRunning && (domain.empty() || node.record.domain == DomainName(domain));
-            return !isSelected || node.membership->working().size() == count;
+            return !isSelected || node.membership->availableMembers().size() == count;
         });
     }
 
     bool sees(std::size_t observer, std::size_t index) const
     {
-        const auto members = m_nodes[observer].membership->working();
+        const auto members = m_nodes[observer].membership->availableMembers();
         return std::any_of(members.begin(), members.end(), [&](const Member &member) {
             return member.id == m_nodes[index].record.id
                 && member.incarnation == m_nodes[index].record.incarnation
