--- a/src/coordination/membership/internal/membership.cpp
+++ b/src/coordination/membership/internal/membership.cpp
@@ -11,24 +11,24 @@
 constexpr std::size_t MIN_SENDS = 4;
 constexpr double MIN_SUSPICION_PERIODS = 3;
 /// Doubts checked per tick: after a partition there may be hundreds, and each costs a ping.
-constexpr std::size_t DOUBTS_PER_TICK = 2;
-constexpr int LAST_CALL_PERIODS = 3;
-constexpr std::size_t GOODBYE_RECEIVERS = 8;
-constexpr std::uint64_t RECONTACTS_PER_SEED = 6;
+constexpr std::size_t VERIFICATIONS_PER_TICK = 2;
+constexpr int FINAL_PROBE_PERIODS = 3;
+constexpr std::size_t LEAVE_RECEIVERS = 8;
+constexpr std::uint64_t RECONTACTS_PER_SEED_CONTACT = 6;
 /// Daemons of a failure domain that exchange whole records with another one at a time.
 constexpr double REMOTE_SYNCS = 4;
 /// Others in a failure domain up to which each of them exchanges with other domains: as much is
 /// said in a large one by a few.
 constexpr std::size_t SMALL_DOMAIN = 8;
 /// A daemon that found nobody for so long asks any seed, near or far.
-constexpr Duration LONELY_TIME{ std::chrono::milliseconds(600) };
+constexpr Duration ISOLATION_TIMEOUT{ std::chrono::milliseconds(600) };
 /// Seeds that a joining daemon asks at a time.
 constexpr std::size_t JOIN_SEEDS = 3;
 /// A daemon that runs for less than this exchanges at each difference.
-constexpr Duration YOUNG_TIME{ std::chrono::seconds(5) };
+constexpr Duration STARTUP_TIME{ std::chrono::seconds(5) };
 constexpr Duration JOIN_TIME{ std::chrono::seconds(30) };
 /// Last questions to suspects per tick: when a failure domain is lost there are hundreds.
-constexpr std::size_t LAST_CALLS_PER_TICK = 8;
+constexpr std::size_t FINAL_PROBES_PER_TICK = 8;
 
 } // namespace
 
@@ -47,11 +47,11 @@
     , m_nextPing(now)
     , m_nextSync(now)
     , m_nextSeed(now)
-    , m_seedPause(options.gossipInterval)
+    , m_seedInterval(options.gossipInterval)
     , m_nextRecontact(now + options.recontactInterval)
-    , m_relistenUntil(now)
-    , m_syncBytes(static_cast<double>(options.syncBurstBytes))
-    , m_syncBytesAt(now)
+    , m_graceEnd(now)
+    , m_syncBudgetBytes(static_cast<double>(options.syncBurstBytes))
+    , m_syncBudgetTime(now)
 {
     MemberEntry entry;
     entry.member = self;
@@ -91,7 +91,7 @@
     m_table.put(entry);
     actions.changed = true;
     // Not by the queue: its bound on sends may be smaller than the number of those to be told.
-    for (const MemberEntry *receiver : m_peerSelector.next(GOODBYE_RECEIVERS, m_self)) {
+    for (const MemberEntry *receiver : m_peerSelector.next(LEAVE_RECEIVERS, m_self)) {
         MembershipMessage message = makeMessage(GossipMessage());
         message.updates.push_back(makeUpdate(entry, false));
         send(receiver->member.id, receiver->member.peerEndpoint, std::move(message), actions);
@@ -129,13 +129,13 @@
         // Daemons that start together would otherwise ping in step for ever.
         m_nextPing = now + Duration(random.below(m_options.period.count()));
     }
-    noteGap(now);
+    handleFreeze(now);
     expireProbes(now, actions);
     expireSuspects(now, actions);
-    forgetDead(now);
+    evictDead(now);
     pingNext(now, random, actions);
-    verifyDoubted(now, actions);
-    spread(actions);
+    verifyReportedDead(now, actions);
+    sendPendingUpdates(actions);
     synchronise(now, random, actions);
     recontact(now, random, actions);
     return actions;
@@ -165,19 +165,19 @@
 /// sockets, and all timers have run out. Acting on them would declare everyone dead at once. So
 /// probes are dropped, suspects get their whole time again, and nobody is suspected before what
 /// arrived meanwhile could be read.
-void Membership::noteGap(TimePoint now)
+void Membership::handleFreeze(TimePoint now)
 {
-    const bool wasFrozen = m_lastTick && now - *m_lastTick > m_options.freezeGap;
+    const bool wasFrozen = m_lastTick && now - *m_lastTick > m_options.freezeThreshold;
     m_lastTick = now;
     if (!wasFrozen) {
         return;
     }
     m_probes.clear();
     m_relays.clear();
-    m_relistenUntil = now + m_options.relisten;
+    m_graceEnd = now + m_options.postFreezeGrace;
     m_nextPing = now;
     std::vector<MemberEntry> suspects;
-    for (const DaemonId &id : m_table.doubtful()) {
+    for (const DaemonId &id : m_table.notAlive()) {
         const MemberEntry &entry = *m_table.find(id);
         if (entry.health == MemberHealth::Suspect) {
             suspects.push_back(entry);
@@ -195,9 +195,9 @@
     for (auto it = m_probes.begin(); it != m_probes.end();) {
         Probe &probe = it->second;
         const Duration age = now - probe.start;
-        if (age >= m_options.ackTimeout && !probe.hasAskedOthers) {
-            probe.hasAskedOthers = true;
-            askOthers(probe, it->first, actions);
+        if (age >= m_options.ackTimeout && !probe.hasSentPingRequests) {
+            probe.hasSentPingRequests = true;
+            sendPingRequests(probe, it->first, actions);
         }
         if (age < m_options.period) {
             ++it;
@@ -209,7 +209,7 @@
     for (auto it = m_relays.begin(); it != m_relays.end();) {
         it = now - it->second.start >= 2 * m_options.period ? m_relays.erase(it) : std::next(it);
     }
-    if (now < m_relistenUntil) {
+    if (now < m_graceEnd) {
         return;
     }
     for (const DaemonId &id : failed) {
@@ -221,20 +221,20 @@
             setHealth(now, *entry, MemberHealth::Suspect, actions);
         }
         MemberEntry own = *m_table.find(id);
-        own.isOwnSuspicion = true;
+        own.isSuspectedByOwnProbe = true;
         m_table.put(own);
     }
 }
 
 void Membership::expireSuspects(TimePoint now, MembershipActions &actions)
 {
-    if (now < m_relistenUntil) {
+    if (now < m_graceEnd) {
         return;
     }
     const Duration timeout = suspicionTimeout();
     std::vector<MemberEntry> expired;
     std::vector<DaemonId> asked;
-    for (const DaemonId &id : m_table.doubtful()) {
+    for (const DaemonId &id : m_table.notAlive()) {
         const MemberEntry &entry = *m_table.find(id);
         if (entry.health != MemberHealth::Suspect) {
             continue;
@@ -242,7 +242,8 @@
         const Duration age = now - entry.since;
         if (age >= timeout) {
             expired.push_back(entry);
-        } else if (entry.isOwnSuspicion || age >= timeout - LAST_CALL_PERIODS * m_options.period) {
+        } else if (entry.isSuspectedByOwnProbe
+                   || age >= timeout - FINAL_PROBE_PERIODS * m_options.period) {
             asked.push_back(id);
         }
     }
@@ -251,11 +252,11 @@
     }
     // A lost message must not be the last word: the observer that raised the suspicion goes on
     // asking, and so does, before its time is over, each that may have missed the refutation.
-    const std::size_t count = std::min(asked.size(), LAST_CALLS_PER_TICK);
+    const std::size_t count = std::min(asked.size(), FINAL_PROBES_PER_TICK);
     for (std::size_t i = 0; i < count; ++i) {
-        probeAgain(now, asked[(m_lastCall + i) % asked.size()], actions);
+        probeAgain(now, asked[(m_finalProbeCursor + i) % asked.size()], actions);
     }
-    m_lastCall += count;
+    m_finalProbeCursor += count;
 }
 
 void Membership::probeAgain(TimePoint now, const DaemonId &id, MembershipActions &actions)
@@ -268,7 +269,7 @@
     }
     startProbe(now, id, actions);
     // Others were asked when the suspicion came up.
-    m_probes[m_lastSequence].hasAskedOthers = true;
+    m_probes[m_lastSequence].hasSentPingRequests = true;
 }
 
 bool Membership::isProbed(const DaemonId &id) const
@@ -277,24 +278,24 @@
                        [&id](const auto &probe) { return probe.second.target == id; });
 }
 
-void Membership::forgetDead(TimePoint now)
+void Membership::evictDead(TimePoint now)
 {
-    std::vector<std::pair<TimePoint, DaemonId>> gone;
-    for (const DaemonId &id : m_table.doubtful()) {
+    std::vector<std::pair<TimePoint, DaemonId>> inactive;
+    for (const DaemonId &id : m_table.notAlive()) {
         const MemberEntry &entry = *m_table.find(id);
         if (!isUp(entry.health) && id != m_self) {
-            gone.emplace_back(entry.since, id);
+            inactive.emplace_back(entry.since, id);
         }
     }
-    if (gone.empty()) {
+    if (inactive.empty()) {
         return;
     }
-    std::sort(gone.begin(), gone.end());
+    std::sort(inactive.begin(), inactive.end());
     const std::size_t surplus =
-        gone.size() > m_options.maxDead ? gone.size() - m_options.maxDead : 0;
-    for (std::size_t i = 0; i < gone.size(); ++i) {
-        if (i < surplus || now - gone[i].first >= m_options.deadRetention) {
-            m_table.erase(gone[i].second);
+        inactive.size() > m_options.maxDead ? inactive.size() - m_options.maxDead : 0;
+    for (std::size_t i = 0; i < inactive.size(); ++i) {
+        if (i < surplus || now - inactive[i].first >= m_options.deadRetention) {
+            m_table.erase(inactive[i].second);
         }
     }
 }
@@ -315,26 +316,26 @@
 
 /// Another daemon holds a member for dead that is up here, as after a partition. Taking its word
 /// would remove whole failure domains when they meet again; asking the member lets it refute.
-void Membership::verifyDoubted(TimePoint now, MembershipActions &actions)
+void Membership::verifyReportedDead(TimePoint now, MembershipActions &actions)
 {
-    for (std::size_t i = 0; i < DOUBTS_PER_TICK && !m_doubted.empty(); ++i) {
-        const auto [id, counter] = m_doubted.front();
-        m_doubted.pop_front();
+    for (std::size_t i = 0; i < VERIFICATIONS_PER_TICK && !m_reportedDead.empty(); ++i) {
+        const auto [id, counter] = m_reportedDead.front();
+        m_reportedDead.pop_front();
         const MemberEntry *entry = m_table.find(id);
         if (!entry || entry->health != MemberHealth::Alive || entry->counter > counter) {
             continue;
         }
         // With the version that is held for dead: asked about a newer one, the member would refute
         // once more for each daemon that asks.
-        MemberEntry doubted = *entry;
-        doubted.counter = counter;
-        doubted.health = MemberHealth::Dead;
+        MemberEntry reported = *entry;
+        reported.counter = counter;
+        reported.health = MemberHealth::Dead;
         m_probes[++m_lastSequence] = Probe{ id, now, false };
-        sendPing(doubted, m_lastSequence, actions);
+        sendPing(reported, m_lastSequence, actions);
     }
 }
 
-void Membership::spread(MembershipActions &actions)
+void Membership::sendPendingUpdates(MembershipActions &actions)
 {
     if (!m_queue.isEmpty()) {
         sendGossip(m_options.gossipFanout, actions);
@@ -343,36 +344,37 @@
 
 void Membership::synchronise(TimePoint now, IRandom &random, MembershipActions &actions)
 {
-    if (!m_differing || now < m_nextSync) {
+    if (!m_divergentPeer || now < m_nextSync) {
         return;
     }
-    if (m_differing->digest == m_table.digest()) {
-        m_differing.reset();
+    if (m_divergentPeer->digest == m_table.digest()) {
+        m_divergentPeer.reset();
         return;
     }
     // Digests differ for a few seconds with each change that spreads: only a difference that lasts
     // is worth an exchange. A daemon that has just started cannot wait for it, even if it agrees
     // with another: where all have just started, both know but a part.
-    const bool isYoung = now < m_start + YOUNG_TIME;
-    const bool isSettled = now - m_differing->since >= 2 * m_options.syncInterval;
-    if (m_hasAgreed && !isYoung && !isSettled) {
+    const bool isStartingUp = now < m_start + STARTUP_TIME;
+    const bool isSettled = now - m_divergentPeer->since >= 2 * m_options.syncInterval;
+    if (m_hasConverged && !isStartingUp && !isSettled) {
         return;
     }
-    m_nextSync = now + (isYoung ? m_seedPause : syncPause());
+    m_nextSync = now + (isStartingUp ? m_seedInterval : syncPause());
     // Two failure domains that differ do so in all their members. A few of them exchange; the
     // others have it from these within their own.
-    if (!m_peerSelector.isLocal(m_differing->id) && random.unit() >= remoteSyncChance()) {
+    if (!m_peerSelector.isLocal(m_divergentPeer->id) && random.unit() >= remoteSyncChance()) {
         return;
     }
     const auto &buckets = m_table.buckets();
     SyncRequestMessage request{ { buckets.begin(), buckets.end() } };
-    send(m_differing->id, m_differing->endpoint, makeEmptyMessage(std::move(request)), actions);
-    m_differing.reset();
+    send(m_divergentPeer->id, m_divergentPeer->endpoint, makeEmptyMessage(std::move(request)),
+         actions);
+    m_divergentPeer.reset();
 }
 
 Duration Membership::syncPause() const
 {
-    return m_hasAgreed ? m_options.syncInterval : m_options.period;
+    return m_hasConverged ? m_options.syncInterval : m_options.period;
 }
 
 /// Two sides of a partition hold each other for dead, and nobody pings the dead in turn. Trying one
@@ -380,18 +382,18 @@
 void Membership::recontact(TimePoint now, IRandom &random, MembershipActions &actions)
 {
     if (now >= m_nextSeed) {
-        seekOthers(now, random, actions);
+        joinThroughSeeds(now, random, actions);
     }
     if (now < m_nextRecontact) {
         return;
     }
-    const auto spread = static_cast<std::uint64_t>(m_options.recontactInterval.count());
-    m_nextRecontact = now + m_options.recontactInterval / 2 + Duration(random.below(spread));
-    if (random.below(RECONTACTS_PER_SEED) == 0) {
+    const auto jitter = static_cast<std::uint64_t>(m_options.recontactInterval.count());
+    m_nextRecontact = now + m_options.recontactInterval / 2 + Duration(random.below(jitter));
+    if (random.below(RECONTACTS_PER_SEED_CONTACT) == 0) {
         contactSeed(now, random, actions);
     }
     std::vector<const MemberEntry *> dead;
-    for (const DaemonId &id : m_table.doubtful()) {
+    for (const DaemonId &id : m_table.notAlive()) {
         const MemberEntry &entry = *m_table.find(id);
         if (entry.health == MemberHealth::Dead && entry.member.peerEndpoint.port != 0) {
             dead.push_back(&entry);
@@ -405,16 +407,16 @@
 
 /// After a power failure all daemons seek each other at once, and until they have, requests meet no
 /// server. So the first questions go to several seeds, in short intervals that grow.
-void Membership::seekOthers(TimePoint now, IRandom &random, MembershipActions &actions)
+void Membership::joinThroughSeeds(TimePoint now, IRandom &random, MembershipActions &actions)
 {
-    m_nextSeed = now + m_seedPause;
+    m_nextSeed = now + m_seedInterval;
     // A daemon that others found first still asks its seeds: they may not know each other.
-    const bool isJoining = now < m_start + JOIN_TIME && m_seeds.hasSilent();
+    const bool isJoining = now < m_start + JOIN_TIME && m_seeds.hasUncontacted();
     if (!isJoining && m_table.upCount() > 1) {
         return;
     }
     if (!m_seeds.isEmpty()) {
-        m_seedPause = std::min(2 * m_seedPause, m_options.period);
+        m_seedInterval = std::min(2 * m_seedInterval, m_options.period);
     }
     for (std::size_t i = 0; i < JOIN_SEEDS; ++i) {
         contactSeed(now, random, actions);
@@ -425,8 +427,8 @@
 /// answer is a whole table.
 void Membership::contactSeed(TimePoint now, IRandom &random, MembershipActions &actions)
 {
-    const bool isLonely = m_table.upCount() <= 1 && now >= m_start + LONELY_TIME;
-    const bool isRemoteAllowed = isLonely || random.unit() < remoteSyncChance();
+    const bool isIsolated = m_table.upCount() <= 1 && now >= m_start + ISOLATION_TIMEOUT;
+    const bool isRemoteAllowed = isIsolated || random.unit() < remoteSyncChance();
     const auto seed = m_seeds.choose(m_table, isRemoteAllowed, random);
     if (!seed) {
         return;
@@ -452,7 +454,8 @@
 
 std::size_t Membership::maxSends() const
 {
-    const auto sends = static_cast<std::size_t>(std::ceil(m_options.spreadFactor * logMembers()));
+    const auto sends =
+        static_cast<std::size_t>(std::ceil(m_options.retransmitFactor * logMembers()));
     return std::max(MIN_SENDS, sends);
 }
 
--- a/src/coordination/membership/internal/membership.h
+++ b/src/coordination/membership/internal/membership.h
@@ -37,7 +37,7 @@
     {
         DaemonId target;
         TimePoint start;
-        bool hasAskedOthers = false;
+        bool hasSentPingRequests = false;
     };
     /// A ping sent for another member.
     struct Relay
@@ -47,7 +47,7 @@
         TimePoint start;
     };
     /// A member whose digest differed from ours when it last spoke.
-    struct Differing
+    struct DivergentPeer
     {
         DaemonId id;
         Endpoint endpoint;
@@ -79,24 +79,24 @@
                 const SyncReplyMessage &reply, MembershipActions &actions);
     void compareDigest(TimePoint now, const DaemonId &from, const MembershipMessage &message);
 
-    void noteGap(TimePoint now);
+    void handleFreeze(TimePoint now);
     void expireProbes(TimePoint now, MembershipActions &actions);
     void expireSuspects(TimePoint now, MembershipActions &actions);
     void probeAgain(TimePoint now, const DaemonId &id, MembershipActions &actions);
     bool isProbed(const DaemonId &id) const;
-    void forgetDead(TimePoint now);
+    void evictDead(TimePoint now);
     void pingNext(TimePoint now, IRandom &random, MembershipActions &actions);
-    void verifyDoubted(TimePoint now, MembershipActions &actions);
-    void spread(MembershipActions &actions);
+    void verifyReportedDead(TimePoint now, MembershipActions &actions);
+    void sendPendingUpdates(MembershipActions &actions);
     void synchronise(TimePoint now, IRandom &random, MembershipActions &actions);
     void recontact(TimePoint now, IRandom &random, MembershipActions &actions);
     Duration syncPause() const;
-    void seekOthers(TimePoint now, IRandom &random, MembershipActions &actions);
+    void joinThroughSeeds(TimePoint now, IRandom &random, MembershipActions &actions);
     void contactSeed(TimePoint now, IRandom &random, MembershipActions &actions);
 
     void startProbe(TimePoint now, const DaemonId &target, MembershipActions &actions);
     void sendPing(const MemberEntry &target, std::uint64_t sequence, MembershipActions &actions);
-    void askOthers(const Probe &probe, std::uint64_t sequence, MembershipActions &actions);
+    void sendPingRequests(const Probe &probe, std::uint64_t sequence, MembershipActions &actions);
     /// With updates that are to be spread.
     MembershipMessage makeMessage(MembershipBody body);
     MembershipMessage makeEmptyMessage(MembershipBody body) const;
@@ -105,7 +105,7 @@
     void sendGossip(std::size_t receivers, MembershipActions &actions);
 
     double remoteSyncChance() const;
-    std::size_t takeSyncBytes(TimePoint now);
+    std::size_t refillSyncBudget(TimePoint now);
 
     double logMembers() const;
     std::size_t maxSends() const;
@@ -120,13 +120,13 @@
     std::map<std::uint64_t, Relay> m_relays;
     std::uint64_t m_lastSequence = 0;
     /// Members that another daemon holds for dead at a version, and this one does not.
-    std::deque<std::pair<DaemonId, std::uint64_t>> m_doubted;
+    std::deque<std::pair<DaemonId, std::uint64_t>> m_reportedDead;
 
     PeerSelector m_peerSelector;
     SeedList m_seeds;
-    std::optional<Differing> m_differing;
+    std::optional<DivergentPeer> m_divergentPeer;
     /// The digest has agreed with another member's at least once.
-    bool m_hasAgreed = false;
+    bool m_hasConverged = false;
 
     std::optional<TimePoint> m_lastTick;
     const TimePoint m_start;
@@ -134,13 +134,13 @@
     TimePoint m_nextSync;
     TimePoint m_nextSeed;
     /// Until the next seed is asked; grows while others are sought.
-    Duration m_seedPause;
+    Duration m_seedInterval;
     TimePoint m_nextRecontact;
-    TimePoint m_relistenUntil;
-    double m_syncBytes = 0;
-    TimePoint m_syncBytesAt;
+    TimePoint m_graceEnd;
+    double m_syncBudgetBytes = 0;
+    TimePoint m_syncBudgetTime;
     std::size_t m_syncCursor = 0;
-    std::size_t m_lastCall = 0;
+    std::size_t m_finalProbeCursor = 0;
 };
 
 } // namespace ivyspar
--- a/src/coordination/membership/internal/membershipexchange.cpp
+++ b/src/coordination/membership/internal/membershipexchange.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t MAX_DOUBTED = 512;
+constexpr std::size_t MAX_REPORTED_DEAD = 512;
 constexpr std::size_t MAX_RELAYS = 256;
 /// Records given to anyone who asks, even when the bytes for exchanges are spent: enough to find
 /// others to ask.
@@ -24,7 +24,7 @@
     if (from == m_self || self().health == MemberHealth::Left) {
         return actions;
     }
-    m_seeds.note(message.sender);
+    m_seeds.markContacted(message.sender);
     for (const MemberUpdate &update : message.updates) {
         applyUpdate(now, update, Source::Gossip, actions);
     }
@@ -42,13 +42,14 @@
     }
     const MemberEntry *known = m_table.find(update.id);
     if (update.health == MemberHealth::Dead && known && isUp(known->health)) {
-        // See verifyDoubted(). Only the observer's own timer declares a member dead.
+        // See verifyReportedDead(). Only the observer's own timer declares a member dead.
         const bool isSameRun = known->member.incarnation == update.incarnation;
-        const auto doubt = std::make_pair(update.id, update.counter);
-        const bool isNew = std::find(m_doubted.begin(), m_doubted.end(), doubt) == m_doubted.end();
+        const auto report = std::make_pair(update.id, update.counter);
+        const bool isNew =
+            std::find(m_reportedDead.begin(), m_reportedDead.end(), report) == m_reportedDead.end();
         if (isSameRun && update.counter >= known->counter && isNew
-            && m_doubted.size() < MAX_DOUBTED) {
-            m_doubted.push_back(doubt);
+            && m_reportedDead.size() < MAX_REPORTED_DEAD) {
+            m_reportedDead.push_back(report);
         }
         return;
     }
@@ -67,7 +68,7 @@
     entry.member.incarnation = update.incarnation;
     entry.member.counter = update.recordCounter;
     entry.counter = update.counter;
-    entry.isOwnSuspicion = false;
+    entry.isSuspectedByOwnProbe = false;
     if (!known || entry.health != update.health) {
         entry.since = now;
     }
@@ -118,8 +119,9 @@
     if (update.incarnation < own.member.incarnation) {
         return;
     }
-    const bool isDoubted = update.health != MemberHealth::Alive && update.counter >= own.counter;
-    if (isDoubted || update.counter > own.counter) {
+    const bool isReportedDown =
+        update.health != MemberHealth::Alive && update.counter >= own.counter;
+    if (isReportedDown || update.counter > own.counter) {
         refute(update.counter);
     }
 }
@@ -139,7 +141,7 @@
     const bool wasUp = isUp(entry.health);
     entry.health = health;
     entry.since = now;
-    entry.isOwnSuspicion = false;
+    entry.isSuspectedByOwnProbe = false;
     if (health == MemberHealth::Suspect) {
         m_queue.push(makeUpdate(entry, false));
     }
@@ -243,7 +245,7 @@
         }
     }
     SyncReplyMessage reply;
-    const std::size_t allowed = takeSyncBytes(now);
+    const std::size_t allowed = refillSyncBudget(now);
     std::size_t bytes = 0;
     ++m_syncCursor;
     for (std::size_t i = 0; i < own.size() && bytes < allowed; ++i) {
@@ -257,7 +259,7 @@
         }
         reply.covered |= std::uint64_t(1) << bucket;
     }
-    m_syncBytes -= static_cast<double>(bytes);
+    m_syncBudgetBytes -= static_cast<double>(bytes);
     send(from, message.sender, makeMessage(std::move(reply)), actions);
 }
 
@@ -274,7 +276,7 @@
     }
     // The other direction of the exchange: what is newer here. Its `covered` is 0, which ends it.
     SyncReplyMessage back;
-    const std::size_t allowed = takeSyncBytes(now);
+    const std::size_t allowed = refillSyncBudget(now);
     std::size_t bytes = 0;
     for (const auto &[id, entry] : m_table.entries()) {
         const bool isCovered = (reply.covered >> MemberTable::bucketOf(id)) & 1U;
@@ -292,7 +294,7 @@
         back.records.push_back(makeUpdate(entry, isUp(entry.health)));
         bytes += estimateBytes(back.records.back());
     }
-    m_syncBytes -= static_cast<double>(bytes);
+    m_syncBudgetBytes -= static_cast<double>(bytes);
     if (!back.records.empty()) {
         send(from, message.sender, makeMessage(std::move(back)), actions);
     }
@@ -302,20 +304,21 @@
                                const MembershipMessage &message)
 {
     if (message.digest == m_table.digest()) {
-        m_hasAgreed = true;
+        m_hasConverged = true;
         // Agreement with one member says nothing of the others: a small group that agrees among
         // itself would never look further.
-        if (m_differing && m_differing->id == from) {
-            m_differing.reset();
+        if (m_divergentPeer && m_divergentPeer->id == from) {
+            m_divergentPeer.reset();
         }
         return;
     }
     // An exchange within the failure domain comes first.
-    if (m_differing && m_peerSelector.isLocal(m_differing->id) && !m_peerSelector.isLocal(from)) {
+    if (m_divergentPeer && m_peerSelector.isLocal(m_divergentPeer->id)
+        && !m_peerSelector.isLocal(from)) {
         return;
     }
-    const TimePoint since = m_differing ? m_differing->since : now;
-    m_differing = Differing{ from, message.sender, message.digest, since };
+    const TimePoint since = m_divergentPeer ? m_divergentPeer->since : now;
+    m_divergentPeer = DivergentPeer{ from, message.sender, message.digest, since };
 }
 
 void Membership::startProbe(TimePoint now, const DaemonId &target, MembershipActions &actions)
@@ -342,7 +345,8 @@
     send(target.member.id, target.member.peerEndpoint, makeMessage(std::move(ping)), actions);
 }
 
-void Membership::askOthers(const Probe &probe, std::uint64_t sequence, MembershipActions &actions)
+void Membership::sendPingRequests(const Probe &probe, std::uint64_t sequence,
+                                  MembershipActions &actions)
 {
     const MemberEntry *target = m_table.find(probe.target);
     if (!target) {
@@ -384,13 +388,14 @@
     actions.send.push_back({ to, endpoint, std::move(message) });
 }
 
-std::size_t Membership::takeSyncBytes(TimePoint now)
+std::size_t Membership::refillSyncBudget(TimePoint now)
 {
-    const double seconds = std::chrono::duration<double>(now - m_syncBytesAt).count();
+    const double seconds = std::chrono::duration<double>(now - m_syncBudgetTime).count();
     const double refill = seconds * static_cast<double>(m_options.syncBytesPerSecond);
-    m_syncBytes = std::min(m_syncBytes + refill, static_cast<double>(m_options.syncBurstBytes));
-    m_syncBytesAt = now;
-    const double left = std::max(m_syncBytes, static_cast<double>(MIN_SYNC_BYTES));
+    m_syncBudgetBytes =
+        std::min(m_syncBudgetBytes + refill, static_cast<double>(m_options.syncBurstBytes));
+    m_syncBudgetTime = now;
+    const double left = std::max(m_syncBudgetBytes, static_cast<double>(MIN_SYNC_BYTES));
     return static_cast<std::size_t>(left);
 }
 
--- a/src/coordination/membership/internal/membertable.cpp
+++ b/src/coordination/membership/internal/membertable.cpp
@@ -38,7 +38,7 @@
     }
     DaemonId id = entry.member.id;
     if (entry.health != MemberHealth::Alive) {
-        m_doubtful.insert(id);
+        m_notAlive.insert(id);
     }
     m_entries.emplace(std::move(id), std::move(entry));
 }
@@ -53,7 +53,7 @@
         toggle(found->second);
         --m_upCount;
     }
-    m_doubtful.erase(id);
+    m_notAlive.erase(id);
     m_entries.erase(found);
 }
 
--- a/src/coordination/membership/internal/membertable.h
+++ b/src/coordination/membership/internal/membertable.h
@@ -21,7 +21,7 @@
     /// When this observer saw the health change.
     TimePoint since;
     /// The suspicion came from a probe of this observer.
-    bool isOwnSuspicion = false;
+    bool isSuspectedByOwnProbe = false;
 };
 
 inline bool isUp(MemberHealth health)
@@ -43,8 +43,9 @@
     void erase(const DaemonId &id);
 
     const Entries &entries() const { return m_entries; }
-    /// Ids of the members that are suspect, dead or gone: few, while the timers look at them often.
-    const std::set<DaemonId> &doubtful() const { return m_doubtful; }
+    /// Ids of the members that are suspect, dead or inactive: few, while the timers look at them
+    /// often.
+    const std::set<DaemonId> &notAlive() const { return m_notAlive; }
     /// Number of members that are up.
     std::size_t upCount() const { return m_upCount; }
     std::uint64_t digest() const { return m_digest; }
@@ -55,7 +56,7 @@
     void toggle(const MemberEntry &entry);
 
     Entries m_entries;
-    std::set<DaemonId> m_doubtful;
+    std::set<DaemonId> m_notAlive;
     Buckets m_buckets{};
     std::uint64_t m_digest = 0;
     std::size_t m_upCount = 0;
--- a/src/coordination/membership/internal/seedlist.cpp
+++ b/src/coordination/membership/internal/seedlist.cpp
@@ -4,18 +4,18 @@
 
 namespace ivyspar {
 
-SeedList::SeedList(DomainName domain, std::size_t most)
+SeedList::SeedList(DomainName domain, std::size_t maxSeeds)
     : m_domain(std::move(domain))
-    , m_most(most)
+    , m_maxSeeds(maxSeeds)
 {
 }
 
 void SeedList::add(const MembershipSeed &seed)
 {
-    if (m_seeds.size() >= m_most || !m_seeds.emplace(seed.endpoint, seed.domain).second) {
+    if (m_seeds.size() >= m_maxSeeds || !m_seeds.emplace(seed.endpoint, seed.domain).second) {
         return;
     }
-    m_silent.insert(seed.endpoint);
+    m_uncontacted.insert(seed.endpoint);
     m_localCount += seed.domain == m_domain ? 1 : 0;
 }
 
@@ -39,7 +39,7 @@
     }
     std::vector<Endpoint> found;
     for (const auto &[endpoint, domain] : m_seeds) {
-        const bool isWanted = m_silent.empty() || m_silent.count(endpoint) != 0;
+        const bool isWanted = m_uncontacted.empty() || m_uncontacted.count(endpoint) != 0;
         const bool isInReach = isRemoteAllowed || isLocal(domain);
         if (isWanted && isInReach && up.count(endpoint) == 0) {
             found.push_back(endpoint);
--- a/src/coordination/membership/internal/seedlist.h
+++ b/src/coordination/membership/internal/seedlist.h
@@ -15,14 +15,14 @@
 class SeedList
 {
 public:
-    SeedList(DomainName domain, std::size_t most);
+    SeedList(DomainName domain, std::size_t maxSeeds);
 
     void add(const MembershipSeed &seed);
     /// The daemon there spoke.
-    void note(const Endpoint &endpoint) { m_silent.erase(endpoint); }
+    void markContacted(const Endpoint &endpoint) { m_uncontacted.erase(endpoint); }
     bool isEmpty() const { return m_seeds.empty(); }
     /// Whether some have not spoken yet.
-    bool hasSilent() const { return !m_silent.empty(); }
+    bool hasUncontacted() const { return !m_uncontacted.empty(); }
     /// Those of the own failure domain.
     std::size_t localCount() const { return m_localCount; }
 
@@ -36,9 +36,9 @@
     bool isLocal(const DomainName &domain) const;
 
     DomainName m_domain;
-    std::size_t m_most;
+    std::size_t m_maxSeeds;
     std::map<Endpoint, DomainName> m_seeds;
-    std::set<Endpoint> m_silent;
+    std::set<Endpoint> m_uncontacted;
     std::size_t m_localCount = 0;
 };
 
--- a/src/coordination/membership/internal/updatequeue.cpp
+++ b/src/coordination/membership/internal/updatequeue.cpp
@@ -9,37 +9,37 @@
 
 void UpdateQueue::push(MemberUpdate update)
 {
-    Waiting waiting;
-    waiting.update = std::move(update);
-    DaemonId id = waiting.update.id;
-    m_waiting.insert_or_assign(std::move(id), std::move(waiting));
+    PendingUpdate pending;
+    pending.update = std::move(update);
+    DaemonId id = pending.update.id;
+    m_pending.insert_or_assign(std::move(id), std::move(pending));
 }
 
 std::vector<MemberUpdate> UpdateQueue::take(std::size_t maxBytes, std::size_t maxSends)
 {
-    std::vector<Waiting *> order;
-    order.reserve(m_waiting.size());
-    for (auto &[id, waiting] : m_waiting) {
-        order.push_back(&waiting);
+    std::vector<PendingUpdate *> order;
+    order.reserve(m_pending.size());
+    for (auto &[id, pending] : m_pending) {
+        order.push_back(&pending);
     }
-    std::sort(order.begin(), order.end(), [](const Waiting *a, const Waiting *b) {
+    std::sort(order.begin(), order.end(), [](const PendingUpdate *a, const PendingUpdate *b) {
         return a->sends != b->sends ? a->sends < b->sends : a->update.id < b->update.id;
     });
 
     std::vector<MemberUpdate> taken;
     std::size_t bytes = 0;
-    for (Waiting *waiting : order) {
-        bytes += estimateBytes(waiting->update);
+    for (PendingUpdate *pending : order) {
+        bytes += estimateBytes(pending->update);
         if (bytes > maxBytes && !taken.empty()) {
             break;
         }
-        taken.push_back(waiting->update);
-        ++waiting->sends;
+        taken.push_back(pending->update);
+        ++pending->sends;
     }
     for (const MemberUpdate &update : taken) {
-        const auto found = m_waiting.find(update.id);
+        const auto found = m_pending.find(update.id);
         if (found->second.sends >= maxSends) {
-            m_waiting.erase(found);
+            m_pending.erase(found);
         }
     }
     return taken;
--- a/src/coordination/membership/internal/updatequeue.h
+++ b/src/coordination/membership/internal/updatequeue.h
@@ -13,7 +13,7 @@
 class UpdateQueue
 {
 public:
-    bool isEmpty() const { return m_waiting.empty(); }
+    bool isEmpty() const { return m_pending.empty(); }
     /// Replaces an older update of the same daemon.
     void push(MemberUpdate update);
     /// Takes updates for one message, up to about `maxBytes`. An update that was handed out
@@ -21,13 +21,13 @@
     std::vector<MemberUpdate> take(std::size_t maxBytes, std::size_t maxSends);
 
 private:
-    struct Waiting
+    struct PendingUpdate
     {
         MemberUpdate update;
         std::size_t sends = 0;
     };
 
-    std::unordered_map<DaemonId, Waiting> m_waiting;
+    std::unordered_map<DaemonId, PendingUpdate> m_pending;
 };
 
 } // namespace ivyspar
--- a/src/coordination/membership/membershipfactory.h
+++ b/src/coordination/membership/membershipfactory.h
@@ -20,8 +20,8 @@
     std::size_t gossipFanout = 2;
     /// Members asked to ping one that did not answer.
     std::size_t indirectProbes = 3;
-    /// An update is sent `spreadFactor` × log2(members) times by each daemon.
-    double spreadFactor = 1.0;
+    /// An update is sent `retransmitFactor` × log2(members) times by each daemon.
+    double retransmitFactor = 1.0;
     /// A suspect has `suspicionFactor` × log2(members) periods, at least three, to refute.
     double suspicionFactor = 1.0;
     /// Bytes of updates on one message. Bounds what a daemon sends while much changes at once:
@@ -34,9 +34,9 @@
     /// Smallest time between two exchanges that this daemon asks for.
     Duration syncInterval = std::chrono::seconds(2);
     /// A gap between ticks beyond this is a freeze of this process.
-    Duration freezeGap = std::chrono::seconds(2);
+    Duration freezeThreshold = std::chrono::seconds(2);
     /// How long to listen after a freeze before anyone is suspected again.
-    Duration relisten = std::chrono::seconds(2);
+    Duration postFreezeGrace = std::chrono::seconds(2);
     /// How often a dead member or a seed is tried again.
     Duration recontactInterval = std::chrono::seconds(5);
     /// How long a dead or departed member is remembered, and how many at most.
--- a/src/coordination/membership/tests/peerselectortest.cpp
+++ b/src/coordination/membership/tests/peerselectortest.cpp
@@ -154,10 +154,10 @@
     const Endpoint second{ "10.0.0.1", 2 };
     m_seeds.add({ first, LOCAL });
     m_seeds.add({ second, LOCAL });
-    m_seeds.note(first);
+    m_seeds.markContacted(first);
     CHECK(chosen(false) == std::set<Endpoint>{ second });
-    m_seeds.note(second);
-    CHECK_FALSE(m_seeds.hasSilent());
+    m_seeds.markContacted(second);
+    CHECK_FALSE(m_seeds.hasUncontacted());
     CHECK_EQUAL(2, chosen(false).size());
 }
 
