--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -34,7 +34,7 @@
     SeededRandom m_random{ 3 };
 };
 
-TEST(PollSchedule, FewOfADomainFollowClosely)
+TEST(PollSchedule, SelectsConfiguredNumberOfFastPollers)
 {
     constexpr int DAEMONS = 200;
     std::vector<DaemonId> daemons;
@@ -54,7 +54,7 @@
     CHECK(isFastPoller(DaemonId("alone"), {}, 2));
 }
 
-TEST(PollSchedule, EmptyAnswersThatComeAtOnceAreNotAskedForAgainAtOnce)
+TEST(PollSchedule, FastPollerPausesAfterImmediateEmptyPage)
 {
     m_schedule.setFast(true);
     CHECK(m_schedule.longPollTimeout() == m_settings.longPoll);
@@ -63,7 +63,7 @@
     CHECK(m_schedule.onPage(false, true, Duration(0), m_random) == Duration::zero());
 }
 
-TEST(PollSchedule, TheOthersReadOnWhileThereIsMoreAndThenRarely)
+TEST(PollSchedule, SlowPollerReadsToTheEndThenWaits)
 {
     CHECK(m_schedule.longPollTimeout() == Duration::zero());
     CHECK(m_schedule.onPage(false, false, Duration(0), m_random) == Duration::zero());
@@ -76,7 +76,7 @@
 
 // The log is down for a while and comes back. Each daemon must ask less often as the outage lasts,
 // and they must not all come back in one moment.
-TEST(PollSchedule, PausesGrowAndDifferDuringAnOutage)
+TEST(PollSchedule, BackoffGrowsWithJitterDuringOutage)
 {
     m_schedule.setFast(true);
     const Duration first = m_schedule.onFailure(m_random);
@@ -101,7 +101,7 @@
 
 // Guards against a change that a daemon finds too late where no peer tells it of it and its
 // connection to the log went silent.
-TEST(PollSchedule, WaitsAddUpToTheTimeInWhichAChangeIsInForce)
+TEST(PollSchedule, WorstCaseDelayStaysWithinApplyDeadline)
 {
     for (const bool isFast : { true, false }) {
         m_schedule.setFast(isFast);
@@ -120,7 +120,7 @@
     }
 }
 
-TEST(PollSchedule, TurnsOfAllTogetherAreAsManyForAThousandAsForTen)
+TEST(PollSchedule, TotalSharedReadRateIsIndependentOfDaemonCount)
 {
     const auto readsIn = [this](std::size_t daemons) {
         Duration pauses{ 0 };
@@ -135,7 +135,7 @@
 }
 
 // A daemon that lost sight of all others has only the log: its turn comes at once.
-TEST(PollSchedule, ADaemonAloneTakesEachTurn)
+TEST(PollSchedule, SingleDaemonReadsEveryInterval)
 {
     for (int i = 0; i < 100; ++i) {
         CHECK(drawSharedReadPause(std::chrono::milliseconds(400), 0, m_random)
@@ -177,12 +177,12 @@
     }
 };
 
-TEST(SnapshotSchedule, NothingIsAppendedWithoutAVersion)
+TEST(SnapshotSchedule, AppendsNothingBeforeTheFirstVersion)
 {
     CHECK(waitForAppend(0) == std::chrono::hours(5));
 }
 
-TEST(SnapshotSchedule, RenewsLongBeforeTheLogForgets)
+TEST(SnapshotSchedule, RenewsWellWithinRetention)
 {
     appendChange();
     CHECK(waitForAppend(0) <= m_settings.retention / 4 + m_settings.jitter + seconds(1));
@@ -195,7 +195,7 @@
     }
 }
 
-TEST(SnapshotSchedule, DaemonsThatReadRarelyLeaveItToTheOthers)
+TEST(SnapshotSchedule, SlowReadersWaitLonger)
 {
     appendChange();
     update(0, false);
@@ -204,7 +204,7 @@
     CHECK(waitForAppend(0, false) >= m_settings.retention / 2);
 }
 
-TEST(SnapshotSchedule, AnothersSnapshotEndsTheWait)
+TEST(SnapshotSchedule, SnapshotOfAnotherDaemonCancelsRenewal)
 {
     appendChange();
     for (int i = 0; i < 100; ++i) {
@@ -219,7 +219,7 @@
     }
 }
 
-TEST(SnapshotSchedule, RenewsSoonWhenTheAnchorIsForgottenOrInTheOlderHalf)
+TEST(SnapshotSchedule, RenewsWhenAnchorIsTruncatedOrInOlderHalf)
 {
     appendChange();
     update(0);
@@ -236,7 +236,7 @@
 }
 
 // A daemon that lost records would vouch for a version that may be outdated.
-TEST(SnapshotSchedule, ADaemonThatCannotJudgeAppendsNothing)
+TEST(SnapshotSchedule, AppendsNothingWithoutLogState)
 {
     appendChange();
     m_stateMachine->apply(LogOffset(50), makeRecord({}, 1, 0));
--- a/src/coordination/configuration/tests/configurationstatemachinetest.cpp
+++ b/src/coordination/configuration/tests/configurationstatemachinetest.cpp
@@ -142,7 +142,7 @@
     }
 
     /// From a peer that had read up to `position`.
-    void learn(std::uint64_t position, bool isPositionKnown)
+    void adoptFromPeer(std::uint64_t position, bool isPositionKnown)
     {
         AcceptedConfiguration accepted = m_stream.before[position];
         if (isPositionKnown) {
@@ -175,20 +175,20 @@
         require(!current || !current->position
                     || m_stream.before[current->position->value()].version == current->version,
                 "held position");
-        const ConfigurationVersion held = current ? current->version : ConfigurationVersion();
-        require(held >= m_lastHeld, "held version reverts");
-        require(held <= m_stream.before.back().version, "held version was never accepted");
-        require(!logState || logState->version <= held, "held version is behind the log");
+        const ConfigurationVersion newest = current ? current->version : ConfigurationVersion();
+        require(newest >= m_lastNewest, "held version reverts");
+        require(newest <= m_stream.before.back().version, "held version was never accepted");
+        require(!logState || logState->version <= newest, "held version is behind the log");
         for (const AcceptedConfiguration &each : m_stream.before) {
-            require(each.version != held || held.value() == 0 || each.digest == current->digest,
+            require(each.version != newest || newest.value() == 0 || each.digest == current->digest,
                     "held text");
         }
-        m_lastHeld = held;
+        m_lastNewest = newest;
     }
 
     const Stream &m_stream;
     std::unique_ptr<IConfigurationStateMachine> m_stateMachine;
-    ConfigurationVersion m_lastHeld;
+    ConfigurationVersion m_lastNewest;
     std::string m_violation;
 };
 
@@ -205,7 +205,7 @@
     for (int step = 0; step < 120; ++step) {
         const std::uint64_t kind = random.below(12);
         if (kind == 0) {
-            reader.learn(random.below(stream.end() + 1), random.below(2) == 0);
+            reader.adoptFromPeer(random.below(stream.end() + 1), random.below(2) == 0);
         } else if (kind == 1) {
             first += random.below(std::min<std::uint64_t>(stream.end() - first, 4) + 1);
             reader.forgetBefore(first);
@@ -218,7 +218,7 @@
     return reader.violation();
 }
 
-bool holdsFor(const MakeStateMachine &makeStateMachine)
+bool checkProperty(const MakeStateMachine &makeStateMachine)
 {
     rc::detail::TestMetadata metadata;
     metadata.id = "ConfigurationFold";
@@ -246,37 +246,37 @@
         m_next = std::max(m_next, LogOffset(offset.value() + 1));
         const bool isSnapshot = record.kind == ConfigurationRecord::Kind::Snapshot;
         const bool isNext =
-            isSnapshot ? record.base > m_held.version : record.base == m_held.version;
+            isSnapshot ? record.base > m_newest.version : record.base == m_newest.version;
         if (!isNext || record.digest != configurationDigest(record.inventory, record.rules)) {
             return isNext ? ApplyResult::Malformed : ApplyResult::Conflict;
         }
-        m_held = { ConfigurationVersion(record.base.value() + (isSnapshot ? 0 : 1)),
-                   record.changeId,
-                   record.digest,
-                   record.inventory,
-                   record.rules,
-                   {},
-                   {} };
+        m_newest = { ConfigurationVersion(record.base.value() + (isSnapshot ? 0 : 1)),
+                     record.changeId,
+                     record.digest,
+                     record.inventory,
+                     record.rules,
+                     {},
+                     {} };
         return ApplyResult::Accepted;
     }
     void forgetBefore(LogOffset) override { }
     void skip(LogOffset) override { }
     bool adopt(const AcceptedConfiguration &accepted) override
     {
-        if (accepted.version <= m_held.version) {
+        if (accepted.version <= m_newest.version) {
             return false;
         }
-        m_held = accepted;
+        m_newest = accepted;
         return true;
     }
     std::vector<DeferredResult> takeDeferredResults() override { return {}; }
-    const AcceptedConfiguration *current() const override { return &m_held; }
+    const AcceptedConfiguration *current() const override { return &m_newest; }
     const AcceptedConfiguration *logState() const override { return nullptr; }
     LogOffset nextOffset() const override { return m_next; }
     LogOffset anchor() const override { return {}; }
 
 private:
-    AcceptedConfiguration m_held;
+    AcceptedConfiguration m_newest;
     LogOffset m_next;
 };
 
@@ -303,7 +303,7 @@
     }
 };
 
-TEST(ConfigurationStateMachine, OneOfRacingOperatorsWins)
+TEST(ConfigurationStateMachine, OneOfConcurrentChangesIsAccepted)
 {
     CHECK(apply(0, makeChange(0, "a")) == ApplyResult::Accepted);
     CHECK(apply(1, makeChange(1, "b")) == ApplyResult::Accepted);
@@ -313,7 +313,7 @@
     CHECK_EQUAL(2, version());
 }
 
-TEST(ConfigurationStateMachine, DamagedTextChangesNothing)
+TEST(ConfigurationStateMachine, CorruptRecordIsRejected)
 {
     ConfigurationRecord record = makeChange(0, "a");
     record.rules += "x";
@@ -325,7 +325,7 @@
 // 1. This daemon learns version 5 from a peer, before it has read the log that far.
 // 2. A change that names base 5 lies in the log before version 5 came to be, and lost there.
 // If the daemon judged by what it holds, it alone would make that change version 6.
-TEST(ConfigurationStateMachine, PeersVersionDoesNotJudgeOlderRecords)
+TEST(ConfigurationStateMachine, AdoptedVersionDoesNotAffectOlderRecords)
 {
     apply(0, makeChange(0, "a"));
     CHECK(m_stateMachine->adopt(acceptedAs(5, "peer")));
@@ -336,7 +336,7 @@
 
 // A fresh host starts after retention took the beginning. A snapshot that lies behind a change was
 // written by a daemon that had not read the change. Taking it at face value would undo the change.
-TEST(ConfigurationStateMachine, OutdatedSnapshotCountsFromItsPosition)
+TEST(ConfigurationStateMachine, OutdatedSnapshotAppliesAtItsPosition)
 {
     CHECK(apply(7, makeChange(3, "d")) == ApplyResult::Deferred);
     const ConfigurationRecord snapshot = makeSnapshot(acceptedAs(3, "c"), 7);
@@ -348,7 +348,7 @@
     CHECK(apply(9, makeChange(3, "e")) == ApplyResult::Conflict);
 }
 
-TEST(ConfigurationStateMachine, SnapshotOfForgottenPositionIsHeldButDoesNotJudge)
+TEST(ConfigurationStateMachine, SnapshotOfTruncatedPositionDoesNotRestoreLogState)
 {
     CHECK(apply(8, makeSnapshot(acceptedAs(3, "c"), 7)) == ApplyResult::Accepted);
     CHECK_EQUAL(3, version());
@@ -358,7 +358,7 @@
 
 // A fresh host while the log is down: it has the version and the position from a peer. When the log
 // is back, its first records were forgotten, but the position lies behind them.
-TEST(ConfigurationStateMachine, PeersPositionBridgesForgottenRecords)
+TEST(ConfigurationStateMachine, PeerPositionBridgesTruncatedRecords)
 {
     AcceptedConfiguration fromPeer = acceptedAs(4, "d");
     fromPeer.position = LogOffset(20);
@@ -367,18 +367,18 @@
     CHECK_EQUAL(5, version());
 }
 
-TEST(ConfigurationStateMachine, AgreesWithTheWholeStreamFromAnyStart)
+TEST(ConfigurationStateMachine, MatchesFullReplayFromAnyStart)
 {
-    CHECK(holdsFor(makeConfigurationStateMachine));
+    CHECK(checkProperty(makeConfigurationStateMachine));
 }
 
-TEST(ConfigurationStateMachine, NaiveFoldIsCaught)
+TEST(ConfigurationStateMachine, PropertyRejectsNaiveStateMachine)
 {
-    std::size_t caught = 0;
+    std::size_t detected = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
-        caught += findViolation(seed, [] { return std::make_unique<NaiveStateMachine>(); }).empty()
-            ? 0
-            : 1;
+        detected +=
+            findViolation(seed, [] { return std::make_unique<NaiveStateMachine>(); }).empty() ? 0
+                                                                                              : 1;
     }
-    CHECK(caught > 0);
+    CHECK(detected > 0);
 }
--- a/src/coordination/configuration/tests/freshnesstest.cpp
+++ b/src/coordination/configuration/tests/freshnesstest.cpp
@@ -17,21 +17,21 @@
     TimePoint m_now{ seconds(50) };
 };
 
-TEST(Freshness, WaitsAddUpToTheTimeInWhichAChangeIsInForce)
+TEST(Freshness, WorstCaseDelayStaysWithinApplyDeadline)
 {
     CHECK(m_options.maxAge() + m_options.readTimeout + m_options.margin <= m_options.applyWithin);
     // After the log answers again: the read that was lost meanwhile, or the longest pause.
     CHECK(std::max(m_options.readTimeout, m_options.maxRetryInterval) <= m_options.applyWithin);
 }
 
-TEST(Freshness, ADaemonThatKnowsNothingReadsAtOnce)
+TEST(Freshness, ReadsAtOnceWithoutConfirmation)
 {
     CHECK(m_freshness.nextRead() <= m_now);
     CHECK(m_freshness.isStale(m_now));
     CHECK_FALSE(m_freshness.age(m_now).has_value());
 }
 
-TEST(Freshness, WhatIsKnownIsReadAgainBeforeItIsTooOld)
+TEST(Freshness, SchedulesNextReadWithinMaxAge)
 {
     std::set<TimePoint> times;
     for (int i = 0; i < 100; ++i) {
@@ -45,7 +45,7 @@
     CHECK(times.size() > 90);
 }
 
-TEST(Freshness, OlderNewsChangeNothing)
+TEST(Freshness, OlderConfirmationIsIgnored)
 {
     m_freshness.confirm(m_now, m_now, m_random);
     const TimePoint next = m_freshness.nextRead();
@@ -55,13 +55,13 @@
 
 // Guards against a peer whose clock runs ahead, after whose word the log would not be read for
 // long.
-TEST(Freshness, NobodyKnowsTheFuture)
+TEST(Freshness, FutureConfirmationIsClampedToNow)
 {
     m_freshness.confirm(m_now, m_now + seconds(60), m_random);
     CHECK(m_freshness.nextRead() <= m_now + m_options.maxAge());
 }
 
-TEST(Freshness, WhoIsBehindReadsAtOnce)
+TEST(Freshness, ReadsAtOnceAfterExpiry)
 {
     m_freshness.confirm(m_now, m_now, m_random);
     m_freshness.expire();
@@ -71,7 +71,7 @@
 }
 
 // Guards against a daemon that follows too late because of one connection that went silent.
-TEST(Freshness, TheReadAfterALostOneBeginsAtOnce)
+TEST(Freshness, FirstRetryIsImmediate)
 {
     m_freshness.confirm(m_now, m_now, m_random);
     const TimePoint startedAt = m_freshness.nextRead();
@@ -79,7 +79,7 @@
     CHECK(m_freshness.nextRead() <= startedAt);
 }
 
-TEST(Freshness, PausesGrowUpToTheLongest)
+TEST(Freshness, RetryIntervalsGrowToTheMaximum)
 {
     for (int i = 0; i < 20; ++i) {
         m_freshness.onReadFailed(m_now, m_random);
--- a/src/coordination/membership/tests/membershiptest.cpp
+++ b/src/coordination/membership/tests/membershiptest.cpp
@@ -12,7 +12,7 @@
 const char *const DOMAINS[] = { "fortitude-hall", "southbank-hall", "coorparoo-dc", "eagle-farm" };
 
 /// Daemons in four failure domains, all of which know the first one as their seed.
-void startAll(MembershipSimulation &simulation, std::size_t count)
+void startMembers(MembershipSimulation &simulation, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
         simulation.start(DOMAINS[i % 4], i == 0 ? MembershipSimulation::NONE : 0);
@@ -34,21 +34,21 @@
 
 TEST_GROUP(Membership){};
 
-TEST(Membership, DaemonsThatStartTogetherFindEachOther)
+TEST(Membership, ConcurrentStartsConvergeOnOneMemberList)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         MembershipSimulation simulation(seed);
-        startAll(simulation, 48);
+        startMembers(simulation, 48);
     }
 }
 
 // A host loses power while others work. Nobody is told; its pings are not answered, others are
 // asked to ping it, and it cannot refute the suspicion. Every daemon stops offering it work.
-TEST(Membership, CrashIsNoticedByAll)
+TEST(Membership, CrashIsDetectedByAllMembers)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         MembershipSimulation simulation(seed);
-        startAll(simulation, 32);
+        startMembers(simulation, 32);
         simulation.crash(7);
         const Duration limit = 25s;
         CHECK(simulation.runUntil([&] { return simulation.agreeOn(31); }, limit) < limit);
@@ -58,11 +58,11 @@
 // A process is stopped for a minute, long past every timeout, then wakes up with all its timers
 // expired and its sockets full. It must not offer its callers "no server" because it takes everyone
 // else for dead; the others take it back within seconds.
-TEST(Membership, FrozenProcessDeclaresNobodyDead)
+TEST(Membership, ResumedProcessDeclaresNoMemberDead)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         MembershipSimulation simulation(seed);
-        startAll(simulation, 24);
+        startMembers(simulation, 24);
         simulation.freeze(3, 60s);
         simulation.run(59s);
         CHECK_FALSE(simulation.sees(5, 3));
@@ -76,11 +76,11 @@
 
 // A fifth of all messages is lost for five minutes. Suspicions come up all the time; each must be
 // refuted in time, or callers lose servers that are well.
-TEST(Membership, LossCausesNoFalseDeath)
+TEST(Membership, PacketLossCausesNoFalseDeath)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         MembershipSimulation simulation(seed);
-        startAll(simulation, 32);
+        startMembers(simulation, 32);
         simulation.setLoss(0.2);
         const std::size_t before = totalChanges(simulation);
         simulation.run(300s);
@@ -92,38 +92,38 @@
 // A failure domain is cut off for two minutes. Each side goes on with its own members. After the
 // cut both sides hold each other for dead and have stopped pinging each other; they must meet again
 // without any member of one's own side being lost on the way.
-TEST(Membership, DomainsMergeAfterPartition)
+TEST(Membership, MembersMergeAfterPartitionHeals)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         MembershipSimulation simulation(seed);
-        startAll(simulation, 32);
+        startMembers(simulation, 32);
         simulation.partition(DOMAINS[0]);
         simulation.run(120s);
         CHECK(simulation.agreeOn(8, DOMAINS[0]));
         CHECK(simulation.agreeOn(24, DOMAINS[1]));
         simulation.heal();
-        const auto isOwnSideWhole = [&] {
+        const auto isOwnPartitionComplete = [&] {
             return simulation.node(0).membership->availableMembers().size() >= 8
                 && simulation.node(1).membership->availableMembers().size() >= 24;
         };
-        bool isWhole = true;
+        bool isComplete = true;
         const Duration limit = 60s;
         const auto isMerged = [&] {
-            isWhole = isWhole && isOwnSideWhole();
+            isComplete = isComplete && isOwnPartitionComplete();
             return simulation.agreeOn(32);
         };
         CHECK(simulation.runUntil(isMerged, limit) < limit);
-        CHECK(isWhole);
+        CHECK(isComplete);
     }
 }
 
 // The cut lasts longer than the dead are remembered. Only the seeds lead across.
-TEST(Membership, SeedsJoinSidesThatForgotEachOther)
+TEST(Membership, SeedsReconnectPartitionsAfterDeadMembersExpire)
 {
     MembershipOptions options;
     options.deadRetention = 60s;
     MembershipSimulation simulation(1, options);
-    startAll(simulation, 16);
+    startMembers(simulation, 16);
     simulation.partition(DOMAINS[0]);
     simulation.run(300s);
     CHECK(simulation.node(1).membership->allMembers().size() == 12);
@@ -132,26 +132,26 @@
     CHECK(simulation.runUntil([&] { return simulation.agreeOn(16); }, limit) < limit);
 }
 
-TEST(Membership, GoodbyeIsSeenAtOnceByThoseToldAndSoonByAll)
+TEST(Membership, LeaveReachesDirectReceiversAtOnceAndAllWithinSeconds)
 {
     MembershipSimulation simulation(1);
-    startAll(simulation, 64);
+    startMembers(simulation, 64);
     simulation.leave(9);
     simulation.run(5ms);
-    std::size_t told = 0;
+    std::size_t notified = 0;
     for (std::size_t i = 0; i < simulation.size(); ++i) {
-        told += i != 9 && !simulation.sees(i, 9) ? 1 : 0;
+        notified += i != 9 && !simulation.sees(i, 9) ? 1 : 0;
     }
-    CHECK(told >= 8);
+    CHECK(notified >= 8);
     const Duration limit = 5s;
     CHECK(simulation.runUntil([&] { return simulation.agreeOn(63); }, limit) < limit);
 }
 
 // A daemon is to stop once its requests are done: it says so, and goes on answering pings.
-TEST(Membership, LeavingMemberTakesNoWorkButStaysAMember)
+TEST(Membership, LeavingMemberIsUnavailableButAlive)
 {
     MembershipSimulation simulation(1);
-    startAll(simulation, 32);
+    startMembers(simulation, 32);
     Member self = simulation.node(4).record;
     self.leaving = true;
     simulation.deliver(4, simulation.node(4).membership->updateSelf(simulation.now(), self));
@@ -164,10 +164,10 @@
 }
 
 // A host is replaced: the same daemon comes back on another port before anyone noticed the crash.
-TEST(Membership, NewIncarnationReplacesTheOldRecord)
+TEST(Membership, NewIncarnationReplacesOldRecord)
 {
     MembershipSimulation simulation(1);
-    startAll(simulation, 32);
+    startMembers(simulation, 32);
     simulation.restart(6, 0);
     const auto isReplaced = [&] {
         for (std::size_t i = 0; i < simulation.size(); ++i) {
@@ -185,10 +185,10 @@
 
 // The clock of a restarted host is behind: the others hold its former run for the newer one, and
 // would ignore it for ever. It is told, and can start anew with a larger incarnation.
-TEST(Membership, DaemonLearnsThatItsIncarnationIsTooSmall)
+TEST(Membership, ReportsNewerIncarnationOfSelf)
 {
     MembershipSimulation simulation(1);
-    startAll(simulation, 8);
+    startMembers(simulation, 8);
     MembershipMessage message;
     message.sender = simulation.node(1).record.peerEndpoint;
     MemberUpdate update;
@@ -204,7 +204,7 @@
 // 1. A power failure ends all daemons. Each starts again and reads the same list of endpoints, half
 //    of which lead nowhere by now.
 // 2. Until they have found each other, callers hear that there is no server.
-TEST(Membership, DaemonsThatStartAgainTogetherFindEachOtherSoon)
+TEST(Membership, ConcurrentRestartsWithStaleSeedsConvergeQuickly)
 {
     constexpr std::size_t COUNT = 17;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -230,7 +230,7 @@
 }
 
 // The log lists a seed whose host is gone; a daemon that knows only it must not give up.
-TEST(Membership, SeedIsTriedAgainUntilItAnswers)
+TEST(Membership, SeedIsRetriedUntilItAnswers)
 {
     MembershipSimulation simulation(1);
     const std::size_t seed = simulation.start(DOMAINS[0]);
--- a/src/coordination/membership/tests/peerselectortest.cpp
+++ b/src/coordination/membership/tests/peerselectortest.cpp
@@ -41,38 +41,38 @@
         m_peerSelector.markStale();
     }
     /// How many of the next contacts are in each failure domain.
-    std::map<DomainName, int> contact(int count)
+    std::map<DomainName, int> selectMembers(int count)
     {
-        std::map<DomainName, int> contacts;
+        std::map<DomainName, int> selected;
         for (int i = 0; i < count; ++i) {
-            ++contacts[m_peerSelector.next()->member.domain];
+            ++selected[m_peerSelector.next()->member.domain];
         }
-        return contacts;
+        return selected;
     }
 };
 
 // The member itself, with which nobody speaks, is the eleventh of its domain.
-TEST(PeerSelector, EachOtherDomainHasOneTurnForARoundOfTheOwn)
+TEST(PeerSelector, SelectsOneMemberOfEachRemoteDomainPerLocalRound)
 {
     add(LOCAL, 11);
     add(REMOTE, 30);
     add(THIRD, 2);
     constexpr int ROUNDS = 100;
-    std::map<DomainName, int> contacts = contact(12 * ROUNDS);
-    LONGS_EQUAL(0, (contacts[LOCAL] - 10 * ROUNDS) / 2);
-    LONGS_EQUAL(0, (contacts[REMOTE] - ROUNDS) / 2);
-    LONGS_EQUAL(0, (contacts[THIRD] - ROUNDS) / 2);
+    std::map<DomainName, int> selected = selectMembers(12 * ROUNDS);
+    LONGS_EQUAL(0, (selected[LOCAL] - 10 * ROUNDS) / 2);
+    LONGS_EQUAL(0, (selected[REMOTE] - ROUNDS) / 2);
+    LONGS_EQUAL(0, (selected[THIRD] - ROUNDS) / 2);
 }
 
-TEST(PeerSelector, ADaemonAloneInItsDomainSpeaksWithTheOthers)
+TEST(PeerSelector, SelectsRemoteMembersWithoutLocalMembers)
 {
     add(REMOTE, 3);
-    CHECK_EQUAL(5, contact(5)[REMOTE]);
+    CHECK_EQUAL(5, selectMembers(5)[REMOTE]);
 }
 
 // 1. All others of the failure domain have died, and its ring is empty or holds the dead alone.
 // 2. The daemon still speaks with other domains; else it would be alone with a store that is down.
-TEST(PeerSelector, TheDeadAreLeftOut)
+TEST(PeerSelector, SkipsDeadMembers)
 {
     add(LOCAL, 3);
     add(REMOTE, 2);
@@ -88,7 +88,7 @@
     }
 }
 
-TEST(PeerSelector, ARoundOfPingsReachesEachNearMemberOnce)
+TEST(PeerSelector, PingRoundVisitsEachLocalMemberOnce)
 {
     add(LOCAL, 9);
     std::set<DaemonId> pinged;
@@ -99,7 +99,7 @@
 }
 
 // The first round too: a domain that is lost while all are young must be noticed from outside.
-TEST(PeerSelector, PingsOfOtherDomainsTakeTheirTurnFromTheFirst)
+TEST(PeerSelector, FirstPingRoundIncludesRemoteDomains)
 {
     add(LOCAL, 50);
     add(REMOTE, 50);
@@ -110,7 +110,7 @@
     CHECK_EQUAL(1, remote);
 }
 
-TEST(PeerSelector, NobodyIsThere)
+TEST(PeerSelector, SelectsNothingFromAnEmptyTable)
 {
     CHECK(m_peerSelector.next() == nullptr);
     CHECK(m_peerSelector.nextToPing(m_random) == nullptr);
@@ -123,7 +123,7 @@
     SeededRandom m_random{ 4 };
     SeedList m_seeds{ LOCAL, 4 };
 
-    std::set<Endpoint> chosen(bool isRemoteAllowed)
+    std::set<Endpoint> chooseRepeatedly(bool isRemoteAllowed)
     {
         std::set<Endpoint> endpoints;
         for (int i = 0; i < 50; ++i) {
@@ -135,7 +135,7 @@
     }
 };
 
-TEST(SeedList, AsksItsOwnDomainUnlessOthersAreWanted)
+TEST(SeedList, SelectsRemoteSeedsOnlyIfAllowed)
 {
     const Endpoint local{ "10.0.0.1", 1 };
     const Endpoint remote{ "10.0.0.1", 2 };
@@ -143,36 +143,36 @@
     m_seeds.add({ local, LOCAL });
     m_seeds.add({ remote, REMOTE });
     m_seeds.add({ unknown, DomainName() });
-    CHECK(chosen(false) == (std::set<Endpoint>{ local, unknown }));
-    CHECK(chosen(true) == (std::set<Endpoint>{ local, remote, unknown }));
+    CHECK(chooseRepeatedly(false) == (std::set<Endpoint>{ local, unknown }));
+    CHECK(chooseRepeatedly(true) == (std::set<Endpoint>{ local, remote, unknown }));
     CHECK_EQUAL(1, m_seeds.localCount());
 }
 
-TEST(SeedList, AsksThoseWhoHaveNotSpokenFirst)
+TEST(SeedList, PrefersUncontactedSeeds)
 {
     const Endpoint first{ "10.0.0.1", 1 };
     const Endpoint second{ "10.0.0.1", 2 };
     m_seeds.add({ first, LOCAL });
     m_seeds.add({ second, LOCAL });
     m_seeds.markContacted(first);
-    CHECK(chosen(false) == std::set<Endpoint>{ second });
+    CHECK(chooseRepeatedly(false) == std::set<Endpoint>{ second });
     m_seeds.markContacted(second);
     CHECK_FALSE(m_seeds.hasUncontacted());
-    CHECK_EQUAL(2, chosen(false).size());
+    CHECK_EQUAL(2, chooseRepeatedly(false).size());
 }
 
-TEST(SeedList, LeavesOutWhoIsKnownToBeUp)
+TEST(SeedList, SkipsSeedsOfLiveMembers)
 {
     const MemberEntry up = makeEntry(LOCAL, 1);
     m_table.put(up);
     m_seeds.add({ up.member.peerEndpoint, LOCAL });
-    CHECK(chosen(true).empty());
+    CHECK(chooseRepeatedly(true).empty());
 }
 
-TEST(SeedList, IsBounded)
+TEST(SeedList, HoldsAtMostTheConfiguredNumberOfSeeds)
 {
     for (std::uint16_t port = 1; port < 10; ++port) {
         m_seeds.add({ Endpoint{ "10.0.0.1", port }, LOCAL });
     }
-    CHECK_EQUAL(4, chosen(true).size());
+    CHECK_EQUAL(4, chooseRepeatedly(true).size());
 }
