--- a/src/coordination/membership/imembership.h
+++ b/src/coordination/membership/imembership.h
@@ -17,7 +17,7 @@
     MemberHealth health = MemberHealth::Alive;
 };
 
-/// Where to look for a daemon.
+/// An endpoint at which a daemon may be found.
 struct MembershipSeed
 {
     Endpoint endpoint;
@@ -25,7 +25,7 @@
     DomainName domain;
 };
 
-/// A message for another daemon's membership object.
+/// An outgoing message for the membership object of another daemon.
 struct MembershipDatagram
 {
     /// Empty when only the endpoint is known (a seed).
@@ -37,36 +37,39 @@
 struct MembershipActions
 {
     std::vector<MembershipDatagram> send;
-    /// The set of members that take work, or a record of one, changed.
+    /// The set of available members, or a record of one, changed.
     bool changed = false;
-    /// Another process runs under this daemon's id with this larger incarnation. Within the first
-    /// seconds after the start it is this host's previous run under a clock that was ahead: start
-    /// anew with a larger incarnation. Later it is a second daemon with the same id: stop.
+    /// Another process uses this daemon's id with this larger incarnation. In the first seconds
+    /// after the start it is the previous run of this daemon, started while the clock was ahead:
+    /// restart with a larger incarnation. Later it is a second daemon with the same id: stop.
     std::optional<Incarnation> conflictingIncarnation;
 };
 
-/// Who is there. Failure detection and spreading by gossip; times only the observer's own clock.
-/// Plain object: the control thread carries the messages. docs/notes/membership.md has the reasons.
+/// Group membership with failure detection and gossip dissemination, after SWIM. Uses only the
+/// observer's own clock. Does no I/O: the caller transports the messages. Not thread-safe.
+/// docs/notes/membership.md has the reasons.
 class IMembership
 {
 public:
     virtual ~IMembership() = default;
 
-    /// This daemon's own record changed (upstreams, draining, leaving). The counter is kept here;
-    /// that of `self` is ignored.
+    /// Replaces this daemon's own record (upstreams, draining, leaving). The id, incarnation and
+    /// counter of `self` are ignored.
     virtual MembershipActions updateSelf(TimePoint now, const Member &self) = 0;
-    /// Says goodbye to some members, who tell the others. The process may end once it is sent.
+    /// Announces the departure to some members, which gossip it to the others. The process may end
+    /// once the messages are sent.
     virtual MembershipActions leave(TimePoint now) = 0;
-    /// From the settings or the log.
+    /// Adds an endpoint from the settings or the log to contact.
     virtual MembershipActions addSeed(TimePoint now, const MembershipSeed &seed) = 0;
     virtual MembershipActions receive(TimePoint now, const DaemonId &from,
                                       const MembershipMessage &message) = 0;
-    /// A link to the daemon could not be opened or was lost.
+    /// A link to the daemon could not be opened or was lost; probes the daemon.
     virtual MembershipActions onUnreachable(TimePoint now, const DaemonId &daemon) = 0;
-    /// To be called every `MembershipOptions::gossipInterval`.
+    /// Runs the timers. Must be called every `MembershipOptions::gossipInterval`.
     virtual MembershipActions tick(TimePoint now, IRandom &random) = 0;
-    /// Members that take work: alive or suspect, without those leaving. Includes this daemon.
+    /// Members that accept work: alive or suspect, and not leaving. Includes this daemon.
     virtual std::vector<Member> availableMembers() const = 0;
+    /// All known members, including this daemon and those that are dead or have left.
     virtual std::vector<MemberStatus> allMembers() const = 0;
 };
 
--- a/src/coordination/membership/internal/membership.cpp
+++ b/src/coordination/membership/internal/membership.cpp
@@ -10,24 +10,26 @@
 
 constexpr std::size_t MIN_SENDS = 4;
 constexpr double MIN_SUSPICION_PERIODS = 3;
-/// Doubts checked per tick: after a partition there may be hundreds, and each costs a ping.
+/// Members reported dead that are pinged per tick. After a partition there may be hundreds.
 constexpr std::size_t VERIFICATIONS_PER_TICK = 2;
 constexpr int FINAL_PROBE_PERIODS = 3;
 constexpr std::size_t LEAVE_RECEIVERS = 8;
 constexpr std::uint64_t RECONTACTS_PER_SEED_CONTACT = 6;
-/// Daemons of a failure domain that exchange whole records with another one at a time.
+/// Mean number of daemons of a large failure domain that exchange records with a remote domain at a
+/// time.
 constexpr double REMOTE_SYNCS = 4;
-/// Others in a failure domain up to which each of them exchanges with other domains: as much is
-/// said in a large one by a few.
+/// Up to this number of other local members, every daemon exchanges records with remote domains. In
+/// a larger domain a few do so for all.
 constexpr std::size_t SMALL_DOMAIN = 8;
-/// A daemon that found nobody for so long asks any seed, near or far.
+/// A daemon that found no other member within this time contacts seeds of any failure domain.
 constexpr Duration ISOLATION_TIMEOUT{ std::chrono::milliseconds(600) };
-/// Seeds that a joining daemon asks at a time.
+/// Seeds that a joining daemon contacts at a time.
 constexpr std::size_t JOIN_SEEDS = 3;
-/// A daemon that runs for less than this exchanges at each difference.
+/// In this time after the start a daemon requests an exchange as soon as digests differ.
 constexpr Duration STARTUP_TIME{ std::chrono::seconds(5) };
+/// In this time after the start a daemon contacts uncontacted seeds even if it knows other members.
 constexpr Duration JOIN_TIME{ std::chrono::seconds(30) };
-/// Last questions to suspects per tick: when a failure domain is lost there are hundreds.
+/// Final probes of suspects per tick. When a failure domain is lost there are hundreds of suspects.
 constexpr std::size_t FINAL_PROBES_PER_TICK = 8;
 
 } // namespace
@@ -90,7 +92,7 @@
     entry.since = now;
     m_table.put(entry);
     actions.changed = true;
-    // Not by the queue: its bound on sends may be smaller than the number of those to be told.
+    // Bypasses the queue, whose bound on sends may be smaller than the number of receivers.
     for (const MemberEntry *receiver : m_peerSelector.next(LEAVE_RECEIVERS, m_self)) {
         MembershipMessage message = makeMessage(GossipMessage());
         message.updates.push_back(makeUpdate(entry, false));
@@ -126,7 +128,7 @@
     }
     if (!m_lastTick) {
         m_peerSelector.setSalt(random.next());
-        // Daemons that start together would otherwise ping in step for ever.
+        // Random phase: daemons that start together would otherwise ping in step permanently.
         m_nextPing = now + Duration(random.below(m_options.period.count()));
     }
     handleFreeze(now);
@@ -161,10 +163,9 @@
     return members;
 }
 
-/// After a freeze the acks of running probes and the refutations of suspects wait unread in the
-/// sockets, and all timers have run out. Acting on them would declare everyone dead at once. So
-/// probes are dropped, suspects get their whole time again, and nobody is suspected before what
-/// arrived meanwhile could be read.
+/// After a freeze, acks and refutations wait unread in the sockets while all timers have expired.
+/// Acting on the timers would declare all members dead at once. Therefore probes are dropped, the
+/// suspicion timeouts start anew, and no member is suspected until the backlog could be read.
 void Membership::handleFreeze(TimePoint now)
 {
     const bool wasFrozen = m_lastTick && now - *m_lastTick > m_options.freezeThreshold;
@@ -250,8 +251,8 @@
     for (const MemberEntry &entry : expired) {
         setHealth(now, entry, MemberHealth::Dead, actions);
     }
-    // A lost message must not be the last word: the observer that raised the suspicion goes on
-    // asking, and so does, before its time is over, each that may have missed the refutation.
+    // A single lost message must not decide: the observer that raised the suspicion continues to
+    // probe, and every other one, which may have missed the refutation, does so before its timeout.
     const std::size_t count = std::min(asked.size(), FINAL_PROBES_PER_TICK);
     for (std::size_t i = 0; i < count; ++i) {
         probeAgain(now, asked[(m_finalProbeCursor + i) % asked.size()], actions);
@@ -268,7 +269,7 @@
         return;
     }
     startProbe(now, id, actions);
-    // Others were asked when the suspicion came up.
+    // Indirect pings were already requested when the suspicion was raised.
     m_probes[m_lastSequence].hasSentPingRequests = true;
 }
 
@@ -314,8 +315,9 @@
     }
 }
 
-/// Another daemon holds a member for dead that is up here, as after a partition. Taking its word
-/// would remove whole failure domains when they meet again; asking the member lets it refute.
+/// Pings members that another daemon reported dead, as happens after a partition, and that are up
+/// here. Accepting the report would remove whole failure domains when a partition heals; the ping
+/// lets the member refute.
 void Membership::verifyReportedDead(TimePoint now, MembershipActions &actions)
 {
     for (std::size_t i = 0; i < VERIFICATIONS_PER_TICK && !m_reportedDead.empty(); ++i) {
@@ -325,8 +327,8 @@
         if (!entry || entry->health != MemberHealth::Alive || entry->counter > counter) {
             continue;
         }
-        // With the version that is held for dead: asked about a newer one, the member would refute
-        // once more for each daemon that asks.
+        // Carries the version that was reported dead. With a newer version, the member would issue
+        // another refutation for each daemon that pings it.
         MemberEntry reported = *entry;
         reported.counter = counter;
         reported.health = MemberHealth::Dead;
@@ -351,17 +353,17 @@
         m_divergentPeer.reset();
         return;
     }
-    // Digests differ for a few seconds with each change that spreads: only a difference that lasts
-    // is worth an exchange. A daemon that has just started cannot wait for it, even if it agrees
-    // with another: where all have just started, both know but a part.
+    // Digests differ for a few seconds while a change propagates, so only a lasting difference
+    // starts an exchange. A daemon that has just started does not wait, even if its digest agrees
+    // with that of another: if all have just started, both may know only a part of the members.
     const bool isStartingUp = now < m_start + STARTUP_TIME;
     const bool isSettled = now - m_divergentPeer->since >= 2 * m_options.syncInterval;
     if (m_hasConverged && !isStartingUp && !isSettled) {
         return;
     }
     m_nextSync = now + (isStartingUp ? m_seedInterval : syncPause());
-    // Two failure domains that differ do so in all their members. A few of them exchange; the
-    // others have it from these within their own.
+    // If two failure domains diverge, all their members do. A few of them exchange records and
+    // propagate the result within their own domain.
     if (!m_peerSelector.isLocal(m_divergentPeer->id) && random.unit() >= remoteSyncChance()) {
         return;
     }
@@ -377,8 +379,9 @@
     return m_hasConverged ? m_options.syncInterval : m_options.period;
 }
 
-/// Two sides of a partition hold each other for dead, and nobody pings the dead in turn. Trying one
-/// now and then joins them again; the same goes for seeds, when the dead have been forgotten.
+/// The sides of a partition consider each other dead, and dead members are not in the ping round.
+/// Pinging a random dead member from time to time merges the sides again. Seeds serve the same
+/// purpose once the dead members have been evicted.
 void Membership::recontact(TimePoint now, IRandom &random, MembershipActions &actions)
 {
     if (now >= m_nextSeed) {
@@ -405,12 +408,13 @@
     }
 }
 
-/// After a power failure all daemons seek each other at once, and until they have, requests meet no
-/// server. So the first questions go to several seeds, in short intervals that grow.
+/// After a power failure all daemons join at once, and requests find no server until they have
+/// found each other. Therefore several seeds are contacted at a time, at intervals that start short
+/// and grow.
 void Membership::joinThroughSeeds(TimePoint now, IRandom &random, MembershipActions &actions)
 {
     m_nextSeed = now + m_seedInterval;
-    // A daemon that others found first still asks its seeds: they may not know each other.
+    // A daemon that others found first still contacts its seeds: they may not know each other.
     const bool isJoining = now < m_start + JOIN_TIME && m_seeds.hasUncontacted();
     if (!isJoining && m_table.upCount() > 1) {
         return;
@@ -423,8 +427,8 @@
     }
 }
 
-/// Asks a seed of the own failure domain, now and then one of another: when all start at once each
-/// answer is a whole table.
+/// Prefers seeds of the local failure domain and contacts remote ones only occasionally: when all
+/// daemons start at once, each answer is a whole table.
 void Membership::contactSeed(TimePoint now, IRandom &random, MembershipActions &actions)
 {
     const bool isIsolated = m_table.upCount() <= 1 && now >= m_start + ISOLATION_TIMEOUT;
@@ -440,7 +444,7 @@
     send(DaemonId(), *seed, std::move(message), actions);
 }
 
-/// Of the exchanges that a daemon could have with another failure domain, those that it has.
+/// Probability with which this daemon makes a possible exchange with a remote failure domain.
 double Membership::remoteSyncChance() const
 {
     const std::size_t local = std::max(m_peerSelector.localCount(), m_seeds.localCount());
--- a/src/coordination/membership/internal/membership.h
+++ b/src/coordination/membership/internal/membership.h
@@ -32,26 +32,27 @@
     std::vector<MemberStatus> allMembers() const override;
 
 private:
-    /// A ping of ours that waits for its ack.
+    /// A ping of this daemon whose ack is pending.
     struct Probe
     {
         DaemonId target;
         TimePoint start;
         bool hasSentPingRequests = false;
     };
-    /// A ping sent for another member.
+    /// An indirect ping sent on request of another member.
     struct Relay
     {
         DaemonId requester;
         std::uint64_t requesterSequence = 0;
         TimePoint start;
     };
-    /// A member whose digest differed from ours when it last spoke.
+    /// A member whose last message had a different digest.
     struct DivergentPeer
     {
         DaemonId id;
         Endpoint endpoint;
         std::uint64_t digest = 0;
+        /// Start of the current divergence, which may have begun with another member.
         TimePoint since;
     };
     enum class Source { Gossip, Sync };
@@ -97,7 +98,7 @@
     void startProbe(TimePoint now, const DaemonId &target, MembershipActions &actions);
     void sendPing(const MemberEntry &target, std::uint64_t sequence, MembershipActions &actions);
     void sendPingRequests(const Probe &probe, std::uint64_t sequence, MembershipActions &actions);
-    /// With updates that are to be spread.
+    /// Takes updates from the queue into the message.
     MembershipMessage makeMessage(MembershipBody body);
     MembershipMessage makeEmptyMessage(MembershipBody body) const;
     void send(const DaemonId &to, const Endpoint &endpoint, MembershipMessage message,
@@ -119,13 +120,13 @@
     std::map<std::uint64_t, Probe> m_probes;
     std::map<std::uint64_t, Relay> m_relays;
     std::uint64_t m_lastSequence = 0;
-    /// Members that another daemon holds for dead at a version, and this one does not.
+    /// Members, with their counter, that another daemon reported dead and that are up here.
     std::deque<std::pair<DaemonId, std::uint64_t>> m_reportedDead;
 
     PeerSelector m_peerSelector;
     SeedList m_seeds;
     std::optional<DivergentPeer> m_divergentPeer;
-    /// The digest has agreed with another member's at least once.
+    /// The digest was equal to that of another member at least once.
     bool m_hasConverged = false;
 
     std::optional<TimePoint> m_lastTick;
@@ -133,7 +134,7 @@
     TimePoint m_nextPing;
     TimePoint m_nextSync;
     TimePoint m_nextSeed;
-    /// Until the next seed is asked; grows while others are sought.
+    /// Interval between contacts of seeds; grows up to one period while joining.
     Duration m_seedInterval;
     TimePoint m_nextRecontact;
     TimePoint m_graceEnd;
--- a/src/coordination/membership/internal/membershipexchange.cpp
+++ b/src/coordination/membership/internal/membershipexchange.cpp
@@ -1,4 +1,4 @@
-// The part of Membership that makes and takes messages.
+// The part of Membership that composes and handles messages.
 #include <algorithm>
 #include <unordered_map>
 #include <utility>
@@ -11,8 +11,8 @@
 
 constexpr std::size_t MAX_REPORTED_DEAD = 512;
 constexpr std::size_t MAX_RELAYS = 256;
-/// Records given to anyone who asks, even when the bytes for exchanges are spent: enough to find
-/// others to ask.
+/// Records sent on request even if the sync budget is exhausted: enough for the requester to find
+/// other members to ask.
 constexpr std::size_t MIN_SYNC_BYTES = 2048;
 
 } // namespace
@@ -42,7 +42,8 @@
     }
     const MemberEntry *known = m_table.find(update.id);
     if (update.health == MemberHealth::Dead && known && isUp(known->health)) {
-        // See verifyReportedDead(). Only the observer's own timer declares a member dead.
+        // Only this daemon's own suspicion timeout declares a member dead; see
+        // verifyReportedDead().
         const bool isSameRun = known->member.incarnation == update.incarnation;
         const auto report = std::make_pair(update.id, update.counter);
         const bool isNew =
@@ -103,8 +104,8 @@
     if (update.record) {
         return update.record->peerEndpoint.port != 0;
     }
-    // Without the record the version must not be taken over: the digests would agree, and nobody
-    // would notice that the record is missing here. Anti-entropy brings it.
+    // Without the record the version must not be accepted: the digests would agree, and the missing
+    // record would go unnoticed. An anti-entropy exchange delivers it.
     return known && known->member.incarnation == update.incarnation
         && known->member.counter == update.recordCounter && known->member.peerEndpoint.port != 0;
 }
@@ -126,7 +127,7 @@
     }
 }
 
-/// Outdoes what others believe of this daemon up to version `counter`.
+/// Publishes a version of this daemon's own state that supersedes all up to `counter`.
 void Membership::refute(std::uint64_t counter)
 {
     MemberEntry entry = self();
@@ -156,7 +157,7 @@
                         const PingMessage &ping, MembershipActions &actions)
 {
     if (ping.target != m_self) {
-        // The endpoint has a new owner; the sender learns of it and goes on by itself.
+        // The endpoint now belongs to this daemon. No ack: the ping of the former owner times out.
         MembershipMessage reply = makeMessage(GossipMessage());
         reply.updates.push_back(makeUpdate(self(), true));
         send(from, message.sender, std::move(reply), actions);
@@ -219,8 +220,8 @@
 void Membership::handle(TimePoint /*now*/, const DaemonId &from, const MembershipMessage &message,
                         const GossipMessage & /*gossip*/, MembershipActions &actions)
 {
-    // A member that this daemon holds for dead speaks: telling it lets it refute. Suspects are told
-    // by the suspicion that spreads.
+    // Tells a sender that is dead here, so that it can refute. A suspect learns of the suspicion by
+    // gossip.
     const MemberEntry *sender = m_table.find(from);
     if (!sender || sender->health != MemberHealth::Dead) {
         return;
@@ -274,7 +275,8 @@
     if (reply.covered == 0) {
         return;
     }
-    // The other direction of the exchange: what is newer here. Its `covered` is 0, which ends it.
+    // Second direction of the exchange: sends what is newer here. Its `covered` of 0 ends the
+    // exchange.
     SyncReplyMessage back;
     const std::size_t allowed = refillSyncBudget(now);
     std::size_t bytes = 0;
@@ -305,14 +307,14 @@
 {
     if (message.digest == m_table.digest()) {
         m_hasConverged = true;
-        // Agreement with one member says nothing of the others: a small group that agrees among
-        // itself would never look further.
+        // Agreement with one member does not imply agreement with the others: a small group with
+        // equal digests would otherwise never exchange with the rest.
         if (m_divergentPeer && m_divergentPeer->id == from) {
             m_divergentPeer.reset();
         }
         return;
     }
-    // An exchange within the failure domain comes first.
+    // An exchange within the local failure domain has priority.
     if (m_divergentPeer && m_peerSelector.isLocal(m_divergentPeer->id)
         && !m_peerSelector.isLocal(from)) {
         return;
@@ -337,7 +339,7 @@
     ping.targetCounter = target.counter;
     ping.targetHealth = target.health;
     if (target.health != MemberHealth::Alive) {
-        // Most of these get no answer. Updates that they carry would be lost, and count as spread.
+        // Most of these pings get no answer; updates in them would be lost but counted as sent.
         send(target.member.id, target.member.peerEndpoint, makeEmptyMessage(std::move(ping)),
              actions);
         return;
--- a/src/coordination/membership/internal/membertable.h
+++ b/src/coordination/membership/internal/membertable.h
@@ -11,16 +11,16 @@
 
 namespace ivyspar {
 
-/// What this observer holds of one daemon.
+/// State of one member as seen by this daemon.
 struct MemberEntry
 {
     Member member;
     MemberHealth health = MemberHealth::Alive;
-    /// Version within the incarnation; `member.counter` is the version at which the record changed.
+    /// Version within the incarnation; `member.counter` is the version of the last record change.
     std::uint64_t counter = 0;
-    /// When this observer saw the health change.
+    /// When this daemon recorded the current health; set anew for suspects after a freeze.
     TimePoint since;
-    /// The suspicion came from a probe of this observer.
+    /// The suspicion was raised by a failed probe of this daemon.
     bool isSuspectedByOwnProbe = false;
 };
 
@@ -29,7 +29,7 @@
     return health == MemberHealth::Alive || health == MemberHealth::Suspect;
 }
 
-/// The members by id, with a digest over the versions of those that are up.
+/// Members by id, with a digest over the versions of the members that are up.
 class MemberTable
 {
 public:
@@ -38,21 +38,22 @@
     using Entries = std::unordered_map<DaemonId, MemberEntry>;
 
     const MemberEntry *find(const DaemonId &id) const;
-    /// Inserts or replaces the entry of that id and keeps the digest in step.
+    /// Inserts or replaces the entry and updates the digest.
     void put(MemberEntry entry);
     void erase(const DaemonId &id);
 
     const Entries &entries() const { return m_entries; }
-    /// Ids of the members that are suspect, dead or inactive: few, while the timers look at them
-    /// often.
+    /// Ids of the members that are suspect, dead or have left. Indexed because the timers iterate
+    /// over them often, and they are few.
     const std::set<DaemonId> &notAlive() const { return m_notAlive; }
-    /// Number of members that are up.
+    /// Number of members that are alive or suspect.
     std::size_t upCount() const { return m_upCount; }
     std::uint64_t digest() const { return m_digest; }
     const Buckets &buckets() const { return m_buckets; }
     static std::size_t bucketOf(const DaemonId &id);
 
 private:
+    /// Adds the entry to the digests, or removes it from them.
     void toggle(const MemberEntry &entry);
 
     Entries m_entries;
@@ -62,13 +63,13 @@
     std::size_t m_upCount = 0;
 };
 
-/// The update that tells another daemon of the entry, with or without the record.
+/// Update that announces the entry, with or without the record.
 MemberUpdate makeUpdate(const MemberEntry &entry, bool withRecord);
 
-/// True when `update` is newer than `entry`.
+/// Compares by incarnation, counter and health, in this order.
 bool isNewer(const MemberUpdate &update, const MemberEntry &entry);
 
-/// About the bytes that the update takes in a message.
+/// Approximate encoded size of the update in bytes.
 std::size_t estimateBytes(const MemberUpdate &update);
 
 } // namespace ivyspar
--- a/src/coordination/membership/internal/peerselector.cpp
+++ b/src/coordination/membership/internal/peerselector.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Messages to each other failure domain while each member of the own one gets one.
+/// Messages to each remote failure domain per round over the local members.
 constexpr double MESSAGES_PER_REMOTE_DOMAIN = 1;
 
 } // namespace
@@ -30,7 +30,8 @@
             m_rings[entry.member.domain].push_back(id);
         }
     }
-    // The table's order is the same in all daemons that learnt of the members in the same order.
+    // Salted shuffle: the iteration order of the table is the same in all daemons that learned of
+    // the members in the same order.
     for (auto &[domain, ring] : m_rings) {
         std::sort(ring.begin(), ring.end());
         std::uint64_t state = m_salt;
@@ -124,8 +125,8 @@
     return local == m_rings.end() ? 0 : local->second.size();
 }
 
-/// Of the messages to others, those that leave the failure domain. A large one has more members to
-/// tell at home, and as many to tell others.
+/// Share of the messages that go to remote failure domains. It falls with the size of the local
+/// domain: each member has more local members to reach, and more members share the remote ones.
 double PeerSelector::remoteShare() const
 {
     const auto local = static_cast<double>(localCount());
@@ -144,7 +145,7 @@
     return true;
 }
 
-/// Takes the other failure domains in turn.
+/// Cycles through the remote failure domains.
 const MemberEntry *PeerSelector::nextRemote()
 {
     for (std::size_t tried = 0; tried <= m_rings.size(); ++tried) {
@@ -166,7 +167,7 @@
     return nullptr;
 }
 
-/// Null when the next one there is not up.
+/// Null if the next member of the ring is not up.
 const MemberEntry *PeerSelector::nextIn(const DomainName &domain)
 {
     const auto ring = m_rings.find(domain);
--- a/src/coordination/membership/internal/seedlist.cpp
+++ b/src/coordination/membership/internal/seedlist.cpp
@@ -48,7 +48,7 @@
     return found;
 }
 
-/// One whose failure domain is not known may be near.
+/// A seed of unknown failure domain is treated as local.
 bool SeedList::isLocal(const DomainName &domain) const
 {
     return domain.value().empty() || domain == m_domain;
--- a/src/coordination/membership/internal/seedlist.h
+++ b/src/coordination/membership/internal/seedlist.h
@@ -10,24 +10,26 @@
 
 namespace ivyspar {
 
-/// Where a daemon looks for others: endpoints from the settings or the log, many of them of daemons
-/// long gone.
+/// Endpoints at which to look for other daemons, from the settings or the log. Many may belong to
+/// daemons that no longer exist.
 class SeedList
 {
 public:
     SeedList(DomainName domain, std::size_t maxSeeds);
 
+    /// Ignores the seed if its endpoint is known or the list is full.
     void add(const MembershipSeed &seed);
-    /// The daemon there spoke.
+    /// A message from the daemon at this endpoint was received.
     void markContacted(const Endpoint &endpoint) { m_uncontacted.erase(endpoint); }
     bool isEmpty() const { return m_seeds.empty(); }
-    /// Whether some have not spoken yet.
+    /// Whether there are seeds from which no message was received yet.
     bool hasUncontacted() const { return !m_uncontacted.empty(); }
-    /// Those of the own failure domain.
+    /// Number of seeds in the local failure domain.
     std::size_t localCount() const { return m_localCount; }
 
-    /// One that is not known to be up, and has not spoken yet if there is such a one: of any
-    /// failure domain, or of the own one if `isFarWanted` is false. Nothing if there is none.
+    /// A random seed that is not a member known to be up, or nothing. While there are uncontacted
+    /// seeds, only these are considered; if `isRemoteAllowed` is false, only seeds whose failure
+    /// domain is local or unknown.
     std::optional<Endpoint> choose(const MemberTable &table, bool isRemoteAllowed,
                                    IRandom &random) const;
 
--- a/src/coordination/membership/internal/updatequeue.h
+++ b/src/coordination/membership/internal/updatequeue.h
@@ -8,16 +8,16 @@
 
 namespace ivyspar {
 
-/// Updates that still have to be spread. Each is handed out a bounded number of times, those handed
-/// out least first, so that a burst of changes does not hold back the newest.
+/// Queue of updates to gossip. Each update is sent a bounded number of times, the least sent ones
+/// first, so that a burst of changes does not delay the newest.
 class UpdateQueue
 {
 public:
     bool isEmpty() const { return m_pending.empty(); }
-    /// Replaces an older update of the same daemon.
+    /// Replaces the pending update of the same daemon.
     void push(MemberUpdate update);
-    /// Takes updates for one message, up to about `maxBytes`. An update that was handed out
-    /// `maxSends` times is forgotten.
+    /// Returns the updates for one message, up to about `maxBytes` but at least one if there is
+    /// any. Drops an update after it was returned `maxSends` times.
     std::vector<MemberUpdate> take(std::size_t maxBytes, std::size_t maxSends);
 
 private:
--- a/src/coordination/membership/membershipfactory.h
+++ b/src/coordination/membership/membershipfactory.h
@@ -7,46 +7,47 @@
 
 namespace ivyspar {
 
-/// Times are of the observer's own clock. docs/notes/membership.md has the reasons.
+/// Times refer to the observer's own clock. docs/notes/membership.md has the reasons.
 struct MembershipOptions
 {
-    /// One member is pinged in each period.
+    /// Protocol period: one member is pinged per period.
     Duration period = std::chrono::seconds(1);
-    /// Time after which others are asked to ping a member that did not answer; below `period`.
+    /// Ack timeout after which indirect pings are requested; less than `period`.
     Duration ackTimeout = std::chrono::milliseconds(400);
-    /// Interval of `tick`, and of extra messages while there is something to spread.
+    /// Interval of `tick`, and of extra gossip messages while updates are pending.
     Duration gossipInterval = std::chrono::milliseconds(200);
-    /// Extra messages per gossip interval while there is something to spread.
+    /// Extra gossip messages per gossip interval while updates are pending.
     std::size_t gossipFanout = 2;
-    /// Members asked to ping one that did not answer.
+    /// Number of members that are asked to ping a member that did not answer.
     std::size_t indirectProbes = 3;
-    /// An update is sent `retransmitFactor` × log2(members) times by each daemon.
+    /// Each daemon sends an update `retransmitFactor` × log2(members) times, at least four.
     double retransmitFactor = 1.0;
-    /// A suspect has `suspicionFactor` × log2(members) periods, at least three, to refute.
+    /// Suspicion timeout in periods: `suspicionFactor` × log2(members), at least three.
     double suspicionFactor = 1.0;
-    /// Bytes of updates on one message. Bounds what a daemon sends while much changes at once:
-    /// about 12 messages a second.
+    /// Maximum bytes of updates in one message. Bounds the traffic of a daemon, about 12 messages
+    /// per second, during a burst of changes.
     std::size_t updateBytes = 700;
-    /// Full records sent by this daemon to others: refill per second, and the most at once. One
-    /// exchange stays below the latter, and that below the limit of a frame (256 KiB).
+    /// Token bucket for the records that this daemon sends in anti-entropy exchanges: refill rate
+    /// and capacity. A single exchange fits into the capacity, and that into a frame (256 KiB).
     std::size_t syncBytesPerSecond = 4096;
     std::size_t syncBurstBytes = 64 * 1024;
-    /// Smallest time between two exchanges that this daemon asks for.
+    /// Minimum interval between two anti-entropy exchanges that this daemon requests.
     Duration syncInterval = std::chrono::seconds(2);
-    /// A gap between ticks beyond this is a freeze of this process.
+    /// A longer gap between two ticks means that this process was suspended.
     Duration freezeThreshold = std::chrono::seconds(2);
-    /// How long to listen after a freeze before anyone is suspected again.
+    /// Time after a freeze during which no member is suspected or declared dead.
     Duration postFreezeGrace = std::chrono::seconds(2);
-    /// How often a dead member or a seed is tried again.
+    /// Mean interval between two attempts to reach a dead member or, less often, a seed.
     Duration recontactInterval = std::chrono::seconds(5);
-    /// How long a dead or departed member is remembered, and how many at most.
+    /// Retention of dead and departed members: by age, and by number.
     Duration deadRetention = std::chrono::minutes(30);
     std::size_t maxDead = 1024;
-    /// Bound on members taken in from others.
+    /// Together with `maxDead` bounds the number of known members.
     std::size_t maxMembers = 4096;
     std::size_t maxSeeds = 256;
 };
 
+/// `now` is the time of the start; `self` is this daemon's own record.
 std::unique_ptr<IMembership> makeMembership(TimePoint now, const Member &self,
                                             const MembershipOptions &options = {});
 
--- a/src/coordination/membership/membershipmessages.h
+++ b/src/coordination/membership/membershipmessages.h
@@ -13,13 +13,13 @@
 
 enum class MemberHealth {
     Alive,
-    Suspect, ///< Did not answer in time; still offered work until confirmed.
-    Dead,
-    Left, ///< Said goodbye.
+    Suspect, ///< Did not answer in time; still receives work until declared dead.
+    Dead, ///< Did not refute the suspicion in time.
+    Left, ///< Announced its departure.
 };
 
-/// What one daemon says of another. Of two updates the one with the larger (incarnation, counter)
-/// is newer; of two with the same version the one with the larger health.
+/// State of one member as seen by the sender. Of two updates the one with the larger version
+/// (incarnation, counter) is newer; of two with the same version the one with the larger health.
 struct MemberUpdate
 {
     DaemonId id;
@@ -29,13 +29,13 @@
     MemberHealth health = MemberHealth::Alive;
     /// The counter at which the record itself last changed.
     std::uint64_t recordCounter = 0;
-    /// Missing where the receiver is expected to have it: suspicions, deaths and refutations are
-    /// most of the traffic, and a quarter of the size without it.
+    /// Omitted if the receiver is expected to have it: suspicions, deaths and refutations are most
+    /// of the traffic, and omitting the record cuts them to a quarter of the size.
     std::optional<Member> record;
 };
 
-/// Asks for an `AckMessage`. Carries what the sender believes of the target, so that the target can
-/// refute it.
+/// Requests an `AckMessage`. Carries the state of the target as seen by the sender, so that the
+/// target can refute it.
 struct PingMessage
 {
     std::uint64_t sequence = 0;
@@ -48,11 +48,11 @@
 struct AckMessage
 {
     std::uint64_t sequence = 0;
-    /// The member that answered; differs from the sender when the answer is relayed.
+    /// The member that acknowledged; differs from the sender if the ack is relayed.
     DaemonId target;
 };
 
-/// Asks the receiver to ping `target` and to relay its answer.
+/// Requests an indirect ping: the receiver pings `target` and relays the ack.
 struct PingRequestMessage
 {
     std::uint64_t sequence = 0;
@@ -60,21 +60,22 @@
     Endpoint targetEndpoint;
 };
 
-/// Only carries updates.
+/// Carries only the updates of the enclosing message.
 struct GossipMessage
 {
 };
 
-/// Asks for the records of the buckets that differ. Both sides put a member into the bucket that
-/// the hash of its id names.
+/// Anti-entropy request for the records of the buckets that differ. A member belongs to the bucket
+/// given by the hash of its id.
 struct SyncRequestMessage
 {
+    /// Digest of each bucket of the sender.
     std::vector<std::uint64_t> buckets;
 };
 
 struct SyncReplyMessage
 {
-    /// Bit b is set when the updates hold everything that the sender knows of bucket b.
+    /// Bit b is set if `records` holds all that the sender knows of bucket b.
     std::uint64_t covered = 0;
     std::vector<MemberUpdate> records;
 };
@@ -85,9 +86,10 @@
 /// A message between the membership objects of two daemons.
 struct MembershipMessage
 {
-    /// Where the sender takes links, so that the receiver can answer before it knows the sender.
+    /// Endpoint on which the sender accepts links, so that a receiver that does not know the sender
+    /// can answer.
     Endpoint sender;
-    /// Hash over the versions of the members that the sender takes for alive or suspect.
+    /// Hash over the versions of the members that are alive or suspect for the sender.
     std::uint64_t digest = 0;
     std::vector<MemberUpdate> updates;
     MembershipBody body;
