--- a/src/coordination/configuration/configurationstatemachinefactory.h
+++ b/src/coordination/configuration/configurationstatemachinefactory.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// A fold that has read nothing: version 0 at offset 0.
+/// Initial state: version 0 at offset 0.
 std::unique_ptr<IConfigurationStateMachine> makeConfigurationStateMachine();
 
 } // namespace ivyspar
--- a/src/coordination/configuration/iconfigurationstatemachine.h
+++ b/src/coordination/configuration/iconfigurationstatemachine.h
@@ -9,19 +9,19 @@
 
 namespace ivyspar {
 
-/// A record of the configuration stream.
+/// A record of the configuration stream of the log.
 struct ConfigurationRecord
 {
     enum class Kind {
         Change, ///< A new version, accepted if `base` is the current version.
-        Snapshot, ///< The current version again, before the log forgets it.
-        Restart, ///< An operator's new beginning, when no daemon and no record was left to tell the
-                 ///< version: accepted if its version is larger than the current one.
+        Snapshot, ///< A copy of the current version, appended before the log truncates its records.
+        Restart, ///< Set by an operator if neither a daemon nor a record with the version is left:
+                 ///< accepted if its version is larger than the current one.
     };
 
     Kind kind = Kind::Change;
-    /// Chosen by the publisher, to find its record again when the append's answer was lost. In a
-    /// snapshot: the id of the change that made the version.
+    /// Chosen by the publisher to identify its record if the response to the append was lost. For a
+    /// snapshot: the id of the change that created the version.
     std::string changeId;
     /// For a change: the version that it is based on. For a snapshot or restart: the version
     /// itself.
@@ -30,17 +30,18 @@
     std::uint64_t digest = 0;
     std::string inventory;
     std::string rules;
-    /// For a snapshot: its version was the current one just before this offset. Its author had
-    /// judged the stream up to here; the snapshot itself may come to lie later.
+    /// For a snapshot: its version was current just before this offset, up to which its author had
+    /// applied the stream. The snapshot itself may be stored at a later offset.
     LogOffset position;
 };
 
 enum class ApplyResult {
     Accepted,
     Conflict, ///< `base` is not the current version.
-    Duplicate, ///< A snapshot of, or an older version than, what is held.
-    Malformed, ///< The digest does not fit the text.
-    Deferred, ///< The stream starts after records that were forgotten: wait for a snapshot.
+    Duplicate, ///< Already applied, or a snapshot that is not newer than the newest version.
+    Malformed, ///< The digest does not match the text, or a snapshot has an invalid version or
+               ///< position.
+    Deferred, ///< Earlier records were truncated: the result follows once a snapshot is found.
 };
 
 struct AcceptedConfiguration
@@ -50,54 +51,59 @@
     std::uint64_t digest = 0;
     std::string inventory;
     std::string rules;
-    /// Offset of the latest record in the log that holds this version; none if learned from a peer.
+    /// Offset of the latest record in the log with this version; none if received from a peer.
     std::optional<LogOffset> offset;
-    /// The version was the current one just before this offset; none if its holder does not know.
+    /// The version was current just before this offset; none if not known.
     std::optional<LogOffset> position;
 };
 
-/// The verdict of a change that was found only after the record had been read.
+/// Result for a change that was first reported as `ApplyResult::Deferred`.
 struct DeferredResult
 {
     LogOffset offset;
     std::string changeId;
     ApplyResult result = ApplyResult::Deferred;
-    /// The version in force after the record.
+    /// The current version after the record.
     ConfigurationVersion version;
 };
 
-/// Folds the configuration stream: every daemon comes to the same verdict for each record,
-/// whatever the age of its program, as only versions and digests are compared.
+/// Replicated state machine over the configuration stream: every daemon gets the same result for
+/// each record, whatever its program version, as only versions and digests are compared.
 ///
-/// Two things are kept apart. What the log says: the version that was current at the offset read
-/// last, known when the stream was read from offset 0, or from a position that a snapshot or a
-/// peer vouches for. And what is held: the newest accepted version that was seen anywhere, which
-/// never goes back. Only the first judges records.
+/// There are two separate states:
+///
+/// - The log state is the version that was current at the offset read last. It is known if the
+///   stream was read from offset 0, or from a position given by a snapshot or a peer.
+/// - The newest version is the newest accepted version seen in the log or from a peer. It never
+///   decreases.
+///
+/// Records are checked only against the log state. Not thread-safe.
 class IConfigurationStateMachine
 {
 public:
     virtual ~IConfigurationStateMachine() = default;
 
-    /// Records are given in order of offset. An offset that was given before changes nothing; a
-    /// jump forward means that records were forgotten.
+    /// Applies the next record. An offset that was applied before is ignored; a gap means that the
+    /// log truncated the records in between.
     virtual ApplyResult apply(LogOffset offset, const ConfigurationRecord &record) = 0;
-    /// The log keeps no record before `first`.
+    /// The log no longer has records before `first`.
     virtual void forgetBefore(LogOffset first) = 0;
-    /// There is a record at `offset` that no program of this age can read. It changes nothing.
+    /// Passes over a record that this program version cannot decode. It does not change the state.
     virtual void skip(LogOffset offset) = 0;
-    /// A peer holds this accepted version. True if it is newer than what is held.
+    /// Takes over an accepted version from a peer. True if it is newer than `current()`. Ignored if
+    /// its digest does not match the text.
     virtual bool adopt(const AcceptedConfiguration &accepted) = 0;
-    /// Verdicts that `apply` and `adopt` found for earlier, unjudged records since the last call.
+    /// Results that `apply` and `adopt` determined for deferred records since the last call.
     virtual std::vector<DeferredResult> takeDeferredResults() = 0;
 
-    /// The newest accepted version. Nothing before the first one.
+    /// The newest accepted version; null before the first one. Valid until the next change.
     virtual const AcceptedConfiguration *current() const = 0;
-    /// What the log says, while records can be judged; else nothing. Its version is 0 before the
-    /// first accepted change, and its position is `nextOffset()`.
+    /// The log state; null if not known. Its version is 0 before the first accepted change, and its
+    /// position is `nextOffset()`.
     virtual const AcceptedConfiguration *logState() const = 0;
     /// The offset to read next.
     virtual LogOffset nextOffset() const = 0;
-    /// A reader that starts here, or earlier, can judge all records from here on.
+    /// A reader that starts at this offset or earlier knows the log state from here on.
     virtual LogOffset anchor() const = 0;
 };
 
--- a/src/coordination/configuration/ifreshness.h
+++ b/src/coordination/configuration/ifreshness.h
@@ -9,22 +9,22 @@
 
 namespace ivyspar {
 
-/// The waits on the way of a change, derived from the time in which it has to be in force.
+/// Time limits for the propagation of a change, derived from the deadline for applying it.
 struct FreshnessOptions
 {
-    /// From the log's acknowledgement of a change until it is in force at every daemon.
+    /// Deadline from the log's acknowledgement of a change until it is in force at every daemon.
     Duration applyWithin = std::chrono::seconds(2);
-    /// After this time a read that waits for nothing is given up.
+    /// Timeout of a read without long polling.
     Duration readTimeout = std::chrono::milliseconds(700);
-    /// For a second read, the way between daemons with a message lost on it, and a process that
-    /// waits for its turn.
+    /// Allowance for a second read, propagation between daemons with one lost message, and
+    /// scheduling delays of the process.
     Duration margin = std::chrono::milliseconds(400);
-    /// From the start of a read that failed to the next one; it doubles up to the longest one.
+    /// From the start of a failed read to the start of the next; doubles up to the maximum.
     Duration firstRetryInterval = std::chrono::milliseconds(100);
     Duration maxRetryInterval = std::chrono::seconds(1);
 
-    /// A daemon that knows the log's state of no later than this ago has to read it: the change may
-    /// have come right after, and the read may meet a connection that went silent.
+    /// Maximum age of the last confirmation, after which the daemon has to read the log: a change
+    /// may have followed the confirmation immediately, and the read may hit a dead connection.
     Duration maxAge() const
     {
         const Duration shortest = applyWithin / 4;
@@ -32,28 +32,30 @@
     }
 };
 
-/// How old a daemon's knowledge of the log is, and when the daemon reads the log for itself. Any
-/// daemon's read serves all that hear of it in time, so that a few reads a second keep a whole
-/// deployment current, and each daemon's own read bounds the age when nobody tells it.
-/// Plain object.
+/// Tracks the age of a daemon's knowledge of the log and schedules its own reads. A read of any
+/// daemon confirms the state for all that hear of it in time, so a few reads per second keep a
+/// whole deployment current. Each daemon's own read bounds the age if no peer confirms it. Does no
+/// I/O and is not thread-safe.
 class IFreshness
 {
 public:
     virtual ~IFreshness() = default;
 
-    /// The log held nothing newer than what is in force here at `asOf`. Returns whether that is
-    /// later than what was known.
+    /// At `asOf` the log contained nothing newer than what is in force here. Returns false, and
+    /// changes nothing, if a confirmation at least as recent is known. A time after `now` counts as
+    /// `now`.
     virtual bool confirm(TimePoint now, TimePoint asOf, IRandom &random) = 0;
-    /// There is something newer than what is in force here.
+    /// Something newer than what is in force here exists. A read is due at once, or at the end of
+    /// the current backoff.
     virtual void expire() = 0;
-    /// A read that began then got no answer, or was turned away.
+    /// A read that started at `startedAt` got no answer or was refused.
     virtual void onReadFailed(TimePoint startedAt, IRandom &random) = 0;
-    /// When to read the log next. Drawn anew with each confirmation, so that daemons that know the
-    /// same do not read in the same moment.
+    /// Time of the next read. Drawn at random with each confirmation, so that daemons with the same
+    /// knowledge do not read at the same time.
     virtual TimePoint nextRead() const = 0;
-    /// Nothing while nothing is known.
+    /// Time since the last confirmation; none without one.
     virtual std::optional<Duration> age(TimePoint now) const = 0;
-    /// Older than it may become: neither the log nor a peer told anything in time.
+    /// Whether `FreshnessOptions::maxAge` was reached without a confirmation by the log or a peer.
     virtual bool isStale(TimePoint now) const = 0;
 };
 
--- a/src/coordination/configuration/internal/configurationdigest.cpp
+++ b/src/coordination/configuration/internal/configurationdigest.cpp
@@ -8,7 +8,7 @@
 
 std::uint64_t configurationDigest(const std::string &inventory, const std::string &rules)
 {
-    // Byte by byte, so that hosts of either byte order agree.
+    // Little-endian encoding, independent of the byte order of the host.
     std::array<unsigned char, sizeof(std::uint64_t)> length{};
     std::uint64_t rest = inventory.size();
     for (unsigned char &byte : length) {
--- a/src/coordination/configuration/internal/configurationstatemachine.cpp
+++ b/src/coordination/configuration/internal/configurationstatemachine.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Bound on the texts of unjudged changes. Past it the oldest are given up, and a later snapshot
-/// is needed before records can be judged.
+/// Bound on the memory of deferred changes. Beyond it the oldest are dropped, and the log state
+/// becomes known only with a later snapshot.
 constexpr std::size_t MAX_PENDING_BYTES = 16 * 1024 * 1024;
-/// Bound on verdicts that nobody takes.
+/// Bound on deferred results that are not fetched.
 constexpr std::size_t MAX_DEFERRED_RESULTS = 10000;
 
 LogOffset after(LogOffset offset)
@@ -94,7 +94,7 @@
         return false;
     }
     const ConfigurationVersion before = m_newest.version;
-    // Also while judging: what lies before the position need not be read from the log any more.
+    // Also if the log state is known: records before the position need not be read any more.
     const LogOffset useful = m_isLogStateKnown ? after(m_next) : m_readSince;
     if (accepted.position && *accepted.position >= useful) {
         resumeAt(accepted, *accepted.position);
@@ -120,14 +120,14 @@
     return m_isLogStateKnown ? &m_logState : nullptr;
 }
 
-/// False for an offset that was read before.
+/// False if the offset was read before.
 bool ConfigurationStateMachine::advanceTo(LogOffset offset)
 {
     if (offset < m_next) {
         return false;
     }
     forgetBefore(offset);
-    // A position that a peer vouches for may lie behind this offset.
+    // The state may have resumed at a position from a peer behind this offset.
     if (offset < m_next) {
         return false;
     }
@@ -136,9 +136,9 @@
     return true;
 }
 
-/// Records before `start` were forgotten unread. One of them may have been an accepted change: a
-/// fold that judged on would accept a change that all others refuse, for good. So nothing is judged
-/// until a snapshot or a peer tells the version at a position that was read.
+/// Records before `start` were truncated unread. One of them may have been an accepted change, so
+/// applying further changes could accept one that all other daemons reject, permanently. Therefore
+/// changes are deferred until a snapshot or a peer gives the version at a position that was read.
 void ConfigurationStateMachine::discardHistory(LogOffset start)
 {
     m_isLogStateKnown = false;
@@ -174,10 +174,10 @@
     return ApplyResult::Accepted;
 }
 
-/// While records are judged, a snapshot tells nothing new, as its author judged the same stream.
+/// If the log state is known, a snapshot adds nothing to it, as its author applied the same stream.
 /// Its version may be outdated: the author had read only up to `position`, and changes may lie
-/// between there and the snapshot. A fold that took the version at the snapshot's own offset would
-/// undo them and accept a change of a loser.
+/// between there and the snapshot. Taking the version as current at the snapshot's own offset would
+/// revert these changes, and a later change with an outdated base would be accepted.
 ApplyResult ConfigurationStateMachine::applySnapshot(LogOffset offset,
                                                      const ConfigurationRecord &record)
 {
@@ -198,7 +198,8 @@
     return m_newest.version > before ? ApplyResult::Accepted : ApplyResult::Duplicate;
 }
 
-/// Nothing is known to be left of what came before, so an unjudged stream is judged from here on.
+/// An operator appends a restart when no earlier version is left, so the log state is known from
+/// here on.
 ApplyResult ConfigurationStateMachine::applyRestart(LogOffset offset,
                                                     const ConfigurationRecord &record)
 {
@@ -215,7 +216,8 @@
     return ApplyResult::Accepted;
 }
 
-/// `at` was the current version just before `position`, which is not before `m_readSince`.
+/// `at` was current just before `position`, which must not be before `m_readSince`. Applies the
+/// deferred changes from there on.
 void ConfigurationStateMachine::resumeAt(const AcceptedConfiguration &at, LogOffset position)
 {
     m_isLogStateKnown = true;
@@ -237,7 +239,8 @@
     }
 }
 
-/// Versions only grow. Of two texts of one version that of the log counts.
+/// The newest version never decreases. Of two texts of the same version, that of the log has
+/// precedence.
 void ConfigurationStateMachine::updateNewest(const AcceptedConfiguration &accepted)
 {
     if (accepted.version < m_newest.version) {
--- a/src/coordination/configuration/internal/configurationstatemachine.h
+++ b/src/coordination/configuration/internal/configurationstatemachine.h
@@ -38,14 +38,14 @@
     void resumeAt(const AcceptedConfiguration &at, LogOffset position);
     void updateNewest(const AcceptedConfiguration &accepted);
 
-    /// What the log says just before `m_next`. Meaningless while `m_isLogStateKnown` is false.
+    /// State just before `m_next`. Valid only if `m_isLogStateKnown`.
     AcceptedConfiguration m_logState;
     bool m_isLogStateKnown = true;
-    /// While not judging: records from here on were seen without a gap.
+    /// While the log state is unknown: records from this offset on were read without a gap.
     LogOffset m_readSince;
     LogOffset m_next;
     LogOffset m_anchor;
-    /// Changes read while not judging, to be judged once a checkpoint is found.
+    /// Changes read while the log state is unknown, applied once a checkpoint is found.
     std::deque<PendingRecord> m_pending;
     std::size_t m_pendingBytes = 0;
     std::vector<DeferredResult> m_deferredResults;
--- a/src/coordination/configuration/internal/freshness.cpp
+++ b/src/coordination/configuration/internal/freshness.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t MAX_DOUBLINGS = 10;
 
-/// Between `least` and `most`.
+/// Uniformly distributed from `least` up to, but not including, `most`.
 Duration drawBetween(Duration least, Duration most, IRandom &random)
 {
     const auto width = std::max<Duration::rep>(1, (most - least).count());
@@ -31,7 +31,8 @@
     m_asOf = known;
     const Duration longest = m_options.maxAge();
     m_dueAt = known + drawBetween(longest / 2, longest, random);
-    // Peers that are as stale as this daemon are no reason to press the log.
+    // A stale confirmation, by peers that are as far behind as this daemon, must not end the
+    // backoff and add load to the log.
     if (!isStale(now)) {
         m_failures = 0;
         m_notBefore = TimePoint();
@@ -51,8 +52,8 @@
     ++m_failures;
 }
 
-/// The first read after a good one fails where its connection went silent meanwhile; the next one
-/// opens another and need not wait.
+/// The first failure after a success is typically due to a connection that died while idle; the
+/// next read opens a new one and can start at once.
 Duration Freshness::pauseAfterFailures(IRandom &random) const
 {
     if (m_failures == 0) {
--- a/src/coordination/configuration/internal/pollschedule.cpp
+++ b/src/coordination/configuration/internal/pollschedule.cpp
@@ -13,7 +13,7 @@
     return XXH3_64bits(daemon.value().data(), daemon.value().size());
 }
 
-/// From half to one and a half of `mean`.
+/// Uniformly distributed from 0.5 to 1.5 times `mean`.
 Duration drawAround(Duration mean, IRandom &random)
 {
     const auto width = static_cast<std::uint64_t>(std::max<Duration::rep>(1, mean.count()));
@@ -65,8 +65,9 @@
     return std::max(Duration::zero(), m_settings.fastInterval - took);
 }
 
-/// Without the growing pause all daemons would press a log that is overloaded; without the spread
-/// they would all come back in the same moment when it recovers, and overload it again.
+/// Exponential backoff with jitter: without backoff all daemons would keep an overloaded log
+/// overloaded; without jitter all would return at the same time when it recovers, and overload it
+/// again.
 Duration PollSchedule::onFailure(IRandom &random)
 {
     constexpr std::uint32_t MAX_DOUBLINGS = 16;
@@ -76,7 +77,7 @@
     const bool isFirst = m_failures == 0;
     ++m_failures;
     const Duration pause = drawAround(backoff, random);
-    // A single failure may be a connection that went silent: the next read opens another.
+    // A single failure may be due to a dead connection: the next read opens a new one.
     return m_isFast || isFirst ? pause
                                : std::max(pause, drawAround(m_settings.slowInterval, random));
 }
--- a/src/coordination/configuration/internal/pollschedule.h
+++ b/src/coordination/configuration/internal/pollschedule.h
@@ -11,34 +11,34 @@
 
 struct PollSettings
 {
-    /// A change is in force everywhere within this time of its publication.
+    /// Deadline from the publication of a change until it is in force everywhere.
     Duration applyWithin = std::chrono::seconds(13);
-    /// After this time a read that waits for nothing is given up.
+    /// Timeout of a read without long polling.
     Duration readTimeout = std::chrono::seconds(2);
-    /// Daemons of a failure domain that follow the log closely.
+    /// Number of fast pollers per failure domain.
     std::uint32_t fastPerDomain = 2;
-    /// For how long the log may hold back the answer to a close follower.
+    /// Long-poll time of fast pollers: for how long the log may delay an empty answer.
     Duration longPoll = std::chrono::seconds(2);
-    /// Shortest time between two empty answers, for logs that hold no answer back.
+    /// Minimum interval of empty answers to fast pollers, for logs without long polling.
     Duration fastInterval = std::chrono::milliseconds(500);
-    /// Mean time between two reads of the others; each is drawn from half to one and a half.
+    /// Mean interval between reads of slow pollers; each is drawn from 0.5 to 1.5 times the mean.
     Duration slowInterval = std::chrono::seconds(5);
     Duration firstBackoff = std::chrono::milliseconds(200);
     Duration maxBackoff = std::chrono::seconds(5);
 };
 
-/// Whether `self` is among the daemons of its failure domain that follow the log closely: those
-/// with the highest hash (rendezvous hashing), so that hardly any role changes when a daemon comes
-/// or goes. Two daemons with different views only mean a reader more or less.
+/// Whether `self` is one of the fast pollers of its failure domain: the `fastPerDomain` daemons
+/// with the highest hash (rendezvous hashing), so that few roles change if a daemon joins or
+/// leaves. Different views of two daemons only result in one fast poller more or less.
 bool isFastPoller(const DaemonId &self, const std::vector<DaemonId> &domainPeers,
                   std::uint32_t fastPerDomain);
 
-/// Pause before the next read of a daemon that shares one read in each `interval` with all others:
-/// the log sees as many reads from a thousand daemons as from ten. A daemon that knows of few
-/// others reads often, so one that lost them all goes by the log alone.
+/// Random pause before the next read of a daemon if all `daemons` together read about once per
+/// `interval`, so that the read rate of the log does not depend on their number. A daemon that
+/// knows few others reads often; one that lost all others relies on the log alone.
 Duration drawSharedReadPause(Duration interval, std::size_t daemons, IRandom &random);
 
-/// When to read the log next. Plain object.
+/// Schedules reads of the log. Does no I/O and is not thread-safe.
 class PollSchedule
 {
 public:
@@ -46,12 +46,12 @@
 
     void setFast(bool isFast) { m_isFast = isFast; }
     bool isFast() const { return m_isFast; }
-    /// For how long the log may hold the next answer back.
+    /// Long-poll time of the next read; zero for slow pollers and after a failure.
     Duration longPollTimeout() const;
-    /// A page came. `isAtEnd`: nothing more is there to read now. Returns the pause before the
-    /// next read.
+    /// A page was read in the time `took`. `isAtEnd`: there are no further records at present.
+    /// Returns the pause before the next read.
     Duration onPage(bool isEmpty, bool isAtEnd, Duration took, IRandom &random);
-    /// The log cannot be read. Returns the pause before the next read.
+    /// A read failed. Returns the pause before the next read.
     Duration onFailure(IRandom &random);
 
 private:
--- a/src/coordination/configuration/internal/snapshotschedule.cpp
+++ b/src/coordination/configuration/internal/snapshotschedule.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Part of the retention after which a snapshot is renewed. Three more renewals may fail, or an
-/// outage may last for half of the retention, before the log forgets the snapshot.
+/// A snapshot is renewed after this fraction of the retention. Three more renewals may fail, or an
+/// outage may last for half of the retention, before the log truncates the snapshot.
 constexpr int RENEWALS_IN_RETENTION = 4;
 
 } // namespace
@@ -22,7 +22,7 @@
 {
     const AcceptedConfiguration *logState = stateMachine.logState();
     const bool isAtEnd = stateMachine.nextOffset() >= end;
-    // A daemon that cannot judge, or has not read all, would vouch for what it does not know.
+    // Without the log state, or before the end of the log, the snapshot could be wrong.
     if (!logState || logState->version.value() == 0 || !isAtEnd) {
         m_due.reset();
         return false;
@@ -47,8 +47,9 @@
     m_due = now + drawJitter(random);
 }
 
-/// The age of the anchor that a new daemon finds is not known. If each took it for new, and hosts
-/// were replaced often enough, none would ever renew it; so a random age is taken.
+/// A new daemon does not know the age of the anchor that it finds. If it assumed age zero, and
+/// hosts were replaced often enough, no daemon would ever renew the snapshot; so it assumes a
+/// random age.
 void SnapshotSchedule::observeAnchor(TimePoint now, LogOffset anchor, IRandom &random)
 {
     if (m_anchor == anchor) {
@@ -72,7 +73,7 @@
     if (*m_anchor < first) {
         return true;
     }
-    // Retention by count: the anchor has moved into the older half of what is kept.
+    // Retention by count: the anchor is in the older half of the stored records.
     const std::uint64_t kept = end.value() - std::min(first, end).value();
     return first.value() > 0 && m_anchor->value() - first.value() < kept / 2;
 }
--- a/src/coordination/configuration/internal/snapshotschedule.h
+++ b/src/coordination/configuration/internal/snapshotschedule.h
@@ -10,30 +10,30 @@
 
 struct SnapshotSettings
 {
-    /// For how long the platform's log keeps a record.
+    /// Retention time of records in the platform's log.
     Duration retention = std::chrono::hours(1);
-    /// Renewals of daemons that notice at the same time are spread over this time.
+    /// Range of the random delay before a renewal, so that daemons that find one due at the same
+    /// time do not all append.
     Duration jitter = std::chrono::seconds(20);
-    /// Daemons that read the log rarely wait so many times as long, so that they act only when the
-    /// close followers do not.
+    /// Slow pollers wait this many times as long, so that they act only if the fast pollers do not.
     std::uint32_t slowReaderFactor = 2;
 };
 
-/// When to append the current version again, so that a daemon that starts later can judge the
-/// stream from the records that the log still keeps. Plain object.
+/// Schedules snapshots of the current version, so that a daemon that starts later can determine the
+/// log state from the records that the log still has. Does no I/O and is not thread-safe.
 ///
-/// A snapshot's age is timed on this daemon's own clock from the moment it was seen to change, as
-/// no clocks are compared between hosts.
+/// The age of a snapshot is measured on this daemon's own clock from the time at which the anchor
+/// was seen to change, as clocks are not compared between hosts.
 class SnapshotSchedule
 {
 public:
     explicit SnapshotSchedule(const SnapshotSettings &settings);
 
-    /// After a page of the log was folded; `first` and `end` are the page's. True when a snapshot
-    /// is to be appended now.
+    /// To be called after a page of the log was applied. `first` is the oldest offset that the log
+    /// still has, `end` the offset after its last record. True if a snapshot is to be appended now.
     bool update(TimePoint now, const IConfigurationStateMachine &stateMachine, LogOffset first,
                 LogOffset end, bool isFast, IRandom &random);
-    /// The snapshot could not be appended, or it is not known whether it was.
+    /// The snapshot was not appended, or the result is unknown. Schedules another attempt.
     void onFailure(TimePoint now, IRandom &random);
 
 private:
--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -74,8 +74,8 @@
     }
 }
 
-// The log is down for a while and comes back. Each daemon must ask less often as the outage lasts,
-// and they must not all come back in one moment.
+// Guards against overload of the log by retries: each daemon must retry less often as an outage
+// lasts, and the daemons must not all return at the same time.
 TEST(PollSchedule, BackoffGrowsWithJitterDuringOutage)
 {
     m_schedule.setFast(true);
@@ -99,8 +99,8 @@
     CHECK(m_schedule.onFailure(m_random) <= m_settings.firstBackoff * 3 / 2);
 }
 
-// Guards against a change that a daemon finds too late where no peer tells it of it and its
-// connection to the log went silent.
+// Guards against a change that is applied too late because no peer announces it and the connection
+// to the log is dead.
 TEST(PollSchedule, WorstCaseDelayStaysWithinApplyDeadline)
 {
     for (const bool isFast : { true, false }) {
@@ -134,7 +134,7 @@
     DOUBLES_EQUAL(150, readsIn(1000), 10);
 }
 
-// A daemon that lost sight of all others has only the log: its turn comes at once.
+// A daemon that lost contact with all others relies on the log alone and must read it often.
 TEST(PollSchedule, SingleDaemonReadsEveryInterval)
 {
     for (int i = 0; i < 100; ++i) {
@@ -156,7 +156,7 @@
         return m_schedule.update(m_now, *m_stateMachine, LogOffset(first),
                                  m_stateMachine->nextOffset(), isFast, m_random);
     }
-    /// Time until an append is due, asked each second.
+    /// Time until an append is due, checked each second; at most five hours.
     Duration waitForAppend(std::uint64_t first, bool isFast = true)
     {
         const TimePoint start = m_now;
@@ -235,7 +235,7 @@
     CHECK(waitForAppend(1) <= m_settings.jitter + seconds(1));
 }
 
-// A daemon that lost records would vouch for a version that may be outdated.
+// A daemon that missed records could otherwise append a snapshot of an outdated version.
 TEST(SnapshotSchedule, AppendsNothingWithoutLogState)
 {
     appendChange();
--- a/src/coordination/configuration/tests/configurationstatemachinetest.cpp
+++ b/src/coordination/configuration/tests/configurationstatemachinetest.cpp
@@ -41,7 +41,7 @@
     return record;
 }
 
-/// A stream with the truth about it: what was current before each offset, by reading all of it.
+/// A stream with the expected states and results, computed by a replay of the whole stream.
 struct Stream
 {
     std::vector<ConfigurationRecord> records;
@@ -76,8 +76,8 @@
     }
 };
 
-/// Operators with right, outdated and premature bases, snapshots by authors that lag, damage, and
-/// new beginnings.
+/// A random stream of changes with current, outdated and future bases, snapshots by lagging
+/// authors, corrupt records and restarts.
 Stream makeStream(IRandom &random, std::size_t length)
 {
     Stream stream;
@@ -111,7 +111,7 @@
     return stream;
 }
 
-/// One daemon's fold, checked against the truth after each step.
+/// The state machine of one daemon, checked against the full replay after each step.
 class Reader
 {
 public:
@@ -130,7 +130,8 @@
             result == ApplyResult::Deferred || result == ApplyResult::Duplicate || !isChange;
         require(isSilent || result == m_stream.results[offset], "verdict");
         for (const DeferredResult &deferred : m_stateMachine->takeDeferredResults()) {
-            require(deferred.result == m_stream.results[deferred.offset.value()], "late verdict");
+            require(deferred.result == m_stream.results[deferred.offset.value()],
+                    "deferred result");
         }
         check();
     }
@@ -141,7 +142,7 @@
         check();
     }
 
-    /// From a peer that had read up to `position`.
+    /// Adopts the version of a peer that had read up to `position`.
     void adoptFromPeer(std::uint64_t position, bool isPositionKnown)
     {
         AcceptedConfiguration accepted = m_stream.before[position];
@@ -168,20 +169,22 @@
     {
         const AcceptedConfiguration *logState = m_stateMachine->logState();
         require(!logState || logState->version == m_stream.before[next()].version,
-                "judged version");
-        require(!logState || logState->digest == m_stream.before[next()].digest, "judged text");
-        require(!logState || logState->position == m_stateMachine->nextOffset(), "judged position");
+                "version of the log state");
+        require(!logState || logState->digest == m_stream.before[next()].digest,
+                "digest of the log state");
+        require(!logState || logState->position == m_stateMachine->nextOffset(),
+                "position of the log state");
         const AcceptedConfiguration *current = m_stateMachine->current();
         require(!current || !current->position
                     || m_stream.before[current->position->value()].version == current->version,
-                "held position");
+                "position of the newest version");
         const ConfigurationVersion newest = current ? current->version : ConfigurationVersion();
-        require(newest >= m_lastNewest, "held version reverts");
-        require(newest <= m_stream.before.back().version, "held version was never accepted");
-        require(!logState || logState->version <= newest, "held version is behind the log");
+        require(newest >= m_lastNewest, "newest version decreases");
+        require(newest <= m_stream.before.back().version, "newest version was never accepted");
+        require(!logState || logState->version <= newest, "newest version is behind the log state");
         for (const AcceptedConfiguration &each : m_stream.before) {
             require(each.version != newest || newest.value() == 0 || each.digest == current->digest,
-                    "held text");
+                    "digest of the newest version");
         }
         m_lastNewest = newest;
     }
@@ -194,8 +197,8 @@
 
 using MakeStateMachine = std::function<std::unique_ptr<IConfigurationStateMachine>()>;
 
-/// Reads a random stream from a random start with replays, gaps and peers of any age. Returns the
-/// first thing that went wrong, or an empty text.
+/// Reads a random stream from a random start with replays, gaps, and peers at any position. Returns
+/// a description of the first violation, or an empty string.
 std::string findViolation(std::uint64_t seed, const MakeStateMachine &makeStateMachine)
 {
     SeededRandom random(seed);
@@ -237,7 +240,7 @@
     return holds;
 }
 
-/// What one would write at first: one version for both judging and holding.
+/// The obvious but incorrect implementation: one version serves as log state and newest version.
 class NaiveStateMachine : public IConfigurationStateMachine
 {
 public:
@@ -321,10 +324,10 @@
     CHECK_EQUAL(0, version());
 }
 
-// The operator sees a change refused that was based on the version in force.
-// 1. This daemon learns version 5 from a peer, before it has read the log that far.
-// 2. A change that names base 5 lies in the log before version 5 came to be, and lost there.
-// If the daemon judged by what it holds, it alone would make that change version 6.
+// Guards against a daemon that accepts a change that all others reject:
+// 1. The daemon adopts version 5 from a peer before it has read the log that far.
+// 2. The log has a change with base 5 before the record of version 5; it is a conflict there.
+// Compared with the newest version instead of the log state, the change would become version 6.
 TEST(ConfigurationStateMachine, AdoptedVersionDoesNotAffectOlderRecords)
 {
     apply(0, makeChange(0, "a"));
@@ -334,8 +337,9 @@
     CHECK_EQUAL(5, version());
 }
 
-// A fresh host starts after retention took the beginning. A snapshot that lies behind a change was
-// written by a daemon that had not read the change. Taking it at face value would undo the change.
+// A daemon starts on a new host after the start of the stream was truncated. A snapshot that
+// follows a change was written by a daemon that had not read the change. Applying the snapshot at
+// its own offset would revert the change.
 TEST(ConfigurationStateMachine, OutdatedSnapshotAppliesAtItsPosition)
 {
     CHECK(apply(7, makeChange(3, "d")) == ApplyResult::Deferred);
@@ -356,8 +360,8 @@
     CHECK(apply(9, makeChange(3, "e")) == ApplyResult::Deferred);
 }
 
-// A fresh host while the log is down: it has the version and the position from a peer. When the log
-// is back, its first records were forgotten, but the position lies behind them.
+// A daemon starts on a new host while the log is down, and has version and position from a peer.
+// When the log is back, its first records were truncated, but the position lies behind them.
 TEST(ConfigurationStateMachine, PeerPositionBridgesTruncatedRecords)
 {
     AcceptedConfiguration fromPeer = acceptedAs(4, "d");
--- a/src/coordination/configuration/tests/freshnesstest.cpp
+++ b/src/coordination/configuration/tests/freshnesstest.cpp
@@ -20,7 +20,7 @@
 TEST(Freshness, WorstCaseDelayStaysWithinApplyDeadline)
 {
     CHECK(m_options.maxAge() + m_options.readTimeout + m_options.margin <= m_options.applyWithin);
-    // After the log answers again: the read that was lost meanwhile, or the longest pause.
+    // After an outage of the log: the time-out of the pending read, or the longest backoff.
     CHECK(std::max(m_options.readTimeout, m_options.maxRetryInterval) <= m_options.applyWithin);
 }
 
@@ -53,8 +53,8 @@
     CHECK(m_freshness.nextRead() == next);
 }
 
-// Guards against a peer whose clock runs ahead, after whose word the log would not be read for
-// long.
+// Guards against a peer whose clock is ahead: its confirmation would otherwise suppress reads of
+// the log for a long time.
 TEST(Freshness, FutureConfirmationIsClampedToNow)
 {
     m_freshness.confirm(m_now, m_now + seconds(60), m_random);
@@ -70,7 +70,7 @@
     CHECK(m_freshness.nextRead() > m_now);
 }
 
-// Guards against a daemon that follows too late because of one connection that went silent.
+// Guards against a change that is applied too late because of a single dead connection.
 TEST(Freshness, FirstRetryIsImmediate)
 {
     m_freshness.confirm(m_now, m_now, m_random);
--- a/src/coordination/membership/internal/membershipexchange.cpp
+++ b/src/coordination/membership/internal/membershipexchange.cpp
@@ -157,7 +157,8 @@
                         const PingMessage &ping, MembershipActions &actions)
 {
     if (ping.target != m_self) {
-        // The endpoint now belongs to this daemon. No ack: the ping of the former owner times out.
+        // The endpoint now belongs to this daemon. The sender gets its record instead of an ack,
+        // and the probe of the former owner times out.
         MembershipMessage reply = makeMessage(GossipMessage());
         reply.updates.push_back(makeUpdate(self(), true));
         send(from, message.sender, std::move(reply), actions);
--- a/src/coordination/membership/tests/membershiptest.cpp
+++ b/src/coordination/membership/tests/membershiptest.cpp
@@ -11,7 +11,8 @@
 
 const char *const DOMAINS[] = { "fortitude-hall", "southbank-hall", "coorparoo-dc", "eagle-farm" };
 
-/// Daemons in four failure domains, all of which know the first one as their seed.
+/// Starts daemons in four failure domains with the first daemon as seed and waits until all see
+/// all.
 void startMembers(MembershipSimulation &simulation, std::size_t count)
 {
     for (std::size_t i = 0; i < count; ++i) {
@@ -42,8 +43,8 @@
     }
 }
 
-// A host loses power while others work. Nobody is told; its pings are not answered, others are
-// asked to ping it, and it cannot refute the suspicion. Every daemon stops offering it work.
+// A host loses power without notice. Direct and indirect pings get no answer, and the suspicion is
+// not refuted. All daemons must stop sending it work.
 TEST(Membership, CrashIsDetectedByAllMembers)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -55,9 +56,9 @@
     }
 }
 
-// A process is stopped for a minute, long past every timeout, then wakes up with all its timers
-// expired and its sockets full. It must not offer its callers "no server" because it takes everyone
-// else for dead; the others take it back within seconds.
+// A process is suspended for a minute, longer than any timeout, and resumes with expired timers and
+// full sockets. Guards against declaring all other members dead, which would give callers "no
+// server"; the others must accept it again within seconds.
 TEST(Membership, ResumedProcessDeclaresNoMemberDead)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -74,8 +75,8 @@
     }
 }
 
-// A fifth of all messages is lost for five minutes. Suspicions come up all the time; each must be
-// refuted in time, or callers lose servers that are well.
+// With 20 % packet loss for five minutes, suspicions are frequent. Each must be refuted in time, or
+// callers lose healthy servers.
 TEST(Membership, PacketLossCausesNoFalseDeath)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -89,9 +90,9 @@
     }
 }
 
-// A failure domain is cut off for two minutes. Each side goes on with its own members. After the
-// cut both sides hold each other for dead and have stopped pinging each other; they must meet again
-// without any member of one's own side being lost on the way.
+// A failure domain is partitioned for two minutes, and each side continues with its own members.
+// Afterwards the sides consider each other dead and no longer ping each other. They must merge
+// without losing a member of their own side in between.
 TEST(Membership, MembersMergeAfterPartitionHeals)
 {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -117,7 +118,7 @@
     }
 }
 
-// The cut lasts longer than the dead are remembered. Only the seeds lead across.
+// The partition outlasts the retention of dead members: only the seeds reconnect the sides.
 TEST(Membership, SeedsReconnectPartitionsAfterDeadMembersExpire)
 {
     MembershipOptions options;
@@ -147,7 +148,7 @@
     CHECK(simulation.runUntil([&] { return simulation.agreeOn(63); }, limit) < limit);
 }
 
-// A daemon is to stop once its requests are done: it says so, and goes on answering pings.
+// A daemon that stops once its requests are done is marked as leaving and still answers pings.
 TEST(Membership, LeavingMemberIsUnavailableButAlive)
 {
     MembershipSimulation simulation(1);
@@ -163,7 +164,7 @@
     }
 }
 
-// A host is replaced: the same daemon comes back on another port before anyone noticed the crash.
+// A daemon restarts on another port before its crash is detected.
 TEST(Membership, NewIncarnationReplacesOldRecord)
 {
     MembershipSimulation simulation(1);
@@ -183,8 +184,8 @@
     CHECK(isReplaced());
 }
 
-// The clock of a restarted host is behind: the others hold its former run for the newer one, and
-// would ignore it for ever. It is told, and can start anew with a larger incarnation.
+// After a restart with the clock behind, the others know a larger incarnation, of the previous run,
+// and would ignore the daemon permanently. It must report this, to restart with a larger one.
 TEST(Membership, ReportsNewerIncarnationOfSelf)
 {
     MembershipSimulation simulation(1);
@@ -201,9 +202,8 @@
     CHECK(actions.conflictingIncarnation == Incarnation(1000));
 }
 
-// 1. A power failure ends all daemons. Each starts again and reads the same list of endpoints, half
-//    of which lead nowhere by now.
-// 2. Until they have found each other, callers hear that there is no server.
+// After a power failure all daemons restart with the same list of endpoints, half of them stale.
+// Until they have found each other, callers get "no server".
 TEST(Membership, ConcurrentRestartsWithStaleSeedsConvergeQuickly)
 {
     constexpr std::size_t COUNT = 17;
@@ -229,7 +229,7 @@
     }
 }
 
-// The log lists a seed whose host is gone; a daemon that knows only it must not give up.
+// The only known seed is down at first. The daemon must keep trying.
 TEST(Membership, SeedIsRetriedUntilItAnswers)
 {
     MembershipSimulation simulation(1);
--- a/src/coordination/membership/tests/mocks/membershipsimulation.h
+++ b/src/coordination/membership/tests/mocks/membershipsimulation.h
@@ -16,8 +16,8 @@
 
 namespace ivyspar {
 
-/// Membership objects under a fake clock that exchange messages with a delay, losses, freezes and
-/// cuts between failure domains.
+/// Simulates daemons with membership objects on a fake clock and a network with delay, packet loss,
+/// suspended processes and partitions between failure domains.
 class MembershipSimulation
 {
 public:
@@ -28,7 +28,7 @@
         bool isRunning = true;
         TimePoint frozenUntil;
         std::size_t changes = 0;
-        /// Messages that wait in the sockets of a frozen process.
+        /// Messages in the socket buffers of a suspended process.
         std::vector<std::pair<DaemonId, MembershipMessage>> unread;
     };
 
@@ -40,7 +40,7 @@
 
     static constexpr std::size_t NONE = static_cast<std::size_t>(-1);
 
-    /// Starts a daemon that looks for others at `seed`. Returns its index.
+    /// Starts a daemon with the endpoint of daemon `seed` as its seed. Returns its index.
     std::size_t start(const std::string &domain, std::size_t seed = NONE)
     {
         const std::size_t index = m_nodes.size();
@@ -56,10 +56,10 @@
         return index;
     }
 
-    /// A new run of the process on a new port.
+    /// Starts a new run of the daemon on a new port.
     void restart(std::size_t index, std::size_t seed) { boot(index, seed); }
 
-    /// The daemon that is reached there, or was.
+    /// Index of the daemon that uses or used this endpoint, or `NONE`.
     std::size_t ownerOf(const Endpoint &endpoint) const
     {
         const auto owner = m_owners.find(endpoint);
@@ -76,13 +76,13 @@
         crash(index);
     }
     void setLoss(double share) { m_loss = share; }
-    /// Cuts one failure domain from all others.
+    /// Partitions one failure domain from all others.
     void partition(const std::string &domain) { m_partitioned.insert(DomainName(domain)); }
     void heal() { m_partitioned.clear(); }
 
     void run(Duration time) { m_time.run(time); }
 
-    /// Runs until `condition` holds; returns the time that it took, or `limit`.
+    /// Runs until `condition` holds. Returns the simulated time that it took, or at least `limit`.
     template <typename Condition> Duration runUntil(Condition condition, Duration limit)
     {
         const Duration step = m_options.gossipInterval;
@@ -94,7 +94,8 @@
         return taken;
     }
 
-    /// Every running daemon of `domain` (empty: of all) sees exactly `count` members that work.
+    /// Whether every running daemon of `domain` (empty: of all) has exactly `count` available
+    /// members.
     bool agreeOn(std::size_t count, const std::string &domain = {}) const
     {
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const Node &node) {
@@ -118,7 +119,7 @@
     std::size_t size() const { return m_nodes.size(); }
     TimePoint now() const { return m_time.now(); }
     SeededRandom &random() { return m_random; }
-    /// Carries actions that the test asked a daemon for.
+    /// Carries out the actions that a call of daemon `index` returned.
     void deliver(std::size_t index, const MembershipActions &actions)
     {
         m_nodes[index].changes += actions.changed ? 1 : 0;
@@ -136,7 +137,7 @@
     std::function<void(std::size_t sender, const MembershipMessage &message)> onSend;
     /// As `onSend`, with the receiver.
     std::function<void(std::size_t sender, const MembershipDatagram &datagram)> onDatagram;
-    /// Around each call of a tick, for measurements.
+    /// Called before and after each tick, for measurements.
     std::function<void(bool isBegin)> onTick;
 
 private:
@@ -180,7 +181,7 @@
             onTick(false);
         }
         deliver(index, actions);
-        // A process that wakes up runs its timers before it reads what waits in its sockets.
+        // A resumed process runs its timers before it reads from its sockets.
         for (const auto &[from, message] : std::exchange(node.unread, {})) {
             deliver(index, node.membership->receive(m_time.now(), from, message));
         }
--- a/src/coordination/membership/tests/peerselectortest.cpp
+++ b/src/coordination/membership/tests/peerselectortest.cpp
@@ -40,7 +40,7 @@
         }
         m_peerSelector.markStale();
     }
-    /// How many of the next contacts are in each failure domain.
+    /// Number of the next `count` selected members, by failure domain.
     std::map<DomainName, int> selectMembers(int count)
     {
         std::map<DomainName, int> selected;
@@ -51,7 +51,7 @@
     }
 };
 
-// The member itself, with which nobody speaks, is the eleventh of its domain.
+// The observer is one of the eleven local members and is never selected itself.
 TEST(PeerSelector, SelectsOneMemberOfEachRemoteDomainPerLocalRound)
 {
     add(LOCAL, 11);
@@ -70,8 +70,8 @@
     CHECK_EQUAL(5, selectMembers(5)[REMOTE]);
 }
 
-// 1. All others of the failure domain have died, and its ring is empty or holds the dead alone.
-// 2. The daemon still speaks with other domains; else it would be alone with a store that is down.
+// All other local members are dead, and the local ring is empty or has dead members only. Remote
+// members must still be selected, or the daemon would be isolated while the store is down.
 TEST(PeerSelector, SkipsDeadMembers)
 {
     add(LOCAL, 3);
@@ -98,7 +98,8 @@
     CHECK_EQUAL(8, pinged.size());
 }
 
-// The first round too: a domain that is lost while all are young must be noticed from outside.
+// The first round must include remote members: the loss of a whole domain shortly after the start
+// can only be detected from other domains.
 TEST(PeerSelector, FirstPingRoundIncludesRemoteDomains)
 {
     add(LOCAL, 50);
