--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -168,7 +168,7 @@
 
 void ConfigurationFollower::foldPage(const LogPage &page)
 {
-    m_stateMachine->forgetBefore(page.first);
+    m_stateMachine->truncateBefore(page.first);
     for (const LogRecord &record : page.records) {
         foldRecord(record);
     }
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -98,7 +98,7 @@
 void ConfigurationPublisher::foldPage(const LogPage &page)
 {
     m_isHistoryWhole = m_isHistoryWhole && page.first <= m_stateMachine->nextOffset();
-    m_stateMachine->forgetBefore(page.first);
+    m_stateMachine->truncateBefore(page.first);
     for (const LogRecord &record : page.records) {
         const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
         if (!decoded) {
--- a/src/coordination/configuration/iconfigurationstatemachine.h
+++ b/src/coordination/configuration/iconfigurationstatemachine.h
@@ -87,7 +87,7 @@
     /// log truncated the records in between.
     virtual ApplyResult apply(LogOffset offset, const ConfigurationRecord &record) = 0;
     /// The log no longer has records before `first`.
-    virtual void forgetBefore(LogOffset first) = 0;
+    virtual void truncateBefore(LogOffset first) = 0;
     /// Passes over a record that this program version cannot decode. It does not change the state.
     virtual void skip(LogOffset offset) = 0;
     /// Takes over an accepted version from a peer. True if it is newer than `current()`. Ignored if
--- a/src/coordination/configuration/internal/configurationstatemachine.cpp
+++ b/src/coordination/configuration/internal/configurationstatemachine.cpp
@@ -74,7 +74,7 @@
     return applyChange(offset, record);
 }
 
-void ConfigurationStateMachine::forgetBefore(LogOffset first)
+void ConfigurationStateMachine::truncateBefore(LogOffset first)
 {
     if (first > m_next) {
         discardHistory(first);
@@ -95,8 +95,8 @@
     }
     const ConfigurationVersion before = m_newest.version;
     // Also if the log state is known: records before the position need not be read any more.
-    const LogOffset useful = m_isLogStateKnown ? after(m_next) : m_readSince;
-    if (accepted.position && *accepted.position >= useful) {
+    const LogOffset firstUseful = m_isLogStateKnown ? after(m_next) : m_readSince;
+    if (accepted.position && *accepted.position >= firstUseful) {
         resumeAt(accepted, *accepted.position);
     }
     AcceptedConfiguration learned = accepted;
@@ -126,7 +126,7 @@
     if (offset < m_next) {
         return false;
     }
-    forgetBefore(offset);
+    truncateBefore(offset);
     // The state may have resumed at a position from a peer behind this offset.
     if (offset < m_next) {
         return false;
--- a/src/coordination/configuration/internal/configurationstatemachine.h
+++ b/src/coordination/configuration/internal/configurationstatemachine.h
@@ -12,7 +12,7 @@
     ConfigurationStateMachine();
 
     ApplyResult apply(LogOffset offset, const ConfigurationRecord &record) override;
-    void forgetBefore(LogOffset first) override;
+    void truncateBefore(LogOffset first) override;
     void skip(LogOffset offset) override;
     bool adopt(const AcceptedConfiguration &accepted) override;
     std::vector<DeferredResult> takeDeferredResults() override;
--- a/src/coordination/configuration/internal/snapshotschedule.cpp
+++ b/src/coordination/configuration/internal/snapshotschedule.cpp
@@ -66,7 +66,7 @@
 bool SnapshotSchedule::isRenewalDue(TimePoint now, LogOffset first, LogOffset end,
                                     bool isFast) const
 {
-    const int factor = isFast ? 1 : static_cast<int>(m_settings.slowReaderFactor);
+    const int factor = isFast ? 1 : static_cast<int>(m_settings.slowPollerFactor);
     if (now - m_anchorSince >= factor * m_settings.retention / RENEWALS_IN_RETENTION) {
         return true;
     }
--- a/src/coordination/configuration/internal/snapshotschedule.h
+++ b/src/coordination/configuration/internal/snapshotschedule.h
@@ -16,7 +16,7 @@
     /// time do not all append.
     Duration jitter = std::chrono::seconds(20);
     /// Slow pollers wait this many times as long, so that they act only if the fast pollers do not.
-    std::uint32_t slowReaderFactor = 2;
+    std::uint32_t slowPollerFactor = 2;
 };
 
 /// Schedules snapshots of the current version, so that a daemon that starts later can determine the
--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -195,7 +195,7 @@
     }
 }
 
-TEST(SnapshotSchedule, SlowReadersWaitLonger)
+TEST(SnapshotSchedule, SlowPollersWaitLonger)
 {
     appendChange();
     update(0, false);
--- a/src/coordination/configuration/tests/configurationstatemachinetest.cpp
+++ b/src/coordination/configuration/tests/configurationstatemachinetest.cpp
@@ -126,9 +126,9 @@
         const ApplyResult result =
             m_stateMachine->apply(LogOffset(offset), m_stream.records[offset]);
         const bool isChange = m_stream.records[offset].kind != ConfigurationRecord::Kind::Snapshot;
-        const bool isSilent =
+        const bool isExempt =
             result == ApplyResult::Deferred || result == ApplyResult::Duplicate || !isChange;
-        require(isSilent || result == m_stream.results[offset], "verdict");
+        require(isExempt || result == m_stream.results[offset], "verdict");
         for (const DeferredResult &deferred : m_stateMachine->takeDeferredResults()) {
             require(deferred.result == m_stream.results[deferred.offset.value()],
                     "deferred result");
@@ -136,9 +136,9 @@
         check();
     }
 
-    void forgetBefore(std::uint64_t first)
+    void truncateBefore(std::uint64_t first)
     {
-        m_stateMachine->forgetBefore(LogOffset(first));
+        m_stateMachine->truncateBefore(LogOffset(first));
         check();
     }
 
@@ -211,7 +211,7 @@
             reader.adoptFromPeer(random.below(stream.end() + 1), random.below(2) == 0);
         } else if (kind == 1) {
             first += random.below(std::min<std::uint64_t>(stream.end() - first, 4) + 1);
-            reader.forgetBefore(first);
+            reader.truncateBefore(first);
         } else if (kind == 2 && first < stream.end()) {
             reader.read(first + random.below(stream.end() - first) / 2);
         } else if (std::max(first, reader.next()) < stream.end()) {
@@ -262,7 +262,7 @@
                      {} };
         return ApplyResult::Accepted;
     }
-    void forgetBefore(LogOffset) override { }
+    void truncateBefore(LogOffset) override { }
     void skip(LogOffset) override { }
     bool adopt(const AcceptedConfiguration &accepted) override
     {
--- a/src/coordination/membership/internal/membership.cpp
+++ b/src/coordination/membership/internal/membership.cpp
@@ -234,7 +234,7 @@
     }
     const Duration timeout = suspicionTimeout();
     std::vector<MemberEntry> expired;
-    std::vector<DaemonId> asked;
+    std::vector<DaemonId> toProbe;
     for (const DaemonId &id : m_table.notAlive()) {
         const MemberEntry &entry = *m_table.find(id);
         if (entry.health != MemberHealth::Suspect) {
@@ -245,7 +245,7 @@
             expired.push_back(entry);
         } else if (entry.isSuspectedByOwnProbe
                    || age >= timeout - FINAL_PROBE_PERIODS * m_options.period) {
-            asked.push_back(id);
+            toProbe.push_back(id);
         }
     }
     for (const MemberEntry &entry : expired) {
@@ -253,9 +253,9 @@
     }
     // A single lost message must not decide: the observer that raised the suspicion continues to
     // probe, and every other one, which may have missed the refutation, does so before its timeout.
-    const std::size_t count = std::min(asked.size(), FINAL_PROBES_PER_TICK);
+    const std::size_t count = std::min(toProbe.size(), FINAL_PROBES_PER_TICK);
     for (std::size_t i = 0; i < count; ++i) {
-        probeAgain(now, asked[(m_finalProbeCursor + i) % asked.size()], actions);
+        probeAgain(now, toProbe[(m_finalProbeCursor + i) % toProbe.size()], actions);
     }
     m_finalProbeCursor += count;
 }
