--- a/src/coordination/configuration/iconfigurationstatemachine.h
+++ b/src/coordination/configuration/iconfigurationstatemachine.h
@@ -90,8 +90,8 @@
     virtual void truncateBefore(LogOffset first) = 0;
     /// Passes over a record that this program version cannot decode. It does not change the state.
     virtual void skip(LogOffset offset) = 0;
-    /// Takes over an accepted version from a peer. True if it is newer than `current()`. Ignored if
-    /// its digest does not match the text.
+    /// Takes over an accepted version from a peer. True if it is newer than `current()`. Version 0,
+    /// or a version whose digest does not match the text, is ignored.
     virtual bool adopt(const AcceptedConfiguration &accepted) = 0;
     /// Results that `apply` and `adopt` determined for deferred records since the last call.
     virtual std::vector<DeferredResult> takeDeferredResults() = 0;
--- a/src/coordination/configuration/ifreshness.h
+++ b/src/coordination/configuration/ifreshness.h
@@ -24,7 +24,8 @@
     Duration maxRetryInterval = std::chrono::seconds(1);
 
     /// Maximum age of the last confirmation, after which the daemon has to read the log: a change
-    /// may have followed the confirmation immediately, and the read may hit a dead connection.
+    /// may have followed the confirmation immediately, and the read may hit a dead connection. At
+    /// least a quarter of `applyWithin`.
     Duration maxAge() const
     {
         const Duration shortest = applyWithin / 4;
@@ -55,7 +56,8 @@
     virtual TimePoint nextRead() const = 0;
     /// Time since the last confirmation; none without one.
     virtual std::optional<Duration> age(TimePoint now) const = 0;
-    /// Whether `FreshnessOptions::maxAge` was reached without a confirmation by the log or a peer.
+    /// Whether the last confirmation, by the log or a peer, is `FreshnessOptions::maxAge` old or
+    /// older, or there is none.
     virtual bool isStale(TimePoint now) const = 0;
 };
 
--- a/src/coordination/membership/internal/membership.cpp
+++ b/src/coordination/membership/internal/membership.cpp
@@ -12,8 +12,10 @@
 constexpr double MIN_SUSPICION_PERIODS = 3;
 /// Members reported dead that are pinged per tick. After a partition there may be hundreds.
 constexpr std::size_t VERIFICATIONS_PER_TICK = 2;
+/// Periods before the suspicion timeout in which every observer probes the suspect again.
 constexpr int FINAL_PROBE_PERIODS = 3;
 constexpr std::size_t LEAVE_RECEIVERS = 8;
+/// On average every sixth attempt to reach a dead member also contacts a seed.
 constexpr std::uint64_t RECONTACTS_PER_SEED_CONTACT = 6;
 /// Mean number of daemons of a large failure domain that exchange records with a remote domain at a
 /// time.
