--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -41,7 +41,7 @@
     DocumentFollowerSettings settings;
     settings.stream = STREAM;
     settings.key = "newest";
-    settings.freshness.firstRetryInterval = std::chrono::milliseconds(1);
+    settings.freshness.baseRetryInterval = std::chrono::milliseconds(1);
     settings.offerPatience = std::chrono::milliseconds(1);
     settings.offerInterval = std::chrono::hours(1);
     return settings;
--- a/src/coordination/configuration/ifreshness.h
+++ b/src/coordination/configuration/ifreshness.h
@@ -19,8 +19,10 @@
     /// Allowance for a second read, propagation between daemons with one lost message, and
     /// scheduling delays of the process.
     Duration margin = std::chrono::milliseconds(400);
-    /// From the start of a failed read to the start of the next; doubles up to the maximum.
-    Duration firstRetryInterval = std::chrono::milliseconds(100);
+    /// Unit of the backoff, from the start of a failed read to the start of the next. The first
+    /// retry is immediate; the following ones wait for up to twice, four times, ... this interval,
+    /// up to the maximum.
+    Duration baseRetryInterval = std::chrono::milliseconds(100);
     Duration maxRetryInterval = std::chrono::seconds(1);
 
     /// Maximum age of the last confirmation, after which the daemon has to read the log: a change
--- a/src/coordination/configuration/internal/freshness.cpp
+++ b/src/coordination/configuration/internal/freshness.cpp
@@ -61,7 +61,7 @@
     }
     const Duration pause =
         std::min(m_options.maxRetryInterval,
-                 m_options.firstRetryInterval * (1U << std::min(m_failures, MAX_DOUBLINGS)));
+                 m_options.baseRetryInterval * (1U << std::min(m_failures, MAX_DOUBLINGS)));
     return drawBetween(pause / 2, pause, random);
 }
 
