--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "app/publish.h"
-#include "coordination/configuration/iconfigurationfold.h"
+#include "coordination/configuration/iconfigurationstatemachine.h"
 #include "transport/ieventloop.h"
 #include "transport/ilogservice.h"
 
@@ -49,7 +49,7 @@
     void pause();
     bool readToEnd(Duration wait);
     void foldPage(const LogPage &page);
-    void noteVerdict(const std::string &changeId, FoldVerdict verdict,
+    void noteVerdict(const std::string &changeId, ApplyResult verdict,
                      ConfigurationVersion version);
 
     bool prepare();
@@ -64,13 +64,13 @@
     const PublishSettings &m_settings;
     IEventLoop &m_loop;
     ILogService &m_log;
-    std::unique_ptr<IConfigurationFold> m_fold;
+    std::unique_ptr<IConfigurationStateMachine> m_stateMachine;
     TimePoint m_deadline;
     std::optional<PublishResult> m_result;
     std::optional<ConfigurationVersion> m_base;
     /// The first version that was accepted on top of `m_base`, once seen.
     std::optional<AcceptedConfiguration> m_successor;
-    std::optional<FoldVerdict> m_ownVerdict;
+    std::optional<ApplyResult> m_ownVerdict;
     ConfigurationVersion m_ownVersion;
     /// The log said that it took an append.
     bool m_isAppended = false;
--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 
 #include "coordination/configuration/configurationdigest.h"
-#include "coordination/configuration/configurationfoldfactory.h"
+#include "coordination/configuration/configurationstatemachinefactory.h"
 #include "coordination/configuration/internal/pollschedule.h"
 #include "coordination/configuration/internal/snapshotschedule.h"
 #include "state/internal/seededrandom.h"
@@ -34,7 +34,7 @@
     SeededRandom m_random{ 3 };
 };
 
-TEST(PollSchedule, FewOfADomainFollowClosely)
+TEST(PollSchedule, SelectsConfiguredNumberOfFastPollers)
 {
     constexpr int DAEMONS = 200;
     std::vector<DaemonId> daemons;
@@ -54,18 +54,18 @@
     CHECK(isFastPoller(DaemonId("alone"), {}, 2));
 }
 
-TEST(PollSchedule, EmptyAnswersThatComeAtOnceAreNotAskedForAgainAtOnce)
+TEST(PollSchedule, FastPollerPausesAfterImmediateEmptyPage)
 {
     m_schedule.setFast(true);
-    CHECK(m_schedule.wait() == m_settings.longPoll);
+    CHECK(m_schedule.longPollTimeout() == m_settings.longPoll);
     CHECK(m_schedule.onPage(true, true, Duration(0), m_random) == m_settings.fastInterval);
     CHECK(m_schedule.onPage(true, true, m_settings.longPoll, m_random) == Duration::zero());
     CHECK(m_schedule.onPage(false, true, Duration(0), m_random) == Duration::zero());
 }
 
-TEST(PollSchedule, TheOthersReadOnWhileThereIsMoreAndThenRarely)
+TEST(PollSchedule, SlowPollerReadsToTheEndThenWaits)
 {
-    CHECK(m_schedule.wait() == Duration::zero());
+    CHECK(m_schedule.longPollTimeout() == Duration::zero());
     CHECK(m_schedule.onPage(false, false, Duration(0), m_random) == Duration::zero());
     for (int i = 0; i < 100; ++i) {
         const Duration pause = m_schedule.onPage(true, true, Duration(0), m_random);
@@ -74,14 +74,14 @@
     }
 }
 
-// The log is down for a while and comes back. Each daemon must ask less often as the outage lasts,
-// and they must not all come back in one moment.
-TEST(PollSchedule, PausesGrowAndDifferDuringAnOutage)
+// Guards against overload of the log by retries: each daemon must retry less often as an outage
+// lasts, and the daemons must not all return at the same time.
+TEST(PollSchedule, BackoffGrowsWithJitterDuringOutage)
 {
     m_schedule.setFast(true);
     const Duration first = m_schedule.onFailure(m_random);
     CHECK(first <= m_settings.firstBackoff * 3 / 2);
-    CHECK(m_schedule.wait() == Duration::zero());
+    CHECK(m_schedule.longPollTimeout() == Duration::zero());
     for (int i = 0; i < 100; ++i) {
         m_schedule.onFailure(m_random);
     }
@@ -99,16 +99,16 @@
     CHECK(m_schedule.onFailure(m_random) <= m_settings.firstBackoff * 3 / 2);
 }
 
-// Guards against a change that a daemon finds too late where no peer tells it of it and its
-// connection to the log went silent.
-TEST(PollSchedule, WaitsAddUpToTheTimeInWhichAChangeIsInForce)
+// Guards against a change that is applied too late because no peer announces it and the connection
+// to the log is dead.
+TEST(PollSchedule, WorstCaseDelayStaysWithinApplyDeadline)
 {
     for (const bool isFast : { true, false }) {
         m_schedule.setFast(isFast);
         Duration longest{ 0 };
         for (int i = 0; i < 1000; ++i) {
             const Duration pause = m_schedule.onPage(true, true, Duration(0), m_random);
-            const Duration lost = m_schedule.wait() + m_settings.readTimeout;
+            const Duration lost = m_schedule.longPollTimeout() + m_settings.readTimeout;
             const Duration retry = m_schedule.onFailure(m_random);
             longest = std::max(longest, pause + lost + retry + m_settings.readTimeout);
         }
@@ -120,12 +120,12 @@
     }
 }
 
-TEST(PollSchedule, TurnsOfAllTogetherAreAsManyForAThousandAsForTen)
+TEST(PollSchedule, TotalSharedReadRateIsIndependentOfDaemonCount)
 {
     const auto readsIn = [this](std::size_t daemons) {
         Duration pauses{ 0 };
         for (std::size_t i = 0; i < daemons; ++i) {
-            pauses += pauseOfShare(std::chrono::milliseconds(400), daemons, m_random);
+            pauses += drawSharedReadPause(std::chrono::milliseconds(400), daemons, m_random);
         }
         const Duration mean = pauses / static_cast<Duration::rep>(daemons);
         return static_cast<double>(daemons) * (minutes(1) / 1.0 / mean);
@@ -134,11 +134,11 @@
     DOUBLES_EQUAL(150, readsIn(1000), 10);
 }
 
-// A daemon that lost sight of all others has only the log: its turn comes at once.
-TEST(PollSchedule, ADaemonAloneTakesEachTurn)
+// A daemon that lost contact with all others relies on the log alone and must read it often.
+TEST(PollSchedule, SingleDaemonReadsEveryInterval)
 {
     for (int i = 0; i < 100; ++i) {
-        CHECK(pauseOfShare(std::chrono::milliseconds(400), 0, m_random)
+        CHECK(drawSharedReadPause(std::chrono::milliseconds(400), 0, m_random)
               <= std::chrono::milliseconds(600));
     }
 }
@@ -148,15 +148,15 @@
     SnapshotSettings m_settings;
     SnapshotSchedule m_schedule{ m_settings };
     SeededRandom m_random{ 4 };
-    std::unique_ptr<IConfigurationFold> m_fold = makeConfigurationFold();
+    std::unique_ptr<IConfigurationStateMachine> m_stateMachine = makeConfigurationStateMachine();
     TimePoint m_now{ std::chrono::hours(100) };
 
     bool update(std::uint64_t first, bool isFast = true)
     {
-        return m_schedule.update(m_now, *m_fold, LogOffset(first), m_fold->nextOffset(), isFast,
-                                 m_random);
+        return m_schedule.update(m_now, *m_stateMachine, LogOffset(first),
+                                 m_stateMachine->nextOffset(), isFast, m_random);
     }
-    /// Time until an append is due, asked each second.
+    /// Time until an append is due, checked each second; at most five hours.
     Duration waitForAppend(std::uint64_t first, bool isFast = true)
     {
         const TimePoint start = m_now;
@@ -167,21 +167,22 @@
     }
     void appendSnapshot()
     {
-        const std::uint64_t next = m_fold->nextOffset().value();
-        m_fold->apply(LogOffset(next), makeRecord(ConfigurationRecord::Kind::Snapshot, 1, next));
+        const std::uint64_t next = m_stateMachine->nextOffset().value();
+        m_stateMachine->apply(LogOffset(next),
+                              makeRecord(ConfigurationRecord::Kind::Snapshot, 1, next));
     }
     void appendChange()
     {
-        m_fold->apply(LogOffset(0), makeRecord({}, 0, 0));
+        m_stateMachine->apply(LogOffset(0), makeRecord({}, 0, 0));
     }
 };
 
-TEST(SnapshotSchedule, NothingIsAppendedWithoutAVersion)
+TEST(SnapshotSchedule, AppendsNothingBeforeTheFirstVersion)
 {
     CHECK(waitForAppend(0) == std::chrono::hours(5));
 }
 
-TEST(SnapshotSchedule, RenewsLongBeforeTheLogForgets)
+TEST(SnapshotSchedule, RenewsWellWithinRetention)
 {
     appendChange();
     CHECK(waitForAppend(0) <= m_settings.retention / 4 + m_settings.jitter + seconds(1));
@@ -194,7 +195,7 @@
     }
 }
 
-TEST(SnapshotSchedule, DaemonsThatReadRarelyLeaveItToTheOthers)
+TEST(SnapshotSchedule, SlowPollersWaitLonger)
 {
     appendChange();
     update(0, false);
@@ -203,7 +204,7 @@
     CHECK(waitForAppend(0, false) >= m_settings.retention / 2);
 }
 
-TEST(SnapshotSchedule, AnothersSnapshotEndsTheWait)
+TEST(SnapshotSchedule, SnapshotOfAnotherDaemonCancelsRenewal)
 {
     appendChange();
     for (int i = 0; i < 100; ++i) {
@@ -218,7 +219,7 @@
     }
 }
 
-TEST(SnapshotSchedule, RenewsSoonWhenTheAnchorIsForgottenOrInTheOlderHalf)
+TEST(SnapshotSchedule, RenewsWhenAnchorIsTruncatedOrInOlderHalf)
 {
     appendChange();
     update(0);
@@ -226,19 +227,19 @@
     update(0);
     CHECK(waitForAppend(5) <= m_settings.jitter + seconds(1));
     appendSnapshot();
-    for (std::uint64_t i = m_fold->nextOffset().value(); i < 40; ++i) {
-        m_fold->skip(LogOffset(i));
+    for (std::uint64_t i = m_stateMachine->nextOffset().value(); i < 40; ++i) {
+        m_stateMachine->skip(LogOffset(i));
     }
     update(0);
     CHECK_FALSE(update(0));
     CHECK(waitForAppend(1) <= m_settings.jitter + seconds(1));
 }
 
-// A daemon that lost records would vouch for a version that may be outdated.
-TEST(SnapshotSchedule, ADaemonThatCannotJudgeAppendsNothing)
+// A daemon that missed records could otherwise append a snapshot of an outdated version.
+TEST(SnapshotSchedule, AppendsNothingWithoutLogState)
 {
     appendChange();
-    m_fold->apply(LogOffset(50), makeRecord({}, 1, 0));
-    CHECK(m_fold->judged() == nullptr);
+    m_stateMachine->apply(LogOffset(50), makeRecord({}, 1, 0));
+    CHECK(m_stateMachine->logState() == nullptr);
     CHECK(waitForAppend(50) == std::chrono::hours(5));
 }
--- a/src/coordination/configuration/tests/freshnesstest.cpp
+++ b/src/coordination/configuration/tests/freshnesstest.cpp
@@ -17,36 +17,35 @@
     TimePoint m_now{ seconds(50) };
 };
 
-TEST(Freshness, WaitsAddUpToTheTimeInWhichAChangeIsInForce)
+TEST(Freshness, WorstCaseDelayStaysWithinApplyDeadline)
 {
-    CHECK(m_options.longestAge() + m_options.readTimeout + m_options.margin
-          <= m_options.applyWithin);
-    // After the log answers again: the read that was lost meanwhile, or the longest pause.
-    CHECK(std::max(m_options.readTimeout, m_options.longestRetry) <= m_options.applyWithin);
+    CHECK(m_options.maxAge() + m_options.readTimeout + m_options.margin <= m_options.applyWithin);
+    // After an outage of the log: the time-out of the pending read, or the longest backoff.
+    CHECK(std::max(m_options.readTimeout, m_options.maxRetryInterval) <= m_options.applyWithin);
 }
 
-TEST(Freshness, ADaemonThatKnowsNothingReadsAtOnce)
+TEST(Freshness, ReadsAtOnceWithoutConfirmation)
 {
     CHECK(m_freshness.nextRead() <= m_now);
     CHECK(m_freshness.isStale(m_now));
     CHECK_FALSE(m_freshness.age(m_now).has_value());
 }
 
-TEST(Freshness, WhatIsKnownIsReadAgainBeforeItIsTooOld)
+TEST(Freshness, SchedulesNextReadWithinMaxAge)
 {
     std::set<TimePoint> times;
     for (int i = 0; i < 100; ++i) {
         m_now += milliseconds(10);
         CHECK(m_freshness.confirm(m_now, m_now, m_random));
-        CHECK(m_freshness.nextRead() >= m_now + m_options.longestAge() / 2);
-        CHECK(m_freshness.nextRead() <= m_now + m_options.longestAge());
+        CHECK(m_freshness.nextRead() >= m_now + m_options.maxAge() / 2);
+        CHECK(m_freshness.nextRead() <= m_now + m_options.maxAge());
         CHECK_FALSE(m_freshness.isStale(m_freshness.nextRead() - milliseconds(1)));
         times.insert(m_freshness.nextRead());
     }
     CHECK(times.size() > 90);
 }
 
-TEST(Freshness, OlderNewsChangeNothing)
+TEST(Freshness, OlderConfirmationIsIgnored)
 {
     m_freshness.confirm(m_now, m_now, m_random);
     const TimePoint next = m_freshness.nextRead();
@@ -54,15 +53,15 @@
     CHECK(m_freshness.nextRead() == next);
 }
 
-// Guards against a peer whose clock runs ahead, after whose word the log would not be read for
-// long.
-TEST(Freshness, NobodyKnowsTheFuture)
+// Guards against a peer whose clock is ahead: its confirmation would otherwise suppress reads of
+// the log for a long time.
+TEST(Freshness, FutureConfirmationIsClampedToNow)
 {
     m_freshness.confirm(m_now, m_now + seconds(60), m_random);
-    CHECK(m_freshness.nextRead() <= m_now + m_options.longestAge());
+    CHECK(m_freshness.nextRead() <= m_now + m_options.maxAge());
 }
 
-TEST(Freshness, WhoIsBehindReadsAtOnce)
+TEST(Freshness, ReadsAtOnceAfterExpiry)
 {
     m_freshness.confirm(m_now, m_now, m_random);
     m_freshness.expire();
@@ -71,8 +70,8 @@
     CHECK(m_freshness.nextRead() > m_now);
 }
 
-// Guards against a daemon that follows too late because of one connection that went silent.
-TEST(Freshness, TheReadAfterALostOneBeginsAtOnce)
+// Guards against a change that is applied too late because of a single dead connection.
+TEST(Freshness, FirstRetryIsImmediate)
 {
     m_freshness.confirm(m_now, m_now, m_random);
     const TimePoint startedAt = m_freshness.nextRead();
@@ -80,14 +79,14 @@
     CHECK(m_freshness.nextRead() <= startedAt);
 }
 
-TEST(Freshness, PausesGrowUpToTheLongest)
+TEST(Freshness, RetryIntervalsGrowToTheMaximum)
 {
     for (int i = 0; i < 20; ++i) {
         m_freshness.onReadFailed(m_now, m_random);
-        CHECK(m_freshness.nextRead() <= m_now + m_options.longestRetry);
+        CHECK(m_freshness.nextRead() <= m_now + m_options.maxRetryInterval);
     }
-    CHECK(m_freshness.nextRead() >= m_now + m_options.longestRetry / 2);
+    CHECK(m_freshness.nextRead() >= m_now + m_options.maxRetryInterval / 2);
     m_freshness.confirm(m_now, m_now, m_random);
     m_freshness.onReadFailed(m_now, m_random);
-    CHECK(m_freshness.nextRead() <= m_now + m_options.longestAge());
+    CHECK(m_freshness.nextRead() <= m_now + m_options.maxAge());
 }
--- a/src/coordination/membership/internal/membership.h
+++ b/src/coordination/membership/internal/membership.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/membership/internal/contactrings.h"
 #include "coordination/membership/internal/membertable.h"
+#include "coordination/membership/internal/peerselector.h"
 #include "coordination/membership/internal/seedlist.h"
 #include "coordination/membership/internal/updatequeue.h"
 #include "coordination/membership/membershipfactory.h"
@@ -28,30 +28,31 @@
                               const MembershipMessage &message) override;
     MembershipActions onUnreachable(TimePoint now, const DaemonId &daemon) override;
     MembershipActions tick(TimePoint now, IRandom &random) override;
-    std::vector<Member> working() const override;
-    std::vector<MemberStatus> all() const override;
+    std::vector<Member> availableMembers() const override;
+    std::vector<MemberStatus> allMembers() const override;
 
 private:
-    /// A ping of ours that waits for its ack.
+    /// A ping of this daemon whose ack is pending.
     struct Probe
     {
         DaemonId target;
         TimePoint start;
-        bool hasAskedOthers = false;
+        bool hasSentPingRequests = false;
     };
-    /// A ping sent for another member.
+    /// An indirect ping sent on request of another member.
     struct Relay
     {
         DaemonId requester;
         std::uint64_t requesterSequence = 0;
         TimePoint start;
     };
-    /// A member whose digest differed from ours when it last spoke.
-    struct Differing
+    /// A member whose last message had a different digest.
+    struct DivergentPeer
     {
         DaemonId id;
         Endpoint endpoint;
         std::uint64_t digest = 0;
+        /// Start of the current divergence, which may have begun with another member.
         TimePoint since;
     };
     enum class Source { Gossip, Sync };
@@ -79,33 +80,33 @@
                 const SyncReplyMessage &reply, MembershipActions &actions);
     void compareDigest(TimePoint now, const DaemonId &from, const MembershipMessage &message);
 
-    void noteGap(TimePoint now);
+    void handleFreeze(TimePoint now);
     void expireProbes(TimePoint now, MembershipActions &actions);
     void expireSuspects(TimePoint now, MembershipActions &actions);
     void probeAgain(TimePoint now, const DaemonId &id, MembershipActions &actions);
     bool isProbed(const DaemonId &id) const;
-    void forgetDead(TimePoint now);
+    void evictDead(TimePoint now);
     void pingNext(TimePoint now, IRandom &random, MembershipActions &actions);
-    void verifyDoubted(TimePoint now, MembershipActions &actions);
-    void spread(MembershipActions &actions);
+    void verifyReportedDead(TimePoint now, MembershipActions &actions);
+    void sendPendingUpdates(MembershipActions &actions);
     void synchronise(TimePoint now, IRandom &random, MembershipActions &actions);
     void recontact(TimePoint now, IRandom &random, MembershipActions &actions);
     Duration syncPause() const;
-    void seekOthers(TimePoint now, IRandom &random, MembershipActions &actions);
+    void joinThroughSeeds(TimePoint now, IRandom &random, MembershipActions &actions);
     void contactSeed(TimePoint now, IRandom &random, MembershipActions &actions);
 
     void startProbe(TimePoint now, const DaemonId &target, MembershipActions &actions);
     void sendPing(const MemberEntry &target, std::uint64_t sequence, MembershipActions &actions);
-    void askOthers(const Probe &probe, std::uint64_t sequence, MembershipActions &actions);
-    /// With updates that are to be spread.
+    void sendPingRequests(const Probe &probe, std::uint64_t sequence, MembershipActions &actions);
+    /// Takes updates from the queue into the message.
     MembershipMessage makeMessage(MembershipBody body);
     MembershipMessage makeEmptyMessage(MembershipBody body) const;
     void send(const DaemonId &to, const Endpoint &endpoint, MembershipMessage message,
               MembershipActions &actions) const;
     void sendGossip(std::size_t receivers, MembershipActions &actions);
 
-    double farExchangeChance() const;
-    std::size_t takeSyncBytes(TimePoint now);
+    double remoteSyncChance() const;
+    std::size_t refillSyncBudget(TimePoint now);
 
     double logMembers() const;
     std::size_t maxSends() const;
@@ -119,28 +120,28 @@
     std::map<std::uint64_t, Probe> m_probes;
     std::map<std::uint64_t, Relay> m_relays;
     std::uint64_t m_lastSequence = 0;
-    /// Members that another daemon holds for dead at a version, and this one does not.
-    std::deque<std::pair<DaemonId, std::uint64_t>> m_doubted;
+    /// Members, with their counter, that another daemon reported dead and that are up here.
+    std::deque<std::pair<DaemonId, std::uint64_t>> m_reportedDead;
 
-    ContactRings m_rings;
+    PeerSelector m_peerSelector;
     SeedList m_seeds;
-    std::optional<Differing> m_differing;
-    /// The digest has agreed with another member's at least once.
-    bool m_hasAgreed = false;
+    std::optional<DivergentPeer> m_divergentPeer;
+    /// The digest was equal to that of another member at least once.
+    bool m_hasConverged = false;
 
     std::optional<TimePoint> m_lastTick;
     const TimePoint m_start;
     TimePoint m_nextPing;
     TimePoint m_nextSync;
     TimePoint m_nextSeed;
-    /// Until the next seed is asked; grows while others are sought.
-    Duration m_seedPause;
+    /// Interval between contacts of seeds; grows up to one period while joining.
+    Duration m_seedInterval;
     TimePoint m_nextRecontact;
-    TimePoint m_relistenUntil;
-    double m_syncBytes = 0;
-    TimePoint m_syncBytesAt;
+    TimePoint m_graceEnd;
+    double m_syncBudgetBytes = 0;
+    TimePoint m_syncBudgetTime;
     std::size_t m_syncCursor = 0;
-    std::size_t m_lastCall = 0;
+    std::size_t m_finalProbeCursor = 0;
 };
 
 } // namespace ivyspar
--- a/src/coordination/membership/internal/membershipexchange.cpp
+++ b/src/coordination/membership/internal/membershipexchange.cpp
@@ -1,4 +1,4 @@
-// The part of Membership that makes and takes messages.
+// The part of Membership that composes and handles messages.
 #include <algorithm>
 #include <unordered_map>
 #include <utility>
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t MAX_DOUBTED = 512;
+constexpr std::size_t MAX_REPORTED_DEAD = 512;
 constexpr std::size_t MAX_RELAYS = 256;
-/// Records given to anyone who asks, even when the bytes for exchanges are spent: enough to find
-/// others to ask.
+/// Records sent on request even if the sync budget is exhausted: enough for the requester to find
+/// other members to ask.
 constexpr std::size_t MIN_SYNC_BYTES = 2048;
 
 } // namespace
@@ -24,7 +24,7 @@
     if (from == m_self || self().health == MemberHealth::Left) {
         return actions;
     }
-    m_seeds.note(message.sender);
+    m_seeds.markContacted(message.sender);
     for (const MemberUpdate &update : message.updates) {
         applyUpdate(now, update, Source::Gossip, actions);
     }
@@ -42,13 +42,15 @@
     }
     const MemberEntry *known = m_table.find(update.id);
     if (update.health == MemberHealth::Dead && known && isUp(known->health)) {
-        // See verifyDoubted(). Only the observer's own timer declares a member dead.
+        // Only this daemon's own suspicion timeout declares a member dead; see
+        // verifyReportedDead().
         const bool isSameRun = known->member.incarnation == update.incarnation;
-        const auto doubt = std::make_pair(update.id, update.counter);
-        const bool isNew = std::find(m_doubted.begin(), m_doubted.end(), doubt) == m_doubted.end();
+        const auto report = std::make_pair(update.id, update.counter);
+        const bool isNew =
+            std::find(m_reportedDead.begin(), m_reportedDead.end(), report) == m_reportedDead.end();
         if (isSameRun && update.counter >= known->counter && isNew
-            && m_doubted.size() < MAX_DOUBTED) {
-            m_doubted.push_back(doubt);
+            && m_reportedDead.size() < MAX_REPORTED_DEAD) {
+            m_reportedDead.push_back(report);
         }
         return;
     }
@@ -67,7 +69,7 @@
     entry.member.incarnation = update.incarnation;
     entry.member.counter = update.recordCounter;
     entry.counter = update.counter;
-    entry.isOwnSuspicion = false;
+    entry.isSuspectedByOwnProbe = false;
     if (!known || entry.health != update.health) {
         entry.since = now;
     }
@@ -78,10 +80,10 @@
         m_queue.push(update);
     }
     if (wasUp != isUp(entry.health) || isRecordNew) {
-        m_rings.markStale();
+        m_peerSelector.markStale();
     }
     if (!wasUp && isUp(entry.health)) {
-        m_rings.join(update.id);
+        m_peerSelector.join(update.id);
     }
 }
 
@@ -102,8 +104,8 @@
     if (update.record) {
         return update.record->peerEndpoint.port != 0;
     }
-    // Without the record the version must not be taken over: the digests would agree, and nobody
-    // would notice that the record is missing here. Anti-entropy brings it.
+    // Without the record the version must not be accepted: the digests would agree, and the missing
+    // record would go unnoticed. An anti-entropy exchange delivers it.
     return known && known->member.incarnation == update.incarnation
         && known->member.counter == update.recordCounter && known->member.peerEndpoint.port != 0;
 }
@@ -112,19 +114,20 @@
 {
     const MemberEntry &own = self();
     if (update.incarnation > own.member.incarnation) {
-        actions.newerSelf = update.incarnation;
+        actions.conflictingIncarnation = update.incarnation;
         return;
     }
     if (update.incarnation < own.member.incarnation) {
         return;
     }
-    const bool isDoubted = update.health != MemberHealth::Alive && update.counter >= own.counter;
-    if (isDoubted || update.counter > own.counter) {
+    const bool isReportedDown =
+        update.health != MemberHealth::Alive && update.counter >= own.counter;
+    if (isReportedDown || update.counter > own.counter) {
         refute(update.counter);
     }
 }
 
-/// Outdoes what others believe of this daemon up to version `counter`.
+/// Publishes a version of this daemon's own state that supersedes all up to `counter`.
 void Membership::refute(std::uint64_t counter)
 {
     MemberEntry entry = self();
@@ -139,14 +142,14 @@
     const bool wasUp = isUp(entry.health);
     entry.health = health;
     entry.since = now;
-    entry.isOwnSuspicion = false;
+    entry.isSuspectedByOwnProbe = false;
     if (health == MemberHealth::Suspect) {
         m_queue.push(makeUpdate(entry, false));
     }
     m_table.put(std::move(entry));
     if (wasUp != isUp(health)) {
         actions.changed = true;
-        m_rings.markStale();
+        m_peerSelector.markStale();
     }
 }
 
@@ -154,7 +157,8 @@
                         const PingMessage &ping, MembershipActions &actions)
 {
     if (ping.target != m_self) {
-        // The endpoint has a new owner; the sender learns of it and goes on by itself.
+        // The endpoint now belongs to this daemon. The sender gets its record instead of an ack,
+        // and the probe of the former owner times out.
         MembershipMessage reply = makeMessage(GossipMessage());
         reply.updates.push_back(makeUpdate(self(), true));
         send(from, message.sender, std::move(reply), actions);
@@ -217,8 +221,8 @@
 void Membership::handle(TimePoint /*now*/, const DaemonId &from, const MembershipMessage &message,
                         const GossipMessage & /*gossip*/, MembershipActions &actions)
 {
-    // A member that this daemon holds for dead speaks: telling it lets it refute. Suspects are told
-    // by the suspicion that spreads.
+    // Tells a sender that is dead here, so that it can refute. A suspect learns of the suspicion by
+    // gossip.
     const MemberEntry *sender = m_table.find(from);
     if (!sender || sender->health != MemberHealth::Dead) {
         return;
@@ -243,7 +247,7 @@
         }
     }
     SyncReplyMessage reply;
-    const std::size_t allowed = takeSyncBytes(now);
+    const std::size_t allowed = refillSyncBudget(now);
     std::size_t bytes = 0;
     ++m_syncCursor;
     for (std::size_t i = 0; i < own.size() && bytes < allowed; ++i) {
@@ -257,7 +261,7 @@
         }
         reply.covered |= std::uint64_t(1) << bucket;
     }
-    m_syncBytes -= static_cast<double>(bytes);
+    m_syncBudgetBytes -= static_cast<double>(bytes);
     send(from, message.sender, makeMessage(std::move(reply)), actions);
 }
 
@@ -272,9 +276,10 @@
     if (reply.covered == 0) {
         return;
     }
-    // The other direction of the exchange: what is newer here. Its `covered` is 0, which ends it.
+    // Second direction of the exchange: sends what is newer here. Its `covered` of 0 ends the
+    // exchange.
     SyncReplyMessage back;
-    const std::size_t allowed = takeSyncBytes(now);
+    const std::size_t allowed = refillSyncBudget(now);
     std::size_t bytes = 0;
     for (const auto &[id, entry] : m_table.entries()) {
         const bool isCovered = (reply.covered >> MemberTable::bucketOf(id)) & 1U;
@@ -292,7 +297,7 @@
         back.records.push_back(makeUpdate(entry, isUp(entry.health)));
         bytes += estimateBytes(back.records.back());
     }
-    m_syncBytes -= static_cast<double>(bytes);
+    m_syncBudgetBytes -= static_cast<double>(bytes);
     if (!back.records.empty()) {
         send(from, message.sender, makeMessage(std::move(back)), actions);
     }
@@ -302,20 +307,21 @@
                                const MembershipMessage &message)
 {
     if (message.digest == m_table.digest()) {
-        m_hasAgreed = true;
-        // Agreement with one member says nothing of the others: a small group that agrees among
-        // itself would never look further.
-        if (m_differing && m_differing->id == from) {
-            m_differing.reset();
+        m_hasConverged = true;
+        // Agreement with one member does not imply agreement with the others: a small group with
+        // equal digests would otherwise never exchange with the rest.
+        if (m_divergentPeer && m_divergentPeer->id == from) {
+            m_divergentPeer.reset();
         }
         return;
     }
-    // An exchange within the failure domain comes first.
-    if (m_differing && m_rings.isNear(m_differing->id) && !m_rings.isNear(from)) {
+    // An exchange within the local failure domain has priority.
+    if (m_divergentPeer && m_peerSelector.isLocal(m_divergentPeer->id)
+        && !m_peerSelector.isLocal(from)) {
         return;
     }
-    const TimePoint since = m_differing ? m_differing->since : now;
-    m_differing = Differing{ from, message.sender, message.digest, since };
+    const TimePoint since = m_divergentPeer ? m_divergentPeer->since : now;
+    m_divergentPeer = DivergentPeer{ from, message.sender, message.digest, since };
 }
 
 void Membership::startProbe(TimePoint now, const DaemonId &target, MembershipActions &actions)
@@ -334,7 +340,7 @@
     ping.targetCounter = target.counter;
     ping.targetHealth = target.health;
     if (target.health != MemberHealth::Alive) {
-        // Most of these get no answer. Updates that they carry would be lost, and count as spread.
+        // Most of these pings get no answer; updates in them would be lost but counted as sent.
         send(target.member.id, target.member.peerEndpoint, makeEmptyMessage(std::move(ping)),
              actions);
         return;
@@ -342,21 +348,22 @@
     send(target.member.id, target.member.peerEndpoint, makeMessage(std::move(ping)), actions);
 }
 
-void Membership::askOthers(const Probe &probe, std::uint64_t sequence, MembershipActions &actions)
+void Membership::sendPingRequests(const Probe &probe, std::uint64_t sequence,
+                                  MembershipActions &actions)
 {
     const MemberEntry *target = m_table.find(probe.target);
     if (!target) {
         return;
     }
     const PingRequestMessage request{ sequence, probe.target, target->member.peerEndpoint };
-    for (const MemberEntry *helper : m_rings.next(m_options.indirectProbes, probe.target)) {
+    for (const MemberEntry *helper : m_peerSelector.next(m_options.indirectProbes, probe.target)) {
         send(helper->member.id, helper->member.peerEndpoint, makeMessage(request), actions);
     }
 }
 
 void Membership::sendGossip(std::size_t receivers, MembershipActions &actions)
 {
-    for (const MemberEntry *receiver : m_rings.next(receivers, m_self)) {
+    for (const MemberEntry *receiver : m_peerSelector.next(receivers, m_self)) {
         send(receiver->member.id, receiver->member.peerEndpoint, makeMessage(GossipMessage()),
              actions);
     }
@@ -384,13 +391,14 @@
     actions.send.push_back({ to, endpoint, std::move(message) });
 }
 
-std::size_t Membership::takeSyncBytes(TimePoint now)
+std::size_t Membership::refillSyncBudget(TimePoint now)
 {
-    const double seconds = std::chrono::duration<double>(now - m_syncBytesAt).count();
+    const double seconds = std::chrono::duration<double>(now - m_syncBudgetTime).count();
     const double refill = seconds * static_cast<double>(m_options.syncBytesPerSecond);
-    m_syncBytes = std::min(m_syncBytes + refill, static_cast<double>(m_options.syncBurstBytes));
-    m_syncBytesAt = now;
-    const double left = std::max(m_syncBytes, static_cast<double>(MIN_SYNC_BYTES));
+    m_syncBudgetBytes =
+        std::min(m_syncBudgetBytes + refill, static_cast<double>(m_options.syncBurstBytes));
+    m_syncBudgetTime = now;
+    const double left = std::max(m_syncBudgetBytes, static_cast<double>(MIN_SYNC_BYTES));
     return static_cast<std::size_t>(left);
 }
 
--- a/src/coordination/membership/tests/mocks/membershipfabric.h
+++ b/src/coordination/membership/tests/mocks/membershipsimulation.h
@@ -16,9 +16,9 @@
 
 namespace ivyspar {
 
-/// Membership objects under a fake clock that exchange messages with a delay, losses, freezes and
-/// cuts between failure domains.
-class MembershipFabric
+/// Simulates daemons with membership objects on a fake clock and a network with delay, packet loss,
+/// suspended processes and partitions between failure domains.
+class MembershipSimulation
 {
 public:
     struct Node
@@ -28,11 +28,11 @@
         bool isRunning = true;
         TimePoint frozenUntil;
         std::size_t changes = 0;
-        /// Messages that wait in the sockets of a frozen process.
+        /// Messages in the socket buffers of a suspended process.
         std::vector<std::pair<DaemonId, MembershipMessage>> unread;
     };
 
-    MembershipFabric(std::uint64_t seed, const MembershipOptions &options = {})
+    MembershipSimulation(std::uint64_t seed, const MembershipOptions &options = {})
         : m_options(options)
         , m_random(seed)
     {
@@ -40,7 +40,7 @@
 
     static constexpr std::size_t NONE = static_cast<std::size_t>(-1);
 
-    /// Starts a daemon that looks for others at `seed`. Returns its index.
+    /// Starts a daemon with the endpoint of daemon `seed` as its seed. Returns its index.
     std::size_t start(const std::string &domain, std::size_t seed = NONE)
     {
         const std::size_t index = m_nodes.size();
@@ -56,10 +56,10 @@
         return index;
     }
 
-    /// A new run of the process on a new port.
+    /// Starts a new run of the daemon on a new port.
     void restart(std::size_t index, std::size_t seed) { boot(index, seed); }
 
-    /// The daemon that is reached there, or was.
+    /// Index of the daemon that uses or used this endpoint, or `NONE`.
     std::size_t ownerOf(const Endpoint &endpoint) const
     {
         const auto owner = m_owners.find(endpoint);
@@ -76,13 +76,13 @@
         crash(index);
     }
     void setLoss(double share) { m_loss = share; }
-    /// Cuts one failure domain from all others.
-    void cut(const std::string &domain) { m_cut.insert(DomainName(domain)); }
-    void mend() { m_cut.clear(); }
+    /// Partitions one failure domain from all others.
+    void partition(const std::string &domain) { m_partitioned.insert(DomainName(domain)); }
+    void heal() { m_partitioned.clear(); }
 
     void run(Duration time) { m_time.run(time); }
 
-    /// Runs until `condition` holds; returns the time that it took, or `limit`.
+    /// Runs until `condition` holds. Returns the simulated time that it took, or at least `limit`.
     template <typename Condition> Duration runUntil(Condition condition, Duration limit)
     {
         const Duration step = m_options.gossipInterval;
@@ -94,19 +94,20 @@
         return taken;
     }
 
-    /// Every running daemon of `domain` (empty: of all) sees exactly `count` members that work.
+    /// Whether every running daemon of `domain` (empty: of all) has exactly `count` available
+    /// members.
     bool agreeOn(std::size_t count, const std::string &domain = {}) const
     {
         return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const Node &node) {
-            const bool isMeant =
+            const bool isSelected =
                 node.isRunning && (domain.empty() || node.record.domain == DomainName(domain));
-            return !isMeant || node.membership->working().size() == count;
+            return !isSelected || node.membership->availableMembers().size() == count;
         });
     }
 
     bool sees(std::size_t observer, std::size_t index) const
     {
-        const auto members = m_nodes[observer].membership->working();
+        const auto members = m_nodes[observer].membership->availableMembers();
         return std::any_of(members.begin(), members.end(), [&](const Member &member) {
             return member.id == m_nodes[index].record.id
                 && member.incarnation == m_nodes[index].record.incarnation
@@ -118,7 +119,7 @@
     std::size_t size() const { return m_nodes.size(); }
     TimePoint now() const { return m_time.now(); }
     SeededRandom &random() { return m_random; }
-    /// Carries actions that the test asked a daemon for.
+    /// Carries out the actions that a call of daemon `index` returned.
     void deliver(std::size_t index, const MembershipActions &actions)
     {
         m_nodes[index].changes += actions.changed ? 1 : 0;
@@ -136,7 +137,7 @@
     std::function<void(std::size_t sender, const MembershipMessage &message)> onSend;
     /// As `onSend`, with the receiver.
     std::function<void(std::size_t sender, const MembershipDatagram &datagram)> onDatagram;
-    /// Around each call of a tick, for measurements.
+    /// Called before and after each tick, for measurements.
     std::function<void(bool isBegin)> onTick;
 
 private:
@@ -180,7 +181,7 @@
             onTick(false);
         }
         deliver(index, actions);
-        // A process that wakes up runs its timers before it reads what waits in its sockets.
+        // A resumed process runs its timers before it reads from its sockets.
         for (const auto &[from, message] : std::exchange(node.unread, {})) {
             deliver(index, node.membership->receive(m_time.now(), from, message));
         }
@@ -203,9 +204,9 @@
     {
         Node &node = m_nodes[receiver];
         const DomainName &from = m_nodes[sender].record.domain;
-        const bool isCut = from != node.record.domain
-            && (m_cut.count(from) != 0 || m_cut.count(node.record.domain) != 0);
-        if (isCut || !node.isRunning || node.record.peerEndpoint != datagram.endpoint) {
+        const bool isPartitioned = from != node.record.domain
+            && (m_partitioned.count(from) != 0 || m_partitioned.count(node.record.domain) != 0);
+        if (isPartitioned || !node.isRunning || node.record.peerEndpoint != datagram.endpoint) {
             return;
         }
         if (m_time.now() < node.frozenUntil) {
@@ -224,7 +225,7 @@
     SimulatedTime m_time{ TimePoint(std::chrono::hours(1)) };
     std::uint64_t m_boots = 0;
     double m_loss = 0;
-    std::set<DomainName> m_cut;
+    std::set<DomainName> m_partitioned;
 };
 
 } // namespace ivyspar
