--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -5,7 +5,7 @@
 
 #include <boost/smart_ptr/intrusive_ref_counter.hpp>
 
-#include "coordination/once/iticketoffice.h"
+#include "coordination/once/iticketregistry.h"
 #include "coordination/retries/returntime.h"
 #include "state/fingerprint.h"
 #include "state/rank.h"
--- a/src/app/internal/gate/onceservice.cpp
+++ b/src/app/internal/gate/onceservice.cpp
@@ -39,7 +39,7 @@
 
 OnceService::OnceService(IEventLoop &loop, ILogService &log, Observers observers,
                          std::unique_ptr<IOnceCoordinator> coordinator,
-                         std::unique_ptr<ITicketOffice> tickets)
+                         std::unique_ptr<ITicketRegistry> tickets)
     : m_loop(loop)
     , m_log(log)
     , m_observers(observers)
--- a/src/app/internal/gate/onceservice.h
+++ b/src/app/internal/gate/onceservice.h
@@ -9,7 +9,7 @@
 #include "app/internal/logs/observers.h"
 #include "app/internal/waketimer.h"
 #include "coordination/once/ioncecoordinator.h"
-#include "coordination/once/iticketoffice.h"
+#include "coordination/once/iticketregistry.h"
 #include "transport/ieventloop.h"
 #include "transport/ilogservice.h"
 
@@ -24,7 +24,7 @@
 public:
     OnceService(IEventLoop &loop, ILogService &log, Observers observers,
                 std::unique_ptr<IOnceCoordinator> coordinator,
-                std::unique_ptr<ITicketOffice> tickets);
+                std::unique_ptr<ITicketRegistry> tickets);
 
     void setListener(IOnceListener *listener) override { m_listener = listener; }
     void request(CallId call, const CallMessage &message, TimePoint deadline) override;
@@ -48,7 +48,7 @@
     ILogService &m_log;
     Observers m_observers;
     std::unique_ptr<IOnceCoordinator> m_coordinator;
-    std::unique_ptr<ITicketOffice> m_tickets;
+    std::unique_ptr<ITicketRegistry> m_tickets;
     IOnceListener *m_listener = nullptr;
     /// Calls that came with a ticket instead of a key.
     std::unordered_set<CallId> m_ticketed;
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -92,7 +92,7 @@
     const TimePoint now = loop.now();
     return std::make_unique<OnceService>(
         loop, log, observers, makeOnceCoordinator(now, self.id, self.incarnation, random.next()),
-        makeTicketOffice(now, self.id, self.incarnation, makeSecret(random)));
+        makeTicketRegistry(now, self.id, self.incarnation, makeSecret(random)));
 }
 
 HttpResponse makeText(std::uint16_t status, const std::string &text)
--- a/src/coordination/once/internal/ticketoffice.cpp
+++ b/src/coordination/once/internal/ticketregistry.cpp
@@ -1,4 +1,4 @@
-#include "coordination/once/internal/ticketoffice.h"
+#include "coordination/once/internal/ticketregistry.h"
 
 #include <algorithm>
 #include <charconv>
@@ -78,15 +78,16 @@
     return read->owner;
 }
 
-std::unique_ptr<ITicketOffice> makeTicketOffice(TimePoint now, const DaemonId &self,
-                                                Incarnation incarnation, const TicketSecret &secret,
-                                                const TicketOptions &options)
+std::unique_ptr<ITicketRegistry> makeTicketRegistry(TimePoint now, const DaemonId &self,
+                                                    Incarnation incarnation,
+                                                    const TicketSecret &secret,
+                                                    const TicketOptions &options)
 {
-    return std::make_unique<TicketOffice>(now, self, incarnation, secret, options);
+    return std::make_unique<TicketRegistry>(now, self, incarnation, secret, options);
 }
 
-TicketOffice::TicketOffice(TimePoint now, const DaemonId &self, Incarnation incarnation,
-                           const TicketSecret &secret, const TicketOptions &options)
+TicketRegistry::TicketRegistry(TimePoint now, const DaemonId &self, Incarnation incarnation,
+                               const TicketSecret &secret, const TicketOptions &options)
     : m_options(options)
     , m_self(self)
     , m_incarnation(incarnation)
@@ -96,7 +97,7 @@
     m_marks.emplace_back(0, now);
 }
 
-std::string TicketOffice::issue(TimePoint now)
+std::string TicketRegistry::issue(TimePoint now)
 {
     if (now - m_marks.back().second >= m_options.lifetime / MARKS_PER_LIFETIME) {
         m_marks.emplace_back(m_last, now);
@@ -106,14 +107,14 @@
         + std::to_string(counter) + SEPARATOR + std::to_string(checkOf(counter));
 }
 
-std::uint64_t TicketOffice::checkOf(std::uint64_t counter) const
+std::uint64_t TicketRegistry::checkOf(std::uint64_t counter) const
 {
     const std::string text = m_self.value() + SEPARATOR + std::to_string(m_incarnation.value())
         + SEPARATOR + std::to_string(counter);
     return XXH3_64bits_withSecret(text.data(), text.size(), m_secret.data(), m_secret.size());
 }
 
-OnceActions TicketOffice::request(TimePoint now, const TicketRequest &request)
+OnceActions TicketRegistry::request(TimePoint now, const TicketRequest &request)
 {
     OnceActions actions;
     std::uint64_t counter = 0;
@@ -143,8 +144,8 @@
     return finish(now, std::move(actions));
 }
 
-std::optional<Verdict> TicketOffice::refuse(TimePoint now, const TicketRequest &request,
-                                            std::uint64_t &counter) const
+std::optional<Verdict> TicketRegistry::refuse(TimePoint now, const TicketRequest &request,
+                                              std::uint64_t &counter) const
 {
     const auto ticket = readTicket(request.ticket);
     if (!ticket || ticket->owner.daemon != m_self) {
@@ -167,14 +168,14 @@
     return std::nullopt;
 }
 
-void TicketOffice::addWaiter(std::uint64_t counter, Used &used, const TicketRequest &request)
+void TicketRegistry::addWaiter(std::uint64_t counter, Used &used, const TicketRequest &request)
 {
     used.waiters.push_back({ request.call, request.deadline });
     m_byCall[request.call] = counter;
     m_deadlines.emplace(request.deadline, request.call);
 }
 
-bool TicketOffice::start(TimePoint now, CallId call)
+bool TicketRegistry::start(TimePoint now, CallId call)
 {
     std::uint64_t counter = 0;
     Used *used = findByCall(call, counter);
@@ -186,8 +187,8 @@
     return true;
 }
 
-OnceActions TicketOffice::finished(TimePoint now, CallId call, const Verdict &verdict,
-                                   const HttpResponse &response)
+OnceActions TicketRegistry::finished(TimePoint now, CallId call, const Verdict &verdict,
+                                     const HttpResponse &response)
 {
     OnceActions actions;
     std::uint64_t counter = 0;
@@ -204,7 +205,7 @@
     return finish(now, std::move(actions));
 }
 
-OnceActions TicketOffice::notRun(TimePoint now, CallId call)
+OnceActions TicketRegistry::notRun(TimePoint now, CallId call)
 {
     OnceActions actions;
     std::uint64_t counter = 0;
@@ -218,7 +219,7 @@
     return finish(now, std::move(actions));
 }
 
-OnceActions TicketOffice::cancel(TimePoint now, CallId call)
+OnceActions TicketRegistry::cancel(TimePoint now, CallId call)
 {
     std::uint64_t counter = 0;
     Used *used = findByCall(call, counter);
@@ -237,7 +238,7 @@
     return finish(now, {});
 }
 
-OnceActions TicketOffice::tick(TimePoint now)
+OnceActions TicketRegistry::tick(TimePoint now)
 {
     OnceActions actions;
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
@@ -267,7 +268,7 @@
     return finish(now, std::move(actions));
 }
 
-void TicketOffice::grant(TimePoint now, std::uint64_t counter, OnceActions &actions)
+void TicketRegistry::grant(TimePoint now, std::uint64_t counter, OnceActions &actions)
 {
     Used &used = m_used[counter];
     while (!used.waiters.empty()) {
@@ -288,7 +289,7 @@
     m_usedOrder.erase(counter);
 }
 
-TicketOffice::Used *TicketOffice::findByCall(CallId call, std::uint64_t &counter)
+TicketRegistry::Used *TicketRegistry::findByCall(CallId call, std::uint64_t &counter)
 {
     const auto found = m_byCall.find(call);
     if (found == m_byCall.end()) {
@@ -299,13 +300,13 @@
     return used == m_used.end() ? nullptr : &used->second;
 }
 
-void TicketOffice::forget(const Waiter &waiter)
+void TicketRegistry::forget(const Waiter &waiter)
 {
     m_byCall.erase(waiter.call);
     m_deadlines.erase({ waiter.deadline, waiter.call });
 }
 
-void TicketOffice::replyAll(Used &used, const StoredOutcome &outcome, OnceActions &actions)
+void TicketRegistry::replyAll(Used &used, const StoredOutcome &outcome, OnceActions &actions)
 {
     for (const Waiter &waiter : std::exchange(used.waiters, {})) {
         forget(waiter);
@@ -313,7 +314,7 @@
     }
 }
 
-OnceActions TicketOffice::finish(TimePoint now, OnceActions actions) const
+OnceActions TicketRegistry::finish(TimePoint now, OnceActions actions) const
 {
     actions.wakeAt = now + IDLE;
     if (!m_deadlines.empty()) {
--- a/src/coordination/once/internal/ticketoffice.h
+++ b/src/coordination/once/internal/ticketregistry.h
@@ -13,11 +13,11 @@
 
 namespace ivyspar {
 
-class TicketOffice : public ITicketOffice
+class TicketRegistry : public ITicketRegistry
 {
 public:
-    TicketOffice(TimePoint now, const DaemonId &self, Incarnation incarnation,
-                 const TicketSecret &secret, const TicketOptions &options);
+    TicketRegistry(TimePoint now, const DaemonId &self, Incarnation incarnation,
+                   const TicketSecret &secret, const TicketOptions &options);
 
     std::string issue(TimePoint now) override;
     OnceActions request(TimePoint now, const TicketRequest &request) override;
--- a/src/coordination/once/iticketoffice.h
+++ b/src/coordination/once/iticketregistry.h
@@ -29,10 +29,10 @@
 /// A ticket ends with this run of the daemon. Its check value keeps callers from making up tickets
 /// or using another's by a slip; it is a keyed hash without cryptographic strength, and who forges
 /// one gains a request that runs at most once, as any caller may send. Plain object.
-class ITicketOffice
+class ITicketRegistry
 {
 public:
-    virtual ~ITicketOffice() = default;
+    virtual ~ITicketRegistry() = default;
 
     virtual std::string issue(TimePoint now) = 0;
     /// Replies at once, proceeds, or waits for the attempt that runs; as IOnceCoordinator.
--- a/src/coordination/once/oncefactory.h
+++ b/src/coordination/once/oncefactory.h
@@ -7,7 +7,7 @@
 
 #include "coordination/once/iclaimtable.h"
 #include "coordination/once/ioncecoordinator.h"
-#include "coordination/once/iticketoffice.h"
+#include "coordination/once/iticketregistry.h"
 #include "state/configuration.h"
 #include "state/result.h"
 
@@ -67,8 +67,9 @@
                                                       Incarnation incarnation,
                                                       std::uint64_t hashSeed,
                                                       const OnceOptions &options = {});
-std::unique_ptr<ITicketOffice> makeTicketOffice(TimePoint now, const DaemonId &self,
-                                                Incarnation incarnation, const TicketSecret &secret,
-                                                const TicketOptions &options = {});
+std::unique_ptr<ITicketRegistry> makeTicketRegistry(TimePoint now, const DaemonId &self,
+                                                    Incarnation incarnation,
+                                                    const TicketSecret &secret,
+                                                    const TicketOptions &options = {});
 
 } // namespace ivyspar
--- a/src/coordination/once/tests/ticketofficetest.cpp
+++ b/src/coordination/once/tests/ticketregistrytest.cpp
@@ -1,4 +1,4 @@
-#include "coordination/once/iticketoffice.h"
+#include "coordination/once/iticketregistry.h"
 
 #include "coordination/once/oncefactory.h"
 
@@ -7,13 +7,13 @@
 using namespace ivyspar;
 using namespace std::chrono_literals;
 
-TEST_GROUP(TicketOffice)
+TEST_GROUP(TicketRegistry)
 {
     TicketSecret secret{ 1, 2, 3 };
     TicketOptions options;
     TimePoint now{ std::chrono::hours(1) };
-    std::unique_ptr<ITicketOffice> office =
-        makeTicketOffice(now, DaemonId("rescue.desk-1"), Incarnation(7), secret, options);
+    std::unique_ptr<ITicketRegistry> registry =
+        makeTicketRegistry(now, DaemonId("rescue.desk-1"), Incarnation(7), secret, options);
     std::uint64_t calls = 0;
 
     TicketRequest present(const std::string &ticket, std::uint64_t fingerprint = 1)
@@ -24,7 +24,7 @@
     /// The refusal of a request that is refused at once.
     Verdict refusal(const TicketRequest &request)
     {
-        const OnceActions actions = office->request(now, request);
+        const OnceActions actions = registry->request(now, request);
         CHECK(actions.proceed.empty());
         CHECK_EQUAL(1, actions.replies.size());
         return actions.replies.front().verdict;
@@ -32,92 +32,92 @@
 
     void runOnce(const TicketRequest &request)
     {
-        CHECK(office->request(now, request).proceed.size() == 1);
-        CHECK(office->start(now, request.call));
+        CHECK(registry->request(now, request).proceed.size() == 1);
+        CHECK(registry->start(now, request.call));
         HttpResponse response;
         response.body = "booked";
-        office->finished(now, request.call, { Outcome::Answered, Reason::None, {} }, response);
+        registry->finished(now, request.call, { Outcome::Answered, Reason::None, {} }, response);
     }
 };
 
-TEST(TicketOffice, OwnerCanBeReadByAnyone)
+TEST(TicketRegistry, OwnerCanBeReadByAnyone)
 {
-    const auto owner = readTicketOwner(office->issue(now));
+    const auto owner = readTicketOwner(registry->issue(now));
     CHECK(owner->daemon == DaemonId("rescue.desk-1") && owner->incarnation == Incarnation(7));
     CHECK_FALSE(readTicketOwner("").has_value());
     CHECK_FALSE(readTicketOwner("a.b.c.d").has_value());
 }
 
-TEST(TicketOffice, TicketRunsOnceAndThenGivesTheStoredAnswer)
+TEST(TicketRegistry, TicketRunsOnceAndThenGivesTheStoredAnswer)
 {
-    const std::string ticket = office->issue(now);
+    const std::string ticket = registry->issue(now);
     runOnce(present(ticket));
-    const OnceActions again = office->request(now, present(ticket));
+    const OnceActions again = registry->request(now, present(ticket));
     CHECK(again.proceed.empty());
     STRCMP_EQUAL("booked", again.replies.front().response.body.c_str());
 }
 
-TEST(TicketOffice, SecondAttemptWaitsForTheFirst)
+TEST(TicketRegistry, SecondAttemptWaitsForTheFirst)
 {
-    const std::string ticket = office->issue(now);
+    const std::string ticket = registry->issue(now);
     const TicketRequest first = present(ticket);
-    office->request(now, first);
-    CHECK(office->start(now, first.call));
-    const OnceActions second = office->request(now, present(ticket));
+    registry->request(now, first);
+    CHECK(registry->start(now, first.call));
+    const OnceActions second = registry->request(now, present(ticket));
     CHECK(second.proceed.empty() && second.replies.empty());
     const OnceActions done =
-        office->finished(now, first.call, { Outcome::Answered, Reason::None, {} }, {});
+        registry->finished(now, first.call, { Outcome::Answered, Reason::None, {} }, {});
     CHECK(done.replies.size() == 1);
     CHECK(done.replies.front().verdict.outcome == Outcome::Answered);
 }
 
-TEST(TicketOffice, TicketOfARefusedCallCanBeUsedAgain)
+TEST(TicketRegistry, TicketOfARefusedCallCanBeUsedAgain)
 {
-    const std::string ticket = office->issue(now);
+    const std::string ticket = registry->issue(now);
     const TicketRequest first = present(ticket);
-    office->request(now, first);
-    CHECK(office->start(now, first.call));
-    office->notRun(now, first.call);
+    registry->request(now, first);
+    CHECK(registry->start(now, first.call));
+    registry->notRun(now, first.call);
     runOnce(present(ticket));
 }
 
-TEST(TicketOffice, MadeUpTicketsAreRefused)
+TEST(TicketRegistry, MadeUpTicketsAreRefused)
 {
-    std::string ticket = office->issue(now);
+    std::string ticket = registry->issue(now);
     ticket.back() = ticket.back() == '1' ? '2' : '1';
     CHECK(refusal(present(ticket)).reason == Reason::BadRequest);
     CHECK(refusal(present("rescue.desk-1.7.99.1")).reason == Reason::BadRequest);
     CHECK(refusal(present("other.7.1.1")).outcome == Outcome::NotRun);
 }
 
-TEST(TicketOffice, OtherRequestWithTheSameTicketIsRefused)
+TEST(TicketRegistry, OtherRequestWithTheSameTicketIsRefused)
 {
-    const std::string ticket = office->issue(now);
+    const std::string ticket = registry->issue(now);
     runOnce(present(ticket, 1));
     CHECK(refusal(present(ticket, 2)).reason == Reason::BadRequest);
 }
 
 // The daemon restarted, or the ticket is too old: it may have been used, and nobody knows.
-TEST(TicketOffice, WhatIsForgottenIsUnknown)
+TEST(TicketRegistry, WhatIsForgottenIsUnknown)
 {
-    const std::string ticket = office->issue(now);
+    const std::string ticket = registry->issue(now);
     const auto next =
-        makeTicketOffice(now, DaemonId("rescue.desk-1"), Incarnation(8), secret, options);
+        makeTicketRegistry(now, DaemonId("rescue.desk-1"), Incarnation(8), secret, options);
     const Verdict other = next->request(now, present(ticket)).replies.front().verdict;
     CHECK(other.outcome == Outcome::Unknown && other.reason == Reason::KeyHolderGone);
 
     for (int i = 0; i < 200; ++i) {
         now += options.lifetime / 50;
-        office->issue(now);
-        office->tick(now);
+        registry->issue(now);
+        registry->tick(now);
     }
     CHECK(refusal(present(ticket)).outcome == Outcome::Unknown);
 }
 
 // The process was frozen between taking the ticket and sending the booking.
-TEST(TicketOffice, NothingStartsAfterTheDeadline)
+TEST(TicketRegistry, NothingStartsAfterTheDeadline)
 {
-    const TicketRequest request = present(office->issue(now));
-    CHECK(office->request(now, request).proceed.size() == 1);
-    CHECK_FALSE(office->start(now + 2s, request.call));
+    const TicketRequest request = present(registry->issue(now));
+    CHECK(registry->request(now, request).proceed.size() == 1);
+    CHECK_FALSE(registry->start(now + 2s, request.call));
 }
