--- a/src/coordination/once/internal/ticketregistry.cpp
+++ b/src/coordination/once/internal/ticketregistry.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr char SEPARATOR = '.';
-constexpr int MARKS_PER_LIFETIME = 100;
-constexpr Duration IDLE{ std::chrono::seconds(1) };
+constexpr int ISSUE_SAMPLES_PER_LIFETIME = 100;
+constexpr Duration IDLE_TICK_INTERVAL{ std::chrono::seconds(1) };
 
 struct Ticket
 {
     TicketOwner owner;
     std::uint64_t counter = 0;
-    std::uint64_t check = 0;
+    std::uint64_t checkValue = 0;
 };
 
 bool readNumber(const std::string &text, std::uint64_t &value)
@@ -44,10 +44,10 @@
 {
     Ticket ticket;
     std::uint64_t incarnation = 0;
-    const bool isGood = readNumber(takeField(text), ticket.check)
+    const bool isValid = readNumber(takeField(text), ticket.checkValue)
         && readNumber(takeField(text), ticket.counter) && readNumber(takeField(text), incarnation)
         && !text.empty();
-    if (!isGood) {
+    if (!isValid) {
         return std::nullopt;
     }
     ticket.owner = { DaemonId(text), Incarnation(incarnation) };
@@ -94,20 +94,20 @@
     , m_secret(secret)
     , m_answers(options.maxStoredBytes, options.maxAnswerBytes)
 {
-    m_marks.emplace_back(0, now);
+    m_issueSamples.emplace_back(0, now);
 }
 
 std::string TicketRegistry::issue(TimePoint now)
 {
-    if (now - m_marks.back().second >= m_options.lifetime / MARKS_PER_LIFETIME) {
-        m_marks.emplace_back(m_last, now);
+    if (now - m_issueSamples.back().second >= m_options.lifetime / ISSUE_SAMPLES_PER_LIFETIME) {
+        m_issueSamples.emplace_back(m_lastCounter, now);
     }
-    const std::uint64_t counter = ++m_last;
+    const std::uint64_t counter = ++m_lastCounter;
     return m_self.value() + SEPARATOR + std::to_string(m_incarnation.value()) + SEPARATOR
-        + std::to_string(counter) + SEPARATOR + std::to_string(checkOf(counter));
+        + std::to_string(counter) + SEPARATOR + std::to_string(checkValueOf(counter));
 }
 
-std::uint64_t TicketRegistry::checkOf(std::uint64_t counter) const
+std::uint64_t TicketRegistry::checkValueOf(std::uint64_t counter) const
 {
     const std::string text = m_self.value() + SEPARATOR + std::to_string(m_incarnation.value())
         + SEPARATOR + std::to_string(counter);
@@ -120,28 +120,28 @@
     std::uint64_t counter = 0;
     if (const auto verdict = refuse(now, request, counter)) {
         actions.replies.push_back({ request.call, *verdict, {}, {} });
-        return finish(now, std::move(actions));
+        return withWakeTime(now, std::move(actions));
     }
-    const auto [found, isNew] = m_used.try_emplace(counter);
-    Used &used = found->second;
+    const auto [found, isNew] = m_usedTickets.try_emplace(counter);
+    UsedTicket &used = found->second;
     if (isNew) {
         used.fingerprint = request.fingerprint;
-        m_usedOrder.insert(counter);
+        m_usedCounters.insert(counter);
     }
     if (used.fingerprint != request.fingerprint) {
         const Verdict verdict = makeVerdict(Outcome::NotRun, Reason::BadRequest);
         actions.replies.push_back({ request.call, verdict, {}, {} });
-        return finish(now, std::move(actions));
+        return withWakeTime(now, std::move(actions));
     }
     if (used.isDone) {
         actions.replies.push_back(makeReply(request.call, m_answers.get(counter), m_self));
-        return finish(now, std::move(actions));
+        return withWakeTime(now, std::move(actions));
     }
     addWaiter(counter, used, request);
     if (!used.runner) {
-        grant(now, counter, actions);
+        grantNext(now, counter, actions);
     }
-    return finish(now, std::move(actions));
+    return withWakeTime(now, std::move(actions));
 }
 
 std::optional<Verdict> TicketRegistry::refuse(TimePoint now, const TicketRequest &request,
@@ -152,23 +152,24 @@
         return makeVerdict(Outcome::NotRun, Reason::BadRequest);
     }
     counter = ticket->counter;
-    if (ticket->owner.incarnation != m_incarnation || counter <= m_expired) {
+    if (ticket->owner.incarnation != m_incarnation || counter <= m_lastExpiredCounter) {
         // Whether it was used is no longer known.
         return makeVerdict(Outcome::Unknown, Reason::KeyHolderGone);
     }
-    if (counter > m_last || ticket->check != checkOf(counter)) {
+    if (counter > m_lastCounter || ticket->checkValue != checkValueOf(counter)) {
         return makeVerdict(Outcome::NotRun, Reason::BadRequest);
     }
     if (now >= request.deadline) {
         return makeVerdict(Outcome::NotRun, Reason::DeadlineExceeded);
     }
-    if (m_used.size() >= m_options.maxUsed && m_used.count(counter) == 0) {
+    if (m_usedTickets.size() >= m_options.maxUsedTickets && m_usedTickets.count(counter) == 0) {
         return makeVerdict(Outcome::NotRun, Reason::QueueFull);
     }
     return std::nullopt;
 }
 
-void TicketRegistry::addWaiter(std::uint64_t counter, Used &used, const TicketRequest &request)
+void TicketRegistry::addWaiter(std::uint64_t counter, UsedTicket &used,
+                               const TicketRequest &request)
 {
     used.waiters.push_back({ request.call, request.deadline });
     m_byCall[request.call] = counter;
@@ -178,7 +179,7 @@
 bool TicketRegistry::start(TimePoint now, CallId call)
 {
     std::uint64_t counter = 0;
-    Used *used = findByCall(call, counter);
+    UsedTicket *used = findByCall(call, counter);
     const bool isRunner = used && used->runner && used->runner->call == call;
     if (!isRunner || used->isStarted || now >= used->runner->deadline) {
         return false;
@@ -192,9 +193,9 @@
 {
     OnceActions actions;
     std::uint64_t counter = 0;
-    Used *used = findByCall(call, counter);
+    UsedTicket *used = findByCall(call, counter);
     if (!used || !used->runner || used->runner->call != call) {
-        return finish(now, std::move(actions));
+        return withWakeTime(now, std::move(actions));
     }
     m_byCall.erase(call);
     used->runner.reset();
@@ -202,40 +203,40 @@
     const StoredOutcome outcome{ verdict, response };
     m_answers.put(counter, outcome);
     replyAll(*used, outcome, actions);
-    return finish(now, std::move(actions));
+    return withWakeTime(now, std::move(actions));
 }
 
 OnceActions TicketRegistry::notRun(TimePoint now, CallId call)
 {
     OnceActions actions;
     std::uint64_t counter = 0;
-    Used *used = findByCall(call, counter);
+    UsedTicket *used = findByCall(call, counter);
     if (used && used->runner && used->runner->call == call) {
         m_byCall.erase(call);
         used->runner.reset();
         used->isStarted = false;
-        grant(now, counter, actions);
+        grantNext(now, counter, actions);
     }
-    return finish(now, std::move(actions));
+    return withWakeTime(now, std::move(actions));
 }
 
 OnceActions TicketRegistry::cancel(TimePoint now, CallId call)
 {
     std::uint64_t counter = 0;
-    Used *used = findByCall(call, counter);
+    UsedTicket *used = findByCall(call, counter);
     if (!used) {
-        return finish(now, {});
+        return withWakeTime(now, {});
     }
     if (used->runner && used->runner->call == call) {
-        return used->isStarted ? finish(now, {}) : notRun(now, call);
+        return used->isStarted ? withWakeTime(now, {}) : notRun(now, call);
     }
     const auto found = std::find_if(used->waiters.begin(), used->waiters.end(),
                                     [call](const Waiter &waiter) { return waiter.call == call; });
     if (found != used->waiters.end()) {
-        forget(*found);
+        removeFromIndexes(*found);
         used->waiters.erase(found);
     }
-    return finish(now, {});
+    return withWakeTime(now, {});
 }
 
 OnceActions TicketRegistry::tick(TimePoint now)
@@ -248,13 +249,13 @@
         actions.replies.push_back({ call, verdict, {}, m_self });
         cancel(now, call);
     }
-    while (m_marks.size() > 1 && now - m_marks[1].second >= m_options.lifetime) {
-        m_marks.pop_front();
-        m_expired = m_marks.front().first;
+    while (m_issueSamples.size() > 1 && now - m_issueSamples[1].second >= m_options.lifetime) {
+        m_issueSamples.pop_front();
+        m_lastExpiredCounter = m_issueSamples.front().first;
     }
-    while (!m_usedOrder.empty() && *m_usedOrder.begin() <= m_expired) {
-        const std::uint64_t counter = *m_usedOrder.begin();
-        Used &used = m_used[counter];
+    while (!m_usedCounters.empty() && *m_usedCounters.begin() <= m_lastExpiredCounter) {
+        const std::uint64_t counter = *m_usedCounters.begin();
+        UsedTicket &used = m_usedTickets[counter];
         StoredOutcome lost;
         lost.verdict = makeVerdict(Outcome::Unknown, Reason::KeyHolderGone);
         replyAll(used, lost, actions);
@@ -262,15 +263,15 @@
             m_byCall.erase(used.runner->call);
         }
         m_answers.erase(counter);
-        m_used.erase(counter);
-        m_usedOrder.erase(m_usedOrder.begin());
+        m_usedTickets.erase(counter);
+        m_usedCounters.erase(m_usedCounters.begin());
     }
-    return finish(now, std::move(actions));
+    return withWakeTime(now, std::move(actions));
 }
 
-void TicketRegistry::grant(TimePoint now, std::uint64_t counter, OnceActions &actions)
+void TicketRegistry::grantNext(TimePoint now, std::uint64_t counter, OnceActions &actions)
 {
-    Used &used = m_used[counter];
+    UsedTicket &used = m_usedTickets[counter];
     while (!used.waiters.empty()) {
         const Waiter next = used.waiters.front();
         used.waiters.erase(used.waiters.begin());
@@ -285,38 +286,38 @@
         actions.replies.push_back({ next.call, verdict, {}, {} });
     }
     // Nobody ran it, and nobody waits: the ticket is as good as new.
-    m_used.erase(counter);
-    m_usedOrder.erase(counter);
+    m_usedTickets.erase(counter);
+    m_usedCounters.erase(counter);
 }
 
-TicketRegistry::Used *TicketRegistry::findByCall(CallId call, std::uint64_t &counter)
+TicketRegistry::UsedTicket *TicketRegistry::findByCall(CallId call, std::uint64_t &counter)
 {
     const auto found = m_byCall.find(call);
     if (found == m_byCall.end()) {
         return nullptr;
     }
     counter = found->second;
-    const auto used = m_used.find(counter);
-    return used == m_used.end() ? nullptr : &used->second;
+    const auto used = m_usedTickets.find(counter);
+    return used == m_usedTickets.end() ? nullptr : &used->second;
 }
 
-void TicketRegistry::forget(const Waiter &waiter)
+void TicketRegistry::removeFromIndexes(const Waiter &waiter)
 {
     m_byCall.erase(waiter.call);
     m_deadlines.erase({ waiter.deadline, waiter.call });
 }
 
-void TicketRegistry::replyAll(Used &used, const StoredOutcome &outcome, OnceActions &actions)
+void TicketRegistry::replyAll(UsedTicket &used, const StoredOutcome &outcome, OnceActions &actions)
 {
     for (const Waiter &waiter : std::exchange(used.waiters, {})) {
-        forget(waiter);
+        removeFromIndexes(waiter);
         actions.replies.push_back(makeReply(waiter.call, outcome, m_self));
     }
 }
 
-OnceActions TicketRegistry::finish(TimePoint now, OnceActions actions) const
+OnceActions TicketRegistry::withWakeTime(TimePoint now, OnceActions actions) const
 {
-    actions.wakeAt = now + IDLE;
+    actions.wakeAt = now + IDLE_TICK_INTERVAL;
     if (!m_deadlines.empty()) {
         actions.wakeAt = std::min(actions.wakeAt, m_deadlines.begin()->first);
     }
--- a/src/coordination/once/internal/ticketregistry.h
+++ b/src/coordination/once/internal/ticketregistry.h
@@ -35,7 +35,7 @@
         TimePoint deadline;
     };
     /// A ticket that was presented.
-    struct Used
+    struct UsedTicket
     {
         RequestFingerprint fingerprint;
         std::optional<Waiter> runner;
@@ -44,16 +44,16 @@
         std::vector<Waiter> waiters;
     };
 
-    std::uint64_t checkOf(std::uint64_t counter) const;
+    std::uint64_t checkValueOf(std::uint64_t counter) const;
     /// Why a request with the ticket is refused; none, and the counter, when it is good.
     std::optional<Verdict> refuse(TimePoint now, const TicketRequest &request,
                                   std::uint64_t &counter) const;
-    void addWaiter(std::uint64_t counter, Used &used, const TicketRequest &request);
-    void grant(TimePoint now, std::uint64_t counter, OnceActions &actions);
-    Used *findByCall(CallId call, std::uint64_t &counter);
-    void forget(const Waiter &waiter);
-    void replyAll(Used &used, const StoredOutcome &outcome, OnceActions &actions);
-    OnceActions finish(TimePoint now, OnceActions actions) const;
+    void addWaiter(std::uint64_t counter, UsedTicket &used, const TicketRequest &request);
+    void grantNext(TimePoint now, std::uint64_t counter, OnceActions &actions);
+    UsedTicket *findByCall(CallId call, std::uint64_t &counter);
+    void removeFromIndexes(const Waiter &waiter);
+    void replyAll(UsedTicket &used, const StoredOutcome &outcome, OnceActions &actions);
+    OnceActions withWakeTime(TimePoint now, OnceActions actions) const;
 
     const TicketOptions m_options;
     const DaemonId m_self;
@@ -61,13 +61,13 @@
     const TicketSecret m_secret;
     AnswerStore m_answers;
 
-    std::uint64_t m_last = 0;
+    std::uint64_t m_lastCounter = 0;
     /// Tickets up to this one have expired.
-    std::uint64_t m_expired = 0;
+    std::uint64_t m_lastExpiredCounter = 0;
     /// At `second`, the last ticket handed out was `first`.
-    std::deque<std::pair<std::uint64_t, TimePoint>> m_marks;
-    std::unordered_map<std::uint64_t, Used> m_used;
-    std::set<std::uint64_t> m_usedOrder;
+    std::deque<std::pair<std::uint64_t, TimePoint>> m_issueSamples;
+    std::unordered_map<std::uint64_t, UsedTicket> m_usedTickets;
+    std::set<std::uint64_t> m_usedCounters;
     std::unordered_map<CallId, std::uint64_t> m_byCall;
     std::set<std::pair<TimePoint, CallId>> m_deadlines;
 };
--- a/src/coordination/once/oncefactory.h
+++ b/src/coordination/once/oncefactory.h
@@ -53,7 +53,7 @@
 struct TicketOptions
 {
     Duration lifetime = std::chrono::minutes(30);
-    std::size_t maxUsed = 20000;
+    std::size_t maxUsedTickets = 20000;
     std::size_t maxStoredBytes = 2 * 1024 * 1024;
     std::size_t maxAnswerBytes = 64 * 1024;
 };
