--- a/src/coordination/once/internal/onceexecutor.cpp
+++ b/src/coordination/once/internal/onceexecutor.cpp
@@ -67,7 +67,7 @@
     , m_self(self)
     , m_incarnation(incarnation)
     , m_table(makeClaimTable(options, hashSeed))
-    , m_answers(options.maxStoredBytes, options.maxAnswerBytes)
+    , m_outcomeCache(options.maxOutcomeCacheBytes, options.maxOutcomeBytes)
     , m_nextAppend(now)
     , m_nextRead(now)
     , m_logDownUntil(now)
@@ -145,7 +145,7 @@
         addWaiter(id, work, request);
         return actions;
     }
-    StoredOutcome stored = m_answers.get(id);
+    StoredOutcome stored = m_outcomeCache.get(id);
     OnceReply reply = makeReply(request.call, stored.verdict);
     reply.response = std::move(stored.response);
     reply.holder = m_self;
@@ -189,7 +189,7 @@
     m_byCall.erase(call);
     work->runner.reset();
     work->stage = Stage::Done;
-    m_answers.put(id, { verdict, response });
+    m_outcomeCache.put(id, { verdict, response });
     for (const Waiter &waiter : std::exchange(work->waiters, {})) {
         m_byCall.erase(waiter.call);
         m_deadlines.erase({ waiter.deadline, waiter.call });
@@ -357,7 +357,7 @@
         if (work.runner) {
             m_byCall.erase(work.runner->call);
         }
-        m_answers.erase(id);
+        m_outcomeCache.erase(id);
         m_byNonce.erase(work.nonce);
         m_byKey.erase({ work.rule, work.key });
         m_works.erase(found);
--- a/src/coordination/once/internal/onceexecutor.h
+++ b/src/coordination/once/internal/onceexecutor.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/once/internal/answerstore.h"
+#include "coordination/once/internal/outcomecache.h"
 #include "coordination/once/oncefactory.h"
 
 namespace ivyspar {
@@ -126,7 +126,7 @@
     const DaemonId m_self;
     const Incarnation m_incarnation;
     std::unique_ptr<IClaimTable> m_table;
-    AnswerStore m_answers;
+    OutcomeCache m_outcomeCache;
 
     std::uint64_t m_lastNonce = 0;
     WorkId m_lastWork = 0;
--- a/src/coordination/once/internal/answerstore.cpp
+++ b/src/coordination/once/internal/outcomecache.cpp
@@ -1,14 +1,14 @@
-#include "coordination/once/internal/answerstore.h"
+#include "coordination/once/internal/outcomecache.h"
 
 namespace ivyspar {
 
 namespace {
 
-constexpr std::size_t OUTCOME_BYTES = 128;
+constexpr std::size_t OUTCOME_OVERHEAD_BYTES = 128;
 
 std::size_t sizeOf(const StoredOutcome &outcome)
 {
-    std::size_t bytes = OUTCOME_BYTES + outcome.response.body.size();
+    std::size_t bytes = OUTCOME_OVERHEAD_BYTES + outcome.response.body.size();
     for (const HttpHeader &header : outcome.response.headers) {
         bytes += header.name.size() + header.value.size();
     }
@@ -17,16 +17,16 @@
 
 } // namespace
 
-AnswerStore::AnswerStore(std::size_t maxBytes, std::size_t maxAnswerBytes)
+OutcomeCache::OutcomeCache(std::size_t maxBytes, std::size_t maxOutcomeBytes)
     : m_maxBytes(maxBytes)
-    , m_maxAnswerBytes(maxAnswerBytes)
+    , m_maxOutcomeBytes(maxOutcomeBytes)
 {
 }
 
-void AnswerStore::put(std::uint64_t id, StoredOutcome outcome)
+void OutcomeCache::put(std::uint64_t id, StoredOutcome outcome)
 {
     const std::size_t bytes = sizeOf(outcome);
-    if (bytes > m_maxAnswerBytes) {
+    if (bytes > m_maxOutcomeBytes) {
         return;
     }
     m_bytes += bytes;
@@ -38,7 +38,7 @@
     }
 }
 
-StoredOutcome AnswerStore::get(std::uint64_t id) const
+StoredOutcome OutcomeCache::get(std::uint64_t id) const
 {
     const auto found = m_outcomes.find(id);
     if (found == m_outcomes.end()) {
@@ -50,7 +50,7 @@
     return found->second.first;
 }
 
-void AnswerStore::erase(std::uint64_t id)
+void OutcomeCache::erase(std::uint64_t id)
 {
     const auto found = m_outcomes.find(id);
     if (found == m_outcomes.end()) {
--- a/src/coordination/once/internal/answerstore.h
+++ b/src/coordination/once/internal/outcomecache.h
@@ -18,10 +18,10 @@
 };
 
 /// Keeps the ends of runs, with a bound on bytes: beyond it the oldest answers are dropped.
-class AnswerStore
+class OutcomeCache
 {
 public:
-    AnswerStore(std::size_t maxBytes, std::size_t maxAnswerBytes);
+    OutcomeCache(std::size_t maxBytes, std::size_t maxOutcomeBytes);
 
     /// `id` is new in each call.
     void put(std::uint64_t id, StoredOutcome outcome);
@@ -32,7 +32,7 @@
 
 private:
     std::size_t m_maxBytes;
-    std::size_t m_maxAnswerBytes;
+    std::size_t m_maxOutcomeBytes;
     std::size_t m_bytes = 0;
     std::unordered_map<std::uint64_t, std::pair<StoredOutcome, std::size_t>> m_outcomes;
     std::deque<std::uint64_t> m_order;
--- a/src/coordination/once/internal/ticketregistry.cpp
+++ b/src/coordination/once/internal/ticketregistry.cpp
@@ -92,7 +92,7 @@
     , m_self(self)
     , m_incarnation(incarnation)
     , m_secret(secret)
-    , m_answers(options.maxStoredBytes, options.maxAnswerBytes)
+    , m_outcomeCache(options.maxOutcomeCacheBytes, options.maxOutcomeBytes)
 {
     m_issueSamples.emplace_back(0, now);
 }
@@ -134,7 +134,7 @@
         return withWakeTime(now, std::move(actions));
     }
     if (used.isDone) {
-        actions.replies.push_back(makeReply(request.call, m_answers.get(counter), m_self));
+        actions.replies.push_back(makeReply(request.call, m_outcomeCache.get(counter), m_self));
         return withWakeTime(now, std::move(actions));
     }
     addWaiter(counter, used, request);
@@ -201,7 +201,7 @@
     used->runner.reset();
     used->isDone = true;
     const StoredOutcome outcome{ verdict, response };
-    m_answers.put(counter, outcome);
+    m_outcomeCache.put(counter, outcome);
     replyAll(*used, outcome, actions);
     return withWakeTime(now, std::move(actions));
 }
@@ -262,7 +262,7 @@
         if (used.runner) {
             m_byCall.erase(used.runner->call);
         }
-        m_answers.erase(counter);
+        m_outcomeCache.erase(counter);
         m_usedTickets.erase(counter);
         m_usedCounters.erase(m_usedCounters.begin());
     }
--- a/src/coordination/once/internal/ticketregistry.h
+++ b/src/coordination/once/internal/ticketregistry.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/once/internal/answerstore.h"
+#include "coordination/once/internal/outcomecache.h"
 #include "coordination/once/oncefactory.h"
 
 namespace ivyspar {
@@ -59,7 +59,7 @@
     const DaemonId m_self;
     const Incarnation m_incarnation;
     const TicketSecret m_secret;
-    AnswerStore m_answers;
+    OutcomeCache m_outcomeCache;
 
     std::uint64_t m_lastCounter = 0;
     /// Tickets up to this one have expired.
--- a/src/coordination/once/oncefactory.h
+++ b/src/coordination/once/oncefactory.h
@@ -42,8 +42,8 @@
     std::size_t maxWorks = 20000;
     std::size_t maxTableEntries = 150000;
     /// Bytes of stored answers in all, and of a single one.
-    std::size_t maxStoredBytes = 4 * 1024 * 1024;
-    std::size_t maxAnswerBytes = 64 * 1024;
+    std::size_t maxOutcomeCacheBytes = 4 * 1024 * 1024;
+    std::size_t maxOutcomeBytes = 64 * 1024;
 };
 
 /// Fails with `InvalidArgument` when the log keeps records for less than the window: claims would
@@ -54,8 +54,8 @@
 {
     Duration lifetime = std::chrono::minutes(30);
     std::size_t maxUsedTickets = 20000;
-    std::size_t maxStoredBytes = 2 * 1024 * 1024;
-    std::size_t maxAnswerBytes = 64 * 1024;
+    std::size_t maxOutcomeCacheBytes = 2 * 1024 * 1024;
+    std::size_t maxOutcomeBytes = 64 * 1024;
 };
 
 /// Random bytes that only this run of the daemon knows.
