--- a/src/coordination/once/internal/onceexecutor.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -1,4 +1,4 @@
-#include "coordination/once/internal/onceexecutor.h"
+#include "coordination/once/internal/oncecoordinator.h"
 
 #include <algorithm>
 
@@ -58,11 +58,11 @@
                                                       std::uint64_t hashSeed,
                                                       const OnceOptions &options)
 {
-    return std::make_unique<OnceExecutor>(now, self, incarnation, hashSeed, options);
+    return std::make_unique<OnceCoordinator>(now, self, incarnation, hashSeed, options);
 }
 
-OnceExecutor::OnceExecutor(TimePoint now, const DaemonId &self, Incarnation incarnation,
-                           std::uint64_t hashSeed, const OnceOptions &options)
+OnceCoordinator::OnceCoordinator(TimePoint now, const DaemonId &self, Incarnation incarnation,
+                                 std::uint64_t hashSeed, const OnceOptions &options)
     : m_options(options)
     , m_self(self)
     , m_incarnation(incarnation)
@@ -74,7 +74,7 @@
 {
 }
 
-OnceActions OnceExecutor::request(TimePoint now, const OnceRequest &request)
+OnceActions OnceCoordinator::request(TimePoint now, const OnceRequest &request)
 {
     OnceActions actions;
     m_table->advanceHorizon(now);
@@ -103,7 +103,8 @@
     return finish(now, std::move(actions));
 }
 
-std::optional<OnceReply> OnceExecutor::refuseEarly(TimePoint now, const OnceRequest &request) const
+std::optional<OnceReply> OnceCoordinator::refuseEarly(TimePoint now,
+                                                      const OnceRequest &request) const
 {
     if (request.key.value().empty() || request.key.value().size() > m_options.maxKeyBytes) {
         return makeReply(request.call, notRunVerdict(Reason::BadRequest));
@@ -121,7 +122,7 @@
 }
 
 /// A claim that the log already shows saves an append that would only lose.
-std::optional<OnceReply> OnceExecutor::refuseHeld(const OnceRequest &request) const
+std::optional<OnceReply> OnceCoordinator::refuseHeld(const OnceRequest &request) const
 {
     const auto holder = m_table->holder(request.rule, request.key);
     if (!holder) {
@@ -134,7 +135,7 @@
     return busyReply(request.call, *holder);
 }
 
-OnceActions OnceExecutor::join(Work &work, WorkId id, const OnceRequest &request)
+OnceActions OnceCoordinator::join(Work &work, WorkId id, const OnceRequest &request)
 {
     OnceActions actions;
     if (work.fingerprint != request.fingerprint) {
@@ -153,7 +154,7 @@
     return actions;
 }
 
-void OnceExecutor::addWaiter(WorkId id, Work &work, const OnceRequest &request)
+void OnceCoordinator::addWaiter(WorkId id, Work &work, const OnceRequest &request)
 {
     work.waiters.push_back({ request.call, request.deadline });
     m_byCall[request.call] = id;
@@ -163,7 +164,7 @@
 /// A process that was frozen between the claim and this point may have been given up by all others,
 /// and its key may have run elsewhere by now. Both limits are far below the time after which
 /// others let the claim pass, and they are checked in the step that sends.
-bool OnceExecutor::start(TimePoint now, CallId call)
+bool OnceCoordinator::start(TimePoint now, CallId call)
 {
     WorkId id = 0;
     Work *work = findByCall(call, id);
@@ -177,8 +178,8 @@
     return true;
 }
 
-OnceActions OnceExecutor::finished(TimePoint now, CallId call, const Verdict &verdict,
-                                   const HttpResponse &response)
+OnceActions OnceCoordinator::finished(TimePoint now, CallId call, const Verdict &verdict,
+                                      const HttpResponse &response)
 {
     OnceActions actions;
     WorkId id = 0;
@@ -201,7 +202,7 @@
     return finish(now, std::move(actions));
 }
 
-OnceActions OnceExecutor::notRun(TimePoint now, CallId call)
+OnceActions OnceCoordinator::notRun(TimePoint now, CallId call)
 {
     OnceActions actions;
     WorkId id = 0;
@@ -215,7 +216,7 @@
     return finish(now, std::move(actions));
 }
 
-OnceActions OnceExecutor::cancel(TimePoint now, CallId call)
+OnceActions OnceCoordinator::cancel(TimePoint now, CallId call)
 {
     WorkId id = 0;
     Work *work = findByCall(call, id);
@@ -232,12 +233,12 @@
     return finish(now, {});
 }
 
-void OnceExecutor::setMember(const DaemonId &daemon, std::optional<Incarnation> incarnation)
+void OnceCoordinator::setMember(const DaemonId &daemon, std::optional<Incarnation> incarnation)
 {
     m_members[daemon] = incarnation;
 }
 
-OnceActions OnceExecutor::tick(TimePoint now)
+OnceActions OnceCoordinator::tick(TimePoint now)
 {
     OnceActions actions;
     m_table->advanceHorizon(now);
@@ -248,7 +249,7 @@
 }
 
 /// Lets the next attempt run, or gives the claim back.
-void OnceExecutor::grant(TimePoint now, WorkId id, OnceActions &actions)
+void OnceCoordinator::grant(TimePoint now, WorkId id, OnceActions &actions)
 {
     Work &work = m_works[id];
     const bool isInTime = now - *work.firstSent < m_options.startWindow;
@@ -268,8 +269,8 @@
     dropWork(now, id);
 }
 
-void OnceExecutor::refuseAll(Work &work, const Verdict &verdict, const DaemonId &holder,
-                             OnceActions &actions)
+void OnceCoordinator::refuseAll(Work &work, const Verdict &verdict, const DaemonId &holder,
+                                OnceActions &actions)
 {
     for (const Waiter &waiter : std::exchange(work.waiters, {})) {
         m_byCall.erase(waiter.call);
@@ -280,7 +281,7 @@
     }
 }
 
-void OnceExecutor::dropWork(TimePoint now, WorkId id)
+void OnceCoordinator::dropWork(TimePoint now, WorkId id)
 {
     const auto found = m_works.find(id);
     abandonClaim(now, found->second);
@@ -291,7 +292,7 @@
 
 /// The nonce will never run from here on. Its claim may be in the log, or reach it later, and would
 /// block the key; it is released as soon as it shows up.
-void OnceExecutor::abandonClaim(TimePoint now, const Work &work)
+void OnceCoordinator::abandonClaim(TimePoint now, const Work &work)
 {
     m_byNonce.erase(work.nonce);
     if (work.copies == 0) {
@@ -309,7 +310,7 @@
     m_toRelease.insert(work.nonce);
 }
 
-void OnceExecutor::removeWaiter(Work &work, CallId call)
+void OnceCoordinator::removeWaiter(Work &work, CallId call)
 {
     const auto found = std::find_if(work.waiters.begin(), work.waiters.end(),
                                     [call](const Waiter &waiter) { return waiter.call == call; });
@@ -321,7 +322,7 @@
     work.waiters.erase(found);
 }
 
-void OnceExecutor::expireWaiters(TimePoint now, OnceActions &actions)
+void OnceCoordinator::expireWaiters(TimePoint now, OnceActions &actions)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
         const CallId call = m_deadlines.begin()->second;
@@ -343,7 +344,7 @@
 }
 
 /// After the window the claim is passed over by everyone, and nothing is to be remembered of it.
-void OnceExecutor::expireWorks(TimePoint now, OnceActions &actions)
+void OnceCoordinator::expireWorks(TimePoint now, OnceActions &actions)
 {
     while (!m_expiry.empty() && m_expiry.front().first <= now) {
         const WorkId id = m_expiry.front().second;
@@ -368,7 +369,7 @@
     }
 }
 
-OnceReply OnceExecutor::busyReply(CallId call, const ClaimHolder &holder) const
+OnceReply OnceCoordinator::busyReply(CallId call, const ClaimHolder &holder) const
 {
     const Reason reason = isGone(holder) ? Reason::KeyHolderGone : Reason::KeyBusy;
     OnceReply reply = makeReply(call, unknownVerdict(reason));
@@ -376,7 +377,7 @@
     return reply;
 }
 
-bool OnceExecutor::isGone(const ClaimHolder &holder) const
+bool OnceCoordinator::isGone(const ClaimHolder &holder) const
 {
     if (holder.daemon == m_self) {
         // No work is known here, or the attempt would have joined it.
@@ -389,7 +390,7 @@
     return !member->second || *member->second > holder.incarnation;
 }
 
-OnceExecutor::Work *OnceExecutor::findByCall(CallId call, WorkId &id)
+OnceCoordinator::Work *OnceCoordinator::findByCall(CallId call, WorkId &id)
 {
     const auto found = m_byCall.find(call);
     if (found == m_byCall.end()) {
--- a/src/coordination/once/internal/onceexecutor.h
+++ b/src/coordination/once/internal/oncecoordinator.h
@@ -15,11 +15,11 @@
 
 namespace ivyspar {
 
-class OnceExecutor : public IOnceCoordinator
+class OnceCoordinator : public IOnceCoordinator
 {
 public:
-    OnceExecutor(TimePoint now, const DaemonId &self, Incarnation incarnation,
-                 std::uint64_t hashSeed, const OnceOptions &options);
+    OnceCoordinator(TimePoint now, const DaemonId &self, Incarnation incarnation,
+                    std::uint64_t hashSeed, const OnceOptions &options);
 
     OnceActions request(TimePoint now, const OnceRequest &request) override;
     bool start(TimePoint now, CallId call) override;
--- a/src/coordination/once/internal/onceexecutorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -1,7 +1,7 @@
-// The part of OnceExecutor that speaks to the log.
+// The part of OnceCoordinator that speaks to the log.
 #include <algorithm>
 
-#include "coordination/once/internal/onceexecutor.h"
+#include "coordination/once/internal/oncecoordinator.h"
 
 namespace ivyspar {
 
@@ -18,7 +18,7 @@
 
 } // namespace
 
-OnceActions OnceExecutor::appendDone(TimePoint now, AppendId id, LogOffset offset)
+OnceActions OnceCoordinator::appendDone(TimePoint now, AppendId id, LogOffset offset)
 {
     if (!m_inFlight || m_inFlight->id != id) {
         return finish(now, {});
@@ -42,7 +42,7 @@
     return finish(now, {});
 }
 
-OnceActions OnceExecutor::appendFailed(TimePoint now, AppendId id, AppendFailure failure)
+OnceActions OnceCoordinator::appendFailed(TimePoint now, AppendId id, AppendFailure failure)
 {
     OnceActions actions;
     if (!m_inFlight || m_inFlight->id != id) {
@@ -81,7 +81,7 @@
 }
 
 /// The log is down: what waits for its turn to be appended is refused at once.
-void OnceExecutor::refuseQueued(TimePoint now, OnceActions &actions)
+void OnceCoordinator::refuseQueued(TimePoint now, OnceActions &actions)
 {
     std::vector<WorkId> refused;
     for (const ClaimEntry &entry : m_outgoing) {
@@ -103,7 +103,7 @@
     }
 }
 
-OnceActions OnceExecutor::readFailed(TimePoint now)
+OnceActions OnceCoordinator::readFailed(TimePoint now)
 {
     m_readSent.reset();
     m_nextRead = now + m_options.logBackoff;
@@ -117,7 +117,7 @@
     return finish(now, std::move(actions));
 }
 
-OnceActions OnceExecutor::recordsRead(TimePoint now, const ClaimPage &page)
+OnceActions OnceCoordinator::recordsRead(TimePoint now, const ClaimPage &page)
 {
     OnceActions actions;
     const TimePoint issued = m_readSent.value_or(now);
@@ -149,7 +149,7 @@
 
 /// Finds where to start: the horizon that the last batch states. Older records are not needed, so a
 /// daemon that starts reads one window, and not all that the log keeps.
-void OnceExecutor::locate(TimePoint now, const ClaimPage &page)
+void OnceCoordinator::locate(TimePoint now, const ClaimPage &page)
 {
     m_nextRead = now;
     if (m_located == Located::No) {
@@ -169,7 +169,7 @@
     m_located = Located::Yes;
 }
 
-void OnceExecutor::applyPage(TimePoint now, const ClaimPage &page, OnceActions &actions)
+void OnceCoordinator::applyPage(TimePoint now, const ClaimPage &page, OnceActions &actions)
 {
     for (const ClaimRecord &record : page.records) {
         const LogOffset next = m_table->appliedEnd();
@@ -193,7 +193,7 @@
 
 /// The log dropped records that were not read here: they are older than the window, and so do not
 /// matter for keys. But a claim of ours may be among them, and can no longer be decided.
-void OnceExecutor::skipGap(TimePoint now, LogOffset first, OnceActions &actions)
+void OnceCoordinator::skipGap(TimePoint now, LogOffset first, OnceActions &actions)
 {
     m_table->restart(now, first);
     std::vector<WorkId> undecided;
@@ -208,7 +208,7 @@
     }
 }
 
-void OnceExecutor::decide(TimePoint now, const ClaimDecision &decision, OnceActions &actions)
+void OnceCoordinator::decide(TimePoint now, const ClaimDecision &decision, OnceActions &actions)
 {
     const auto found = m_byNonce.find(decision.nonce);
     if (found == m_byNonce.end()) {
@@ -250,7 +250,7 @@
     dropWork(now, id);
 }
 
-void OnceExecutor::queueClaim(Work &work)
+void OnceCoordinator::queueClaim(Work &work)
 {
     work.isQueued = true;
     m_outgoing.push_back({ ClaimKind::Claim, work.rule, work.key, work.nonce });
@@ -258,7 +258,7 @@
 
 /// An append's answer was lost, and a read that began later did not show the claim. It may still be
 /// on its way, so the same claim is sent once more: a second copy changes nothing in the fold.
-void OnceExecutor::requeueLost(TimePoint readIssued)
+void OnceCoordinator::requeueLost(TimePoint readIssued)
 {
     for (auto &[id, work] : m_works) {
         const bool isLost = work.stage == Stage::Claiming && work.uncertainSince
@@ -270,7 +270,7 @@
     }
 }
 
-void OnceExecutor::queueReleases(TimePoint now)
+void OnceCoordinator::queueReleases(TimePoint now)
 {
     if (isLogDown(now)) {
         return;
@@ -292,7 +292,7 @@
     }
 }
 
-void OnceExecutor::queueRelease(std::uint64_t nonce, Abandoned &abandoned)
+void OnceCoordinator::queueRelease(std::uint64_t nonce, Abandoned &abandoned)
 {
     if (abandoned.isReleasing || m_table->appliedEnd() < abandoned.releasedBelow) {
         return;
@@ -301,7 +301,7 @@
     m_outgoing.push_back({ ClaimKind::Release, abandoned.rule, abandoned.key, nonce });
 }
 
-void OnceExecutor::append(TimePoint now, OnceActions &actions)
+void OnceCoordinator::append(TimePoint now, OnceActions &actions)
 {
     if (m_inFlight || m_outgoing.empty() || m_located != Located::Yes || now < m_nextAppend) {
         return;
@@ -337,7 +337,7 @@
     m_nextAppend = now + m_options.minAppendInterval;
 }
 
-void OnceExecutor::read(TimePoint now, OnceActions &actions)
+void OnceCoordinator::read(TimePoint now, OnceActions &actions)
 {
     if (m_readSent || now < m_nextRead) {
         return;
@@ -356,14 +356,14 @@
     }
 }
 
-bool OnceExecutor::isLogDown(TimePoint now) const
+bool OnceCoordinator::isLogDown(TimePoint now) const
 {
     const bool isAppendStalled = m_inFlight && now - m_inFlight->sent > m_options.stallLimit;
     const bool isReadStalled = m_readSent && now - *m_readSent > m_options.stallLimit;
     return now < m_logDownUntil || isAppendStalled || isReadStalled;
 }
 
-OnceActions OnceExecutor::finish(TimePoint now, OnceActions actions)
+OnceActions OnceCoordinator::finish(TimePoint now, OnceActions actions)
 {
     append(now, actions);
     read(now, actions);
