--- a/src/coordination/once/internal/oncecoordinator.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -80,7 +80,7 @@
     m_table->advanceHorizon(now);
     const auto known = m_byKey.find({ request.rule, request.key });
     if (known != m_byKey.end()) {
-        return finish(now, join(m_works[known->second], known->second, request));
+        return finish(now, join(m_trackedKeys[known->second], known->second, request));
     }
     std::optional<OnceReply> refusal = refuseEarly(now, request);
     if (!refusal) {
@@ -90,16 +90,16 @@
         actions.replies.push_back(*refusal);
         return finish(now, std::move(actions));
     }
-    const WorkId id = ++m_lastWork;
-    Work &work = m_works[id];
-    work.rule = request.rule;
-    work.key = request.key;
-    work.fingerprint = request.fingerprint;
-    m_byKey[{ work.rule, work.key }] = id;
-    work.nonce = ++m_lastNonce;
-    m_byNonce[work.nonce] = id;
-    addWaiter(id, work, request);
-    queueClaim(work);
+    const TrackedKeyId id = ++m_lastTrackedKeyId;
+    TrackedKey &tracked = m_trackedKeys[id];
+    tracked.rule = request.rule;
+    tracked.key = request.key;
+    tracked.fingerprint = request.fingerprint;
+    m_byKey[{ tracked.rule, tracked.key }] = id;
+    tracked.nonce = ++m_lastNonce;
+    m_byNonce[tracked.nonce] = id;
+    addWaiter(id, tracked, request);
+    queueClaim(tracked);
     return finish(now, std::move(actions));
 }
 
@@ -115,7 +115,7 @@
     if (isLogDown(now)) {
         return makeReply(request.call, notRunVerdict(Reason::LogUnavailable, m_options.logBackoff));
     }
-    if (m_works.size() >= m_options.maxWorks || m_table->isOverfull()) {
+    if (m_trackedKeys.size() >= m_options.maxTrackedKeys || m_table->isOverfull()) {
         return makeReply(request.call, notRunVerdict(Reason::QueueFull, m_options.logBackoff));
     }
     return std::nullopt;
@@ -135,15 +135,15 @@
     return busyReply(request.call, *holder);
 }
 
-OnceActions OnceCoordinator::join(Work &work, WorkId id, const OnceRequest &request)
+OnceActions OnceCoordinator::join(TrackedKey &tracked, TrackedKeyId id, const OnceRequest &request)
 {
     OnceActions actions;
-    if (work.fingerprint != request.fingerprint) {
+    if (tracked.fingerprint != request.fingerprint) {
         actions.replies.push_back(makeReply(request.call, notRunVerdict(Reason::BadRequest)));
         return actions;
     }
-    if (work.stage != Stage::Done) {
-        addWaiter(id, work, request);
+    if (tracked.stage != Stage::Done) {
+        addWaiter(id, tracked, request);
         return actions;
     }
     StoredOutcome stored = m_outcomeCache.get(id);
@@ -154,9 +154,9 @@
     return actions;
 }
 
-void OnceCoordinator::addWaiter(WorkId id, Work &work, const OnceRequest &request)
+void OnceCoordinator::addWaiter(TrackedKeyId id, TrackedKey &tracked, const OnceRequest &request)
 {
-    work.waiters.push_back({ request.call, request.deadline });
+    tracked.waiters.push_back({ request.call, request.deadline });
     m_byCall[request.call] = id;
     m_deadlines.emplace(request.deadline, request.call);
 }
@@ -166,15 +166,15 @@
 /// others let the claim pass, and they are checked in the step that sends.
 bool OnceCoordinator::start(TimePoint now, CallId call)
 {
-    WorkId id = 0;
-    Work *work = findByCall(call, id);
-    if (!work || !work->runner || work->runner->call != call || work->isStarted) {
+    TrackedKeyId id = 0;
+    TrackedKey *tracked = findByCall(call, id);
+    if (!tracked || !tracked->runner || tracked->runner->call != call || tracked->isStarted) {
         return false;
     }
-    if (now >= work->runner->deadline || now - *work->firstSent >= m_options.startWindow) {
+    if (now >= tracked->runner->deadline || now - *tracked->firstSent >= m_options.startWindow) {
         return false;
     }
-    work->isStarted = true;
+    tracked->isStarted = true;
     return true;
 }
 
@@ -182,16 +182,16 @@
                                       const HttpResponse &response)
 {
     OnceActions actions;
-    WorkId id = 0;
-    Work *work = findByCall(call, id);
-    if (!work || !work->runner || work->runner->call != call) {
+    TrackedKeyId id = 0;
+    TrackedKey *tracked = findByCall(call, id);
+    if (!tracked || !tracked->runner || tracked->runner->call != call) {
         return finish(now, std::move(actions));
     }
     m_byCall.erase(call);
-    work->runner.reset();
-    work->stage = Stage::Done;
+    tracked->runner.reset();
+    tracked->stage = Stage::Done;
     m_outcomeCache.put(id, { verdict, response });
-    for (const Waiter &waiter : std::exchange(work->waiters, {})) {
+    for (const Waiter &waiter : std::exchange(tracked->waiters, {})) {
         m_byCall.erase(waiter.call);
         m_deadlines.erase({ waiter.deadline, waiter.call });
         OnceReply reply = makeReply(waiter.call, verdict);
@@ -205,12 +205,12 @@
 OnceActions OnceCoordinator::notRun(TimePoint now, CallId call)
 {
     OnceActions actions;
-    WorkId id = 0;
-    Work *work = findByCall(call, id);
-    if (work && work->runner && work->runner->call == call) {
+    TrackedKeyId id = 0;
+    TrackedKey *tracked = findByCall(call, id);
+    if (tracked && tracked->runner && tracked->runner->call == call) {
         m_byCall.erase(call);
-        work->runner.reset();
-        work->isStarted = false;
+        tracked->runner.reset();
+        tracked->isStarted = false;
         grant(now, id, actions);
     }
     return finish(now, std::move(actions));
@@ -218,17 +218,17 @@
 
 OnceActions OnceCoordinator::cancel(TimePoint now, CallId call)
 {
-    WorkId id = 0;
-    Work *work = findByCall(call, id);
-    if (!work) {
+    TrackedKeyId id = 0;
+    TrackedKey *tracked = findByCall(call, id);
+    if (!tracked) {
         return finish(now, {});
     }
-    if (work->runner && work->runner->call == call) {
-        return work->isStarted ? finish(now, {}) : notRun(now, call);
+    if (tracked->runner && tracked->runner->call == call) {
+        return tracked->isStarted ? finish(now, {}) : notRun(now, call);
     }
-    removeWaiter(*work, call);
-    if (work->stage == Stage::Claiming && work->waiters.empty()) {
-        dropWork(now, id);
+    removeWaiter(*tracked, call);
+    if (tracked->stage == Stage::Claiming && tracked->waiters.empty()) {
+        dropKey(now, id);
     }
     return finish(now, {});
 }
@@ -243,36 +243,36 @@
     OnceActions actions;
     m_table->advanceHorizon(now);
     expireWaiters(now, actions);
-    expireWorks(now, actions);
+    expireKeys(now, actions);
     queueReleases(now);
     return finish(now, std::move(actions));
 }
 
 /// Lets the next attempt run, or gives the claim back.
-void OnceCoordinator::grant(TimePoint now, WorkId id, OnceActions &actions)
+void OnceCoordinator::grant(TimePoint now, TrackedKeyId id, OnceActions &actions)
 {
-    Work &work = m_works[id];
-    const bool isInTime = now - *work.firstSent < m_options.startWindow;
-    while (isInTime && !work.waiters.empty()) {
-        const Waiter next = work.waiters.front();
-        work.waiters.erase(work.waiters.begin());
+    TrackedKey &tracked = m_trackedKeys[id];
+    const bool isInTime = now - *tracked.firstSent < m_options.startWindow;
+    while (isInTime && !tracked.waiters.empty()) {
+        const Waiter next = tracked.waiters.front();
+        tracked.waiters.erase(tracked.waiters.begin());
         m_deadlines.erase({ next.deadline, next.call });
         if (now < next.deadline) {
-            work.runner = next;
+            tracked.runner = next;
             actions.proceed.push_back(next.call);
             return;
         }
         m_byCall.erase(next.call);
         actions.replies.push_back(makeReply(next.call, notRunVerdict(Reason::DeadlineExceeded)));
     }
-    refuseAll(work, notRunVerdict(Reason::DeadlineExceeded), DaemonId(), actions);
-    dropWork(now, id);
+    refuseAll(tracked, notRunVerdict(Reason::DeadlineExceeded), DaemonId(), actions);
+    dropKey(now, id);
 }
 
-void OnceCoordinator::refuseAll(Work &work, const Verdict &verdict, const DaemonId &holder,
+void OnceCoordinator::refuseAll(TrackedKey &tracked, const Verdict &verdict, const DaemonId &holder,
                                 OnceActions &actions)
 {
-    for (const Waiter &waiter : std::exchange(work.waiters, {})) {
+    for (const Waiter &waiter : std::exchange(tracked.waiters, {})) {
         m_byCall.erase(waiter.call);
         m_deadlines.erase({ waiter.deadline, waiter.call });
         OnceReply reply = makeReply(waiter.call, verdict);
@@ -281,55 +281,55 @@
     }
 }
 
-void OnceCoordinator::dropWork(TimePoint now, WorkId id)
+void OnceCoordinator::dropKey(TimePoint now, TrackedKeyId id)
 {
-    const auto found = m_works.find(id);
+    const auto found = m_trackedKeys.find(id);
     abandonClaim(now, found->second);
     m_byKey.erase({ found->second.rule, found->second.key });
-    m_works.erase(found);
+    m_trackedKeys.erase(found);
     queueReleases(now);
 }
 
 /// The nonce will never run from here on. Its claim may be in the log, or reach it later, and would
 /// block the key; it is released as soon as it shows up.
-void OnceCoordinator::abandonClaim(TimePoint now, const Work &work)
+void OnceCoordinator::abandonClaim(TimePoint now, const TrackedKey &tracked)
 {
-    m_byNonce.erase(work.nonce);
-    if (work.copies == 0) {
+    m_byNonce.erase(tracked.nonce);
+    if (tracked.copies == 0) {
         return;
     }
     Abandoned abandoned;
-    abandoned.rule = work.rule;
-    abandoned.key = work.key;
+    abandoned.rule = tracked.rule;
+    abandoned.key = tracked.key;
     abandoned.since = now;
-    if (m_abandoned.size() >= m_options.maxWorks) {
+    if (m_abandoned.size() >= m_options.maxTrackedKeys) {
         // The oldest is forgotten: its key, if claimed, stays blocked until the window has passed.
         m_abandoned.erase(m_abandoned.begin());
     }
-    m_abandoned.emplace(work.nonce, std::move(abandoned));
-    m_toRelease.insert(work.nonce);
+    m_abandoned.emplace(tracked.nonce, std::move(abandoned));
+    m_toRelease.insert(tracked.nonce);
 }
 
-void OnceCoordinator::removeWaiter(Work &work, CallId call)
+void OnceCoordinator::removeWaiter(TrackedKey &tracked, CallId call)
 {
-    const auto found = std::find_if(work.waiters.begin(), work.waiters.end(),
+    const auto found = std::find_if(tracked.waiters.begin(), tracked.waiters.end(),
                                     [call](const Waiter &waiter) { return waiter.call == call; });
-    if (found == work.waiters.end()) {
+    if (found == tracked.waiters.end()) {
         return;
     }
     m_deadlines.erase({ found->deadline, call });
     m_byCall.erase(call);
-    work.waiters.erase(found);
+    tracked.waiters.erase(found);
 }
 
 void OnceCoordinator::expireWaiters(TimePoint now, OnceActions &actions)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
         const CallId call = m_deadlines.begin()->second;
-        WorkId id = 0;
-        Work &work = *findByCall(call, id);
-        removeWaiter(work, call);
-        if (work.stage == Stage::Claiming) {
+        TrackedKeyId id = 0;
+        TrackedKey &tracked = *findByCall(call, id);
+        removeWaiter(tracked, call);
+        if (tracked.stage == Stage::Claiming) {
             actions.replies.push_back(makeReply(call, notRunVerdict(Reason::LogUnavailable)));
         } else {
             // Another attempt with the key runs: this one did not, but the key's request may have.
@@ -337,31 +337,31 @@
             reply.holder = m_self;
             actions.replies.push_back(std::move(reply));
         }
-        if (work.stage == Stage::Claiming && work.waiters.empty()) {
-            dropWork(now, id);
+        if (tracked.stage == Stage::Claiming && tracked.waiters.empty()) {
+            dropKey(now, id);
         }
     }
 }
 
 /// After the window the claim is passed over by everyone, and nothing is to be remembered of it.
-void OnceCoordinator::expireWorks(TimePoint now, OnceActions &actions)
+void OnceCoordinator::expireKeys(TimePoint now, OnceActions &actions)
 {
     while (!m_expiry.empty() && m_expiry.front().first <= now) {
-        const WorkId id = m_expiry.front().second;
+        const TrackedKeyId id = m_expiry.front().second;
         m_expiry.pop_front();
-        const auto found = m_works.find(id);
-        if (found == m_works.end()) {
+        const auto found = m_trackedKeys.find(id);
+        if (found == m_trackedKeys.end()) {
             continue;
         }
-        Work &work = found->second;
-        refuseAll(work, unknownVerdict(Reason::KeyBusy), m_self, actions);
-        if (work.runner) {
-            m_byCall.erase(work.runner->call);
+        TrackedKey &tracked = found->second;
+        refuseAll(tracked, unknownVerdict(Reason::KeyBusy), m_self, actions);
+        if (tracked.runner) {
+            m_byCall.erase(tracked.runner->call);
         }
         m_outcomeCache.erase(id);
-        m_byNonce.erase(work.nonce);
-        m_byKey.erase({ work.rule, work.key });
-        m_works.erase(found);
+        m_byNonce.erase(tracked.nonce);
+        m_byKey.erase({ tracked.rule, tracked.key });
+        m_trackedKeys.erase(found);
     }
     while (!m_abandoned.empty()
            && now - m_abandoned.begin()->second.since > 2 * m_options.window()) {
@@ -380,7 +380,7 @@
 bool OnceCoordinator::isGone(const ClaimHolder &holder) const
 {
     if (holder.daemon == m_self) {
-        // No work is known here, or the attempt would have joined it.
+        // No tracked is known here, or the attempt would have joined it.
         return true;
     }
     const auto member = m_members.find(holder.daemon);
@@ -390,15 +390,15 @@
     return !member->second || *member->second > holder.incarnation;
 }
 
-OnceCoordinator::Work *OnceCoordinator::findByCall(CallId call, WorkId &id)
+OnceCoordinator::TrackedKey *OnceCoordinator::findByCall(CallId call, TrackedKeyId &id)
 {
     const auto found = m_byCall.find(call);
     if (found == m_byCall.end()) {
         return nullptr;
     }
     id = found->second;
-    const auto work = m_works.find(id);
-    return work == m_works.end() ? nullptr : &work->second;
+    const auto tracked = m_trackedKeys.find(id);
+    return tracked == m_trackedKeys.end() ? nullptr : &tracked->second;
 }
 
 } // namespace ivyspar
--- a/src/coordination/once/internal/oncecoordinator.h
+++ b/src/coordination/once/internal/oncecoordinator.h
@@ -35,7 +35,7 @@
     OnceActions tick(TimePoint now) override;
 
 private:
-    using WorkId = std::uint64_t;
+    using TrackedKeyId = std::uint64_t;
 
     struct Waiter
     {
@@ -50,7 +50,7 @@
     };
 
     /// All attempts here with one key.
-    struct Work
+    struct TrackedKey
     {
         RuleName rule;
         IdempotencyKey key;
@@ -92,22 +92,22 @@
     // Attempts and their ends.
     std::optional<OnceReply> refuseEarly(TimePoint now, const OnceRequest &request) const;
     std::optional<OnceReply> refuseHeld(const OnceRequest &request) const;
-    OnceActions join(Work &work, WorkId id, const OnceRequest &request);
-    void addWaiter(WorkId id, Work &work, const OnceRequest &request);
-    void grant(TimePoint now, WorkId id, OnceActions &actions);
-    void refuseAll(Work &work, const Verdict &verdict, const DaemonId &holder,
+    OnceActions join(TrackedKey &tracked, TrackedKeyId id, const OnceRequest &request);
+    void addWaiter(TrackedKeyId id, TrackedKey &tracked, const OnceRequest &request);
+    void grant(TimePoint now, TrackedKeyId id, OnceActions &actions);
+    void refuseAll(TrackedKey &tracked, const Verdict &verdict, const DaemonId &holder,
                    OnceActions &actions);
-    void dropWork(TimePoint now, WorkId id);
-    void abandonClaim(TimePoint now, const Work &work);
-    void removeWaiter(Work &work, CallId call);
+    void dropKey(TimePoint now, TrackedKeyId id);
+    void abandonClaim(TimePoint now, const TrackedKey &tracked);
+    void removeWaiter(TrackedKey &tracked, CallId call);
     void expireWaiters(TimePoint now, OnceActions &actions);
-    void expireWorks(TimePoint now, OnceActions &actions);
+    void expireKeys(TimePoint now, OnceActions &actions);
     OnceReply busyReply(CallId call, const ClaimHolder &holder) const;
     bool isGone(const ClaimHolder &holder) const;
-    Work *findByCall(CallId call, WorkId &id);
+    TrackedKey *findByCall(CallId call, TrackedKeyId &id);
 
     // The log.
-    void queueClaim(Work &work);
+    void queueClaim(TrackedKey &tracked);
     void requeueLost(TimePoint readIssued);
     void decide(TimePoint now, const ClaimDecision &decision, OnceActions &actions);
     void locate(TimePoint now, const ClaimPage &page);
@@ -129,14 +129,14 @@
     OutcomeCache m_outcomeCache;
 
     std::uint64_t m_lastNonce = 0;
-    WorkId m_lastWork = 0;
-    std::map<WorkId, Work> m_works;
-    std::map<std::pair<RuleName, IdempotencyKey>, WorkId> m_byKey;
-    std::unordered_map<std::uint64_t, WorkId> m_byNonce;
-    std::unordered_map<CallId, WorkId> m_byCall;
+    TrackedKeyId m_lastTrackedKeyId = 0;
+    std::map<TrackedKeyId, TrackedKey> m_trackedKeys;
+    std::map<std::pair<RuleName, IdempotencyKey>, TrackedKeyId> m_byKey;
+    std::unordered_map<std::uint64_t, TrackedKeyId> m_byNonce;
+    std::unordered_map<CallId, TrackedKeyId> m_byCall;
     std::set<std::pair<TimePoint, CallId>> m_deadlines;
     /// When granted works are forgotten.
-    std::deque<std::pair<TimePoint, WorkId>> m_expiry;
+    std::deque<std::pair<TimePoint, TrackedKeyId>> m_expiry;
     std::map<std::uint64_t, Abandoned> m_abandoned;
     /// Nonces in `m_abandoned` whose claims may stand in the log now.
     std::set<std::uint64_t> m_toRelease;
--- a/src/coordination/once/internal/oncecoordinatorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -30,10 +30,10 @@
             abandoned->second.isReleasing = false;
             abandoned->second.releasedBelow = end;
         }
-        const auto work = m_byNonce.find(entry.nonce);
-        if (entry.kind == ClaimKind::Claim && work != m_byNonce.end()) {
-            m_works[work->second].isInFlight = false;
-            m_works[work->second].mayHaveLanded = true;
+        const auto tracked = m_byNonce.find(entry.nonce);
+        if (entry.kind == ClaimKind::Claim && tracked != m_byNonce.end()) {
+            m_trackedKeys[tracked->second].isInFlight = false;
+            m_trackedKeys[tracked->second].mayHaveLanded = true;
         }
     }
     m_inFlight.reset();
@@ -58,18 +58,18 @@
         if (entry.kind != ClaimKind::Claim || found == m_byNonce.end()) {
             continue;
         }
-        Work &work = m_works[found->second];
-        work.isInFlight = false;
+        TrackedKey &tracked = m_trackedKeys[found->second];
+        tracked.isInFlight = false;
         if (failure == AppendFailure::Unknown) {
-            work.mayHaveLanded = true;
-            work.uncertainSince = now;
-        } else if (!work.mayHaveLanded) {
+            tracked.mayHaveLanded = true;
+            tracked.uncertainSince = now;
+        } else if (!tracked.mayHaveLanded) {
             // Proved absent: not even a release is needed.
-            work.copies = 0;
+            tracked.copies = 0;
         }
-        if (failure == AppendFailure::NotAppended && work.stage == Stage::Claiming) {
-            refuseAll(work, logVerdict(m_options.logBackoff), DaemonId(), actions);
-            dropWork(now, found->second);
+        if (failure == AppendFailure::NotAppended && tracked.stage == Stage::Claiming) {
+            refuseAll(tracked, logVerdict(m_options.logBackoff), DaemonId(), actions);
+            dropKey(now, found->second);
         }
     }
     if (failure == AppendFailure::NotAppended) {
@@ -83,11 +83,11 @@
 /// The log is down: what waits for its turn to be appended is refused at once.
 void OnceCoordinator::refuseQueued(TimePoint now, OnceActions &actions)
 {
-    std::vector<WorkId> refused;
+    std::vector<TrackedKeyId> refused;
     for (const ClaimEntry &entry : m_outgoing) {
         const auto found = m_byNonce.find(entry.nonce);
         const bool isWaiting = entry.kind == ClaimKind::Claim && found != m_byNonce.end()
-            && m_works[found->second].stage == Stage::Claiming;
+            && m_trackedKeys[found->second].stage == Stage::Claiming;
         if (isWaiting) {
             refused.push_back(found->second);
         }
@@ -97,9 +97,9 @@
         }
     }
     m_outgoing.clear();
-    for (const WorkId id : refused) {
-        refuseAll(m_works[id], logVerdict(m_options.logBackoff), DaemonId(), actions);
-        dropWork(now, id);
+    for (const TrackedKeyId id : refused) {
+        refuseAll(m_trackedKeys[id], logVerdict(m_options.logBackoff), DaemonId(), actions);
+        dropKey(now, id);
     }
 }
 
@@ -196,15 +196,15 @@
 void OnceCoordinator::skipGap(TimePoint now, LogOffset first, OnceActions &actions)
 {
     m_table->restart(now, first);
-    std::vector<WorkId> undecided;
-    for (const auto &[id, work] : m_works) {
-        if (work.stage == Stage::Claiming && work.copies > 0) {
+    std::vector<TrackedKeyId> undecided;
+    for (const auto &[id, tracked] : m_trackedKeys) {
+        if (tracked.stage == Stage::Claiming && tracked.copies > 0) {
             undecided.push_back(id);
         }
     }
-    for (const WorkId id : undecided) {
-        refuseAll(m_works[id], logVerdict(m_options.logBackoff), DaemonId(), actions);
-        dropWork(now, id);
+    for (const TrackedKeyId id : undecided) {
+        refuseAll(m_trackedKeys[id], logVerdict(m_options.logBackoff), DaemonId(), actions);
+        dropKey(now, id);
     }
 }
 
@@ -215,13 +215,13 @@
         m_toRelease.insert(decision.nonce);
         return;
     }
-    const WorkId id = found->second;
-    Work &work = m_works[id];
-    if (work.stage != Stage::Claiming) {
+    const TrackedKeyId id = found->second;
+    TrackedKey &tracked = m_trackedKeys[id];
+    if (tracked.stage != Stage::Claiming) {
         return;
     }
     if (decision.isFirst) {
-        work.stage = Stage::Granted;
+        tracked.stage = Stage::Granted;
         m_expiry.emplace_back(now + m_options.window(), id);
         grant(now, id, actions);
         return;
@@ -231,41 +231,41 @@
         && blocker->incarnation == m_incarnation && m_abandoned.count(blocker->nonce) != 0;
     if (isOwnLeftover) {
         // An attempt that ended here left its claim; it is released first, then claimed anew.
-        abandonClaim(now, work);
-        work.nonce = ++m_lastNonce;
-        m_byNonce[work.nonce] = id;
-        work.copies = 0;
-        work.firstSent.reset();
-        work.mayHaveLanded = false;
-        work.isQueued = false;
-        work.isInFlight = false;
-        work.uncertainSince.reset();
+        abandonClaim(now, tracked);
+        tracked.nonce = ++m_lastNonce;
+        m_byNonce[tracked.nonce] = id;
+        tracked.copies = 0;
+        tracked.firstSent.reset();
+        tracked.mayHaveLanded = false;
+        tracked.isQueued = false;
+        tracked.isInFlight = false;
+        tracked.uncertainSince.reset();
         queueReleases(now);
-        queueClaim(work);
+        queueClaim(tracked);
         return;
     }
     const OnceReply reply = blocker ? busyReply(CallId(), *blocker)
                                     : OnceReply{ {}, logVerdict(m_options.logBackoff), {}, {} };
-    refuseAll(work, reply.verdict, reply.holder, actions);
-    dropWork(now, id);
+    refuseAll(tracked, reply.verdict, reply.holder, actions);
+    dropKey(now, id);
 }
 
-void OnceCoordinator::queueClaim(Work &work)
+void OnceCoordinator::queueClaim(TrackedKey &tracked)
 {
-    work.isQueued = true;
-    m_outgoing.push_back({ ClaimKind::Claim, work.rule, work.key, work.nonce });
+    tracked.isQueued = true;
+    m_outgoing.push_back({ ClaimKind::Claim, tracked.rule, tracked.key, tracked.nonce });
 }
 
 /// An append's answer was lost, and a read that began later did not show the claim. It may still be
 /// on its way, so the same claim is sent once more: a second copy changes nothing in the fold.
 void OnceCoordinator::requeueLost(TimePoint readIssued)
 {
-    for (auto &[id, work] : m_works) {
-        const bool isLost = work.stage == Stage::Claiming && work.uncertainSince
-            && *work.uncertainSince <= readIssued && !work.isQueued && !work.isInFlight;
-        if (isLost && work.copies < m_options.maxCopies) {
-            work.uncertainSince.reset();
-            queueClaim(work);
+    for (auto &[id, tracked] : m_trackedKeys) {
+        const bool isLost = tracked.stage == Stage::Claiming && tracked.uncertainSince
+            && *tracked.uncertainSince <= readIssued && !tracked.isQueued && !tracked.isInFlight;
+        if (isLost && tracked.copies < m_options.maxCopies) {
+            tracked.uncertainSince.reset();
+            queueClaim(tracked);
         }
     }
 }
@@ -317,14 +317,14 @@
             continue;
         }
         if (entry.kind == ClaimKind::Claim) {
-            Work &work = m_works[found->second];
-            work.isQueued = false;
-            if (work.stage != Stage::Claiming) {
+            TrackedKey &tracked = m_trackedKeys[found->second];
+            tracked.isQueued = false;
+            if (tracked.stage != Stage::Claiming) {
                 continue;
             }
-            work.isInFlight = true;
-            ++work.copies;
-            work.firstSent = work.firstSent.value_or(now);
+            tracked.isInFlight = true;
+            ++tracked.copies;
+            tracked.firstSent = tracked.firstSent.value_or(now);
         }
         next.entries.push_back(entry);
     }
--- a/src/coordination/once/oncefactory.h
+++ b/src/coordination/once/oncefactory.h
@@ -39,7 +39,7 @@
     /// An append or a read that takes longer: the log counts as unavailable for new requests.
     Duration stallLimit = std::chrono::seconds(1);
     std::size_t maxKeyBytes = 256;
-    std::size_t maxWorks = 20000;
+    std::size_t maxTrackedKeys = 20000;
     std::size_t maxTableEntries = 150000;
     /// Bytes of stored answers in all, and of a single one.
     std::size_t maxOutcomeCacheBytes = 4 * 1024 * 1024;
