--- a/src/coordination/once/internal/oncecoordinator.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -129,7 +129,7 @@
         return std::nullopt;
     }
     const bool isOwn = holder->daemon == m_self && holder->incarnation == m_incarnation;
-    if (isOwn && m_abandoned.count(holder->nonce) != 0) {
+    if (isOwn && m_abandonedClaims.count(holder->nonce) != 0) {
         return std::nullopt;
     }
     return busyReply(request.call, *holder);
@@ -168,10 +168,12 @@
 {
     TrackedKeyId id = 0;
     TrackedKey *tracked = findByCall(call, id);
-    if (!tracked || !tracked->runner || tracked->runner->call != call || tracked->isStarted) {
+    if (!tracked || !tracked->grantedAttempt || tracked->grantedAttempt->call != call
+        || tracked->isStarted) {
         return false;
     }
-    if (now >= tracked->runner->deadline || now - *tracked->firstSent >= m_options.startWindow) {
+    if (now >= tracked->grantedAttempt->deadline
+        || now - *tracked->firstSent >= m_options.startWindow) {
         return false;
     }
     tracked->isStarted = true;
@@ -184,14 +186,14 @@
     OnceActions actions;
     TrackedKeyId id = 0;
     TrackedKey *tracked = findByCall(call, id);
-    if (!tracked || !tracked->runner || tracked->runner->call != call) {
+    if (!tracked || !tracked->grantedAttempt || tracked->grantedAttempt->call != call) {
         return finish(now, std::move(actions));
     }
     m_byCall.erase(call);
-    tracked->runner.reset();
+    tracked->grantedAttempt.reset();
     tracked->stage = Stage::Done;
     m_outcomeCache.put(id, { verdict, response });
-    for (const Waiter &waiter : std::exchange(tracked->waiters, {})) {
+    for (const Attempt &waiter : std::exchange(tracked->waiters, {})) {
         m_byCall.erase(waiter.call);
         m_deadlines.erase({ waiter.deadline, waiter.call });
         OnceReply reply = makeReply(waiter.call, verdict);
@@ -207,9 +209,9 @@
     OnceActions actions;
     TrackedKeyId id = 0;
     TrackedKey *tracked = findByCall(call, id);
-    if (tracked && tracked->runner && tracked->runner->call == call) {
+    if (tracked && tracked->grantedAttempt && tracked->grantedAttempt->call == call) {
         m_byCall.erase(call);
-        tracked->runner.reset();
+        tracked->grantedAttempt.reset();
         tracked->isStarted = false;
         grant(now, id, actions);
     }
@@ -223,7 +225,7 @@
     if (!tracked) {
         return finish(now, {});
     }
-    if (tracked->runner && tracked->runner->call == call) {
+    if (tracked->grantedAttempt && tracked->grantedAttempt->call == call) {
         return tracked->isStarted ? finish(now, {}) : notRun(now, call);
     }
     removeWaiter(*tracked, call);
@@ -254,11 +256,11 @@
     TrackedKey &tracked = m_trackedKeys[id];
     const bool isInTime = now - *tracked.firstSent < m_options.startWindow;
     while (isInTime && !tracked.waiters.empty()) {
-        const Waiter next = tracked.waiters.front();
+        const Attempt next = tracked.waiters.front();
         tracked.waiters.erase(tracked.waiters.begin());
         m_deadlines.erase({ next.deadline, next.call });
         if (now < next.deadline) {
-            tracked.runner = next;
+            tracked.grantedAttempt = next;
             actions.proceed.push_back(next.call);
             return;
         }
@@ -272,7 +274,7 @@
 void OnceCoordinator::refuseAll(TrackedKey &tracked, const Verdict &verdict, const DaemonId &holder,
                                 OnceActions &actions)
 {
-    for (const Waiter &waiter : std::exchange(tracked.waiters, {})) {
+    for (const Attempt &waiter : std::exchange(tracked.waiters, {})) {
         m_byCall.erase(waiter.call);
         m_deadlines.erase({ waiter.deadline, waiter.call });
         OnceReply reply = makeReply(waiter.call, verdict);
@@ -295,25 +297,25 @@
 void OnceCoordinator::abandonClaim(TimePoint now, const TrackedKey &tracked)
 {
     m_byNonce.erase(tracked.nonce);
-    if (tracked.copies == 0) {
+    if (tracked.claimCopies == 0) {
         return;
     }
-    Abandoned abandoned;
+    AbandonedClaim abandoned;
     abandoned.rule = tracked.rule;
     abandoned.key = tracked.key;
     abandoned.since = now;
-    if (m_abandoned.size() >= m_options.maxTrackedKeys) {
+    if (m_abandonedClaims.size() >= m_options.maxTrackedKeys) {
         // The oldest is forgotten: its key, if claimed, stays blocked until the window has passed.
-        m_abandoned.erase(m_abandoned.begin());
+        m_abandonedClaims.erase(m_abandonedClaims.begin());
     }
-    m_abandoned.emplace(tracked.nonce, std::move(abandoned));
-    m_toRelease.insert(tracked.nonce);
+    m_abandonedClaims.emplace(tracked.nonce, std::move(abandoned));
+    m_releaseCandidates.insert(tracked.nonce);
 }
 
 void OnceCoordinator::removeWaiter(TrackedKey &tracked, CallId call)
 {
     const auto found = std::find_if(tracked.waiters.begin(), tracked.waiters.end(),
-                                    [call](const Waiter &waiter) { return waiter.call == call; });
+                                    [call](const Attempt &waiter) { return waiter.call == call; });
     if (found == tracked.waiters.end()) {
         return;
     }
@@ -355,17 +357,17 @@
         }
         TrackedKey &tracked = found->second;
         refuseAll(tracked, unknownVerdict(Reason::KeyBusy), m_self, actions);
-        if (tracked.runner) {
-            m_byCall.erase(tracked.runner->call);
+        if (tracked.grantedAttempt) {
+            m_byCall.erase(tracked.grantedAttempt->call);
         }
         m_outcomeCache.erase(id);
         m_byNonce.erase(tracked.nonce);
         m_byKey.erase({ tracked.rule, tracked.key });
         m_trackedKeys.erase(found);
     }
-    while (!m_abandoned.empty()
-           && now - m_abandoned.begin()->second.since > 2 * m_options.window()) {
-        m_abandoned.erase(m_abandoned.begin());
+    while (!m_abandonedClaims.empty()
+           && now - m_abandonedClaims.begin()->second.since > 2 * m_options.window()) {
+        m_abandonedClaims.erase(m_abandonedClaims.begin());
     }
 }
 
--- a/src/coordination/once/internal/oncecoordinator.h
+++ b/src/coordination/once/internal/oncecoordinator.h
@@ -37,7 +37,7 @@
 private:
     using TrackedKeyId = std::uint64_t;
 
-    struct Waiter
+    struct Attempt
     {
         CallId call;
         TimePoint deadline;
@@ -56,33 +56,33 @@
         IdempotencyKey key;
         RequestFingerprint fingerprint;
         Stage stage = Stage::Claiming;
-        std::vector<Waiter> waiters;
-        std::optional<Waiter> runner;
+        std::vector<Attempt> waiters;
+        std::optional<Attempt> grantedAttempt;
         bool isStarted = false;
 
         std::uint64_t nonce = 0;
-        std::uint32_t copies = 0;
+        std::uint32_t claimCopies = 0;
         /// When the first copy of the claim was sent.
         std::optional<TimePoint> firstSent;
         bool isQueued = false;
         bool isInFlight = false;
-        bool mayHaveLanded = false;
+        bool mayBeInLog = false;
         /// Since when it is unknown whether a copy was appended.
         std::optional<TimePoint> uncertainSince;
     };
 
     /// A claim whose call will never run; to be released if it shows up in the log.
-    struct Abandoned
+    struct AbandonedClaim
     {
         RuleName rule;
         IdempotencyKey key;
         TimePoint since;
-        bool isReleasing = false;
+        bool isReleasePending = false;
         /// The release was appended below this offset: nothing to do until that was read.
-        LogOffset releasedBelow;
+        LogOffset releaseEnd;
     };
 
-    struct InFlight
+    struct InFlightAppend
     {
         AppendId id;
         std::vector<ClaimEntry> entries;
@@ -115,7 +115,7 @@
     void skipGap(TimePoint now, LogOffset first, OnceActions &actions);
     void refuseQueued(TimePoint now, OnceActions &actions);
     void queueReleases(TimePoint now);
-    void queueRelease(std::uint64_t nonce, Abandoned &abandoned);
+    void queueRelease(std::uint64_t nonce, AbandonedClaim &abandoned);
     void append(TimePoint now, OnceActions &actions);
     void read(TimePoint now, OnceActions &actions);
     bool isLogDown(TimePoint now) const;
@@ -137,19 +137,19 @@
     std::set<std::pair<TimePoint, CallId>> m_deadlines;
     /// When granted works are forgotten.
     std::deque<std::pair<TimePoint, TrackedKeyId>> m_expiry;
-    std::map<std::uint64_t, Abandoned> m_abandoned;
-    /// Nonces in `m_abandoned` whose claims may stand in the log now.
-    std::set<std::uint64_t> m_toRelease;
+    std::map<std::uint64_t, AbandonedClaim> m_abandonedClaims;
+    /// Nonces in `m_abandonedClaims` whose claims may stand in the log now.
+    std::set<std::uint64_t> m_releaseCandidates;
     std::unordered_map<DaemonId, std::optional<Incarnation>> m_members;
 
-    std::deque<ClaimEntry> m_outgoing;
-    std::optional<InFlight> m_inFlight;
+    std::deque<ClaimEntry> m_appendQueue;
+    std::optional<InFlightAppend> m_inFlightAppend;
     std::uint64_t m_lastAppend = 0;
     TimePoint m_nextAppend;
     std::optional<TimePoint> m_readSent;
     TimePoint m_nextRead;
     /// Read on at once until this offset.
-    LogOffset m_readUntil;
+    LogOffset m_awaitedEnd;
     TimePoint m_logDownUntil;
 
     enum class Located {
--- a/src/coordination/once/internal/oncecoordinatorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -20,24 +20,24 @@
 
 OnceActions OnceCoordinator::appendDone(TimePoint now, AppendId id, LogOffset offset)
 {
-    if (!m_inFlight || m_inFlight->id != id) {
+    if (!m_inFlightAppend || m_inFlightAppend->id != id) {
         return finish(now, {});
     }
     const LogOffset end(offset.value() + 1);
-    for (const ClaimEntry &entry : m_inFlight->entries) {
-        const auto abandoned = m_abandoned.find(entry.nonce);
-        if (entry.kind == ClaimKind::Release && abandoned != m_abandoned.end()) {
-            abandoned->second.isReleasing = false;
-            abandoned->second.releasedBelow = end;
+    for (const ClaimEntry &entry : m_inFlightAppend->entries) {
+        const auto abandoned = m_abandonedClaims.find(entry.nonce);
+        if (entry.kind == ClaimKind::Release && abandoned != m_abandonedClaims.end()) {
+            abandoned->second.isReleasePending = false;
+            abandoned->second.releaseEnd = end;
         }
         const auto tracked = m_byNonce.find(entry.nonce);
         if (entry.kind == ClaimKind::Claim && tracked != m_byNonce.end()) {
             m_trackedKeys[tracked->second].isInFlight = false;
-            m_trackedKeys[tracked->second].mayHaveLanded = true;
+            m_trackedKeys[tracked->second].mayBeInLog = true;
         }
     }
-    m_inFlight.reset();
-    m_readUntil = std::max(m_readUntil, end);
+    m_inFlightAppend.reset();
+    m_awaitedEnd = std::max(m_awaitedEnd, end);
     m_nextRead = now;
     return finish(now, {});
 }
@@ -45,14 +45,14 @@
 OnceActions OnceCoordinator::appendFailed(TimePoint now, AppendId id, AppendFailure failure)
 {
     OnceActions actions;
-    if (!m_inFlight || m_inFlight->id != id) {
+    if (!m_inFlightAppend || m_inFlightAppend->id != id) {
         return finish(now, std::move(actions));
     }
-    const InFlight failed = *std::exchange(m_inFlight, std::nullopt);
+    const InFlightAppend failed = *std::exchange(m_inFlightAppend, std::nullopt);
     for (const ClaimEntry &entry : failed.entries) {
-        const auto abandoned = m_abandoned.find(entry.nonce);
-        if (abandoned != m_abandoned.end()) {
-            abandoned->second.isReleasing = false;
+        const auto abandoned = m_abandonedClaims.find(entry.nonce);
+        if (abandoned != m_abandonedClaims.end()) {
+            abandoned->second.isReleasePending = false;
         }
         const auto found = m_byNonce.find(entry.nonce);
         if (entry.kind != ClaimKind::Claim || found == m_byNonce.end()) {
@@ -61,11 +61,11 @@
         TrackedKey &tracked = m_trackedKeys[found->second];
         tracked.isInFlight = false;
         if (failure == AppendFailure::Unknown) {
-            tracked.mayHaveLanded = true;
+            tracked.mayBeInLog = true;
             tracked.uncertainSince = now;
-        } else if (!tracked.mayHaveLanded) {
+        } else if (!tracked.mayBeInLog) {
             // Proved absent: not even a release is needed.
-            tracked.copies = 0;
+            tracked.claimCopies = 0;
         }
         if (failure == AppendFailure::NotAppended && tracked.stage == Stage::Claiming) {
             refuseAll(tracked, logVerdict(m_options.logBackoff), DaemonId(), actions);
@@ -84,19 +84,19 @@
 void OnceCoordinator::refuseQueued(TimePoint now, OnceActions &actions)
 {
     std::vector<TrackedKeyId> refused;
-    for (const ClaimEntry &entry : m_outgoing) {
+    for (const ClaimEntry &entry : m_appendQueue) {
         const auto found = m_byNonce.find(entry.nonce);
         const bool isWaiting = entry.kind == ClaimKind::Claim && found != m_byNonce.end()
             && m_trackedKeys[found->second].stage == Stage::Claiming;
         if (isWaiting) {
             refused.push_back(found->second);
         }
-        const auto abandoned = m_abandoned.find(entry.nonce);
-        if (entry.kind == ClaimKind::Release && abandoned != m_abandoned.end()) {
-            abandoned->second.isReleasing = false;
+        const auto abandoned = m_abandonedClaims.find(entry.nonce);
+        if (entry.kind == ClaimKind::Release && abandoned != m_abandonedClaims.end()) {
+            abandoned->second.isReleasePending = false;
         }
     }
-    m_outgoing.clear();
+    m_appendQueue.clear();
     for (const TrackedKeyId id : refused) {
         refuseAll(m_trackedKeys[id], logVerdict(m_options.logBackoff), DaemonId(), actions);
         dropKey(now, id);
@@ -133,7 +133,7 @@
     applyPage(now, page, actions);
     const LogOffset end = m_table->appliedEnd();
     const bool isMoreKnown = end < page.end && end > before;
-    const bool isAwaited = end < m_readUntil;
+    const bool isAwaited = end < m_awaitedEnd;
     m_nextRead = now + m_options.idlePoll;
     if (isMoreKnown) {
         m_nextRead = now;
@@ -198,7 +198,7 @@
     m_table->restart(now, first);
     std::vector<TrackedKeyId> undecided;
     for (const auto &[id, tracked] : m_trackedKeys) {
-        if (tracked.stage == Stage::Claiming && tracked.copies > 0) {
+        if (tracked.stage == Stage::Claiming && tracked.claimCopies > 0) {
             undecided.push_back(id);
         }
     }
@@ -212,7 +212,7 @@
 {
     const auto found = m_byNonce.find(decision.nonce);
     if (found == m_byNonce.end()) {
-        m_toRelease.insert(decision.nonce);
+        m_releaseCandidates.insert(decision.nonce);
         return;
     }
     const TrackedKeyId id = found->second;
@@ -227,16 +227,16 @@
         return;
     }
     const auto &blocker = decision.blocker;
-    const bool isOwnLeftover = blocker && blocker->daemon == m_self
-        && blocker->incarnation == m_incarnation && m_abandoned.count(blocker->nonce) != 0;
-    if (isOwnLeftover) {
+    const bool isOwnAbandoned = blocker && blocker->daemon == m_self
+        && blocker->incarnation == m_incarnation && m_abandonedClaims.count(blocker->nonce) != 0;
+    if (isOwnAbandoned) {
         // An attempt that ended here left its claim; it is released first, then claimed anew.
         abandonClaim(now, tracked);
         tracked.nonce = ++m_lastNonce;
         m_byNonce[tracked.nonce] = id;
-        tracked.copies = 0;
+        tracked.claimCopies = 0;
         tracked.firstSent.reset();
-        tracked.mayHaveLanded = false;
+        tracked.mayBeInLog = false;
         tracked.isQueued = false;
         tracked.isInFlight = false;
         tracked.uncertainSince.reset();
@@ -253,7 +253,7 @@
 void OnceCoordinator::queueClaim(TrackedKey &tracked)
 {
     tracked.isQueued = true;
-    m_outgoing.push_back({ ClaimKind::Claim, tracked.rule, tracked.key, tracked.nonce });
+    m_appendQueue.push_back({ ClaimKind::Claim, tracked.rule, tracked.key, tracked.nonce });
 }
 
 /// An append's answer was lost, and a read that began later did not show the claim. It may still be
@@ -263,7 +263,7 @@
     for (auto &[id, tracked] : m_trackedKeys) {
         const bool isLost = tracked.stage == Stage::Claiming && tracked.uncertainSince
             && *tracked.uncertainSince <= readIssued && !tracked.isQueued && !tracked.isInFlight;
-        if (isLost && tracked.copies < m_options.maxCopies) {
+        if (isLost && tracked.claimCopies < m_options.maxCopies) {
             tracked.uncertainSince.reset();
             queueClaim(tracked);
         }
@@ -275,16 +275,16 @@
     if (isLogDown(now)) {
         return;
     }
-    for (auto it = m_toRelease.begin(); it != m_toRelease.end();) {
+    for (auto it = m_releaseCandidates.begin(); it != m_releaseCandidates.end();) {
         const std::uint64_t nonce = *it;
-        const auto found = m_abandoned.find(nonce);
-        const bool isStanding = found != m_abandoned.end()
+        const auto found = m_abandonedClaims.find(nonce);
+        const bool isStanding = found != m_abandonedClaims.end()
             && m_table->isStanding(found->second.rule, found->second.key,
                                    { m_self, m_incarnation, nonce });
         if (!isStanding) {
             // Only what is known to have been given up is released. A copy that reaches the log
             // later brings the nonce back here.
-            it = m_toRelease.erase(it);
+            it = m_releaseCandidates.erase(it);
             continue;
         }
         queueRelease(nonce, found->second);
@@ -292,26 +292,27 @@
     }
 }
 
-void OnceCoordinator::queueRelease(std::uint64_t nonce, Abandoned &abandoned)
+void OnceCoordinator::queueRelease(std::uint64_t nonce, AbandonedClaim &abandoned)
 {
-    if (abandoned.isReleasing || m_table->appliedEnd() < abandoned.releasedBelow) {
+    if (abandoned.isReleasePending || m_table->appliedEnd() < abandoned.releaseEnd) {
         return;
     }
-    abandoned.isReleasing = true;
-    m_outgoing.push_back({ ClaimKind::Release, abandoned.rule, abandoned.key, nonce });
+    abandoned.isReleasePending = true;
+    m_appendQueue.push_back({ ClaimKind::Release, abandoned.rule, abandoned.key, nonce });
 }
 
 void OnceCoordinator::append(TimePoint now, OnceActions &actions)
 {
-    if (m_inFlight || m_outgoing.empty() || m_located != Located::Yes || now < m_nextAppend) {
+    if (m_inFlightAppend || m_appendQueue.empty() || m_located != Located::Yes
+        || now < m_nextAppend) {
         return;
     }
-    InFlight next;
+    InFlightAppend next;
     next.id = AppendId(++m_lastAppend);
     next.sent = now;
-    while (!m_outgoing.empty() && next.entries.size() < m_options.maxBatchEntries) {
-        const ClaimEntry entry = m_outgoing.front();
-        m_outgoing.pop_front();
+    while (!m_appendQueue.empty() && next.entries.size() < m_options.maxBatchEntries) {
+        const ClaimEntry entry = m_appendQueue.front();
+        m_appendQueue.pop_front();
         const auto found = m_byNonce.find(entry.nonce);
         if (entry.kind == ClaimKind::Claim && found == m_byNonce.end()) {
             continue;
@@ -323,7 +324,7 @@
                 continue;
             }
             tracked.isInFlight = true;
-            ++tracked.copies;
+            ++tracked.claimCopies;
             tracked.firstSent = tracked.firstSent.value_or(now);
         }
         next.entries.push_back(entry);
@@ -333,7 +334,7 @@
     }
     ClaimBatch batch{ m_self, m_incarnation, m_table->advanceHorizon(now), next.entries };
     actions.append = ClaimAppend{ next.id, std::move(batch) };
-    m_inFlight = std::move(next);
+    m_inFlightAppend = std::move(next);
     m_nextAppend = now + m_options.minAppendInterval;
 }
 
@@ -358,7 +359,8 @@
 
 bool OnceCoordinator::isLogDown(TimePoint now) const
 {
-    const bool isAppendStalled = m_inFlight && now - m_inFlight->sent > m_options.stallLimit;
+    const bool isAppendStalled =
+        m_inFlightAppend && now - m_inFlightAppend->sent > m_options.stallLimit;
     const bool isReadStalled = m_readSent && now - *m_readSent > m_options.stallLimit;
     return now < m_logDownUntil || isAppendStalled || isReadStalled;
 }
@@ -371,7 +373,7 @@
     if (!m_readSent) {
         actions.wakeAt = std::min(actions.wakeAt, m_nextRead);
     }
-    if (!m_outgoing.empty() && !m_inFlight) {
+    if (!m_appendQueue.empty() && !m_inFlightAppend) {
         actions.wakeAt = std::min(actions.wakeAt, m_nextAppend);
     }
     if (!m_deadlines.empty()) {
--- a/src/coordination/once/internal/ticketregistry.cpp
+++ b/src/coordination/once/internal/ticketregistry.cpp
@@ -138,7 +138,7 @@
         return withWakeTime(now, std::move(actions));
     }
     addWaiter(counter, used, request);
-    if (!used.runner) {
+    if (!used.grantedAttempt) {
         grantNext(now, counter, actions);
     }
     return withWakeTime(now, std::move(actions));
@@ -180,8 +180,8 @@
 {
     std::uint64_t counter = 0;
     UsedTicket *used = findByCall(call, counter);
-    const bool isRunner = used && used->runner && used->runner->call == call;
-    if (!isRunner || used->isStarted || now >= used->runner->deadline) {
+    const bool isGranted = used && used->grantedAttempt && used->grantedAttempt->call == call;
+    if (!isGranted || used->isStarted || now >= used->grantedAttempt->deadline) {
         return false;
     }
     used->isStarted = true;
@@ -194,11 +194,11 @@
     OnceActions actions;
     std::uint64_t counter = 0;
     UsedTicket *used = findByCall(call, counter);
-    if (!used || !used->runner || used->runner->call != call) {
+    if (!used || !used->grantedAttempt || used->grantedAttempt->call != call) {
         return withWakeTime(now, std::move(actions));
     }
     m_byCall.erase(call);
-    used->runner.reset();
+    used->grantedAttempt.reset();
     used->isDone = true;
     const StoredOutcome outcome{ verdict, response };
     m_outcomeCache.put(counter, outcome);
@@ -211,9 +211,9 @@
     OnceActions actions;
     std::uint64_t counter = 0;
     UsedTicket *used = findByCall(call, counter);
-    if (used && used->runner && used->runner->call == call) {
+    if (used && used->grantedAttempt && used->grantedAttempt->call == call) {
         m_byCall.erase(call);
-        used->runner.reset();
+        used->grantedAttempt.reset();
         used->isStarted = false;
         grantNext(now, counter, actions);
     }
@@ -227,11 +227,11 @@
     if (!used) {
         return withWakeTime(now, {});
     }
-    if (used->runner && used->runner->call == call) {
+    if (used->grantedAttempt && used->grantedAttempt->call == call) {
         return used->isStarted ? withWakeTime(now, {}) : notRun(now, call);
     }
     const auto found = std::find_if(used->waiters.begin(), used->waiters.end(),
-                                    [call](const Waiter &waiter) { return waiter.call == call; });
+                                    [call](const Attempt &waiter) { return waiter.call == call; });
     if (found != used->waiters.end()) {
         removeFromIndexes(*found);
         used->waiters.erase(found);
@@ -259,8 +259,8 @@
         StoredOutcome lost;
         lost.verdict = makeVerdict(Outcome::Unknown, Reason::KeyHolderGone);
         replyAll(used, lost, actions);
-        if (used.runner) {
-            m_byCall.erase(used.runner->call);
+        if (used.grantedAttempt) {
+            m_byCall.erase(used.grantedAttempt->call);
         }
         m_outcomeCache.erase(counter);
         m_usedTickets.erase(counter);
@@ -273,11 +273,11 @@
 {
     UsedTicket &used = m_usedTickets[counter];
     while (!used.waiters.empty()) {
-        const Waiter next = used.waiters.front();
+        const Attempt next = used.waiters.front();
         used.waiters.erase(used.waiters.begin());
         m_deadlines.erase({ next.deadline, next.call });
         if (now < next.deadline) {
-            used.runner = next;
+            used.grantedAttempt = next;
             actions.proceed.push_back(next.call);
             return;
         }
@@ -301,7 +301,7 @@
     return used == m_usedTickets.end() ? nullptr : &used->second;
 }
 
-void TicketRegistry::removeFromIndexes(const Waiter &waiter)
+void TicketRegistry::removeFromIndexes(const Attempt &waiter)
 {
     m_byCall.erase(waiter.call);
     m_deadlines.erase({ waiter.deadline, waiter.call });
@@ -309,7 +309,7 @@
 
 void TicketRegistry::replyAll(UsedTicket &used, const StoredOutcome &outcome, OnceActions &actions)
 {
-    for (const Waiter &waiter : std::exchange(used.waiters, {})) {
+    for (const Attempt &waiter : std::exchange(used.waiters, {})) {
         removeFromIndexes(waiter);
         actions.replies.push_back(makeReply(waiter.call, outcome, m_self));
     }
--- a/src/coordination/once/internal/ticketregistry.h
+++ b/src/coordination/once/internal/ticketregistry.h
@@ -29,7 +29,7 @@
     OnceActions tick(TimePoint now) override;
 
 private:
-    struct Waiter
+    struct Attempt
     {
         CallId call;
         TimePoint deadline;
@@ -38,10 +38,10 @@
     struct UsedTicket
     {
         RequestFingerprint fingerprint;
-        std::optional<Waiter> runner;
+        std::optional<Attempt> grantedAttempt;
         bool isStarted = false;
         bool isDone = false;
-        std::vector<Waiter> waiters;
+        std::vector<Attempt> waiters;
     };
 
     std::uint64_t checkValueOf(std::uint64_t counter) const;
@@ -51,7 +51,7 @@
     void addWaiter(std::uint64_t counter, UsedTicket &used, const TicketRequest &request);
     void grantNext(TimePoint now, std::uint64_t counter, OnceActions &actions);
     UsedTicket *findByCall(CallId call, std::uint64_t &counter);
-    void removeFromIndexes(const Waiter &waiter);
+    void removeFromIndexes(const Attempt &waiter);
     void replyAll(UsedTicket &used, const StoredOutcome &outcome, OnceActions &actions);
     OnceActions withWakeTime(TimePoint now, OnceActions actions) const;
 
