--- a/src/coordination/once/internal/oncecoordinator.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -80,15 +80,15 @@
     m_table->advanceHorizon(now);
     const auto known = m_byKey.find({ request.rule, request.key });
     if (known != m_byKey.end()) {
-        return finish(now, join(m_trackedKeys[known->second], known->second, request));
+        return withLogActions(now, join(m_trackedKeys[known->second], known->second, request));
     }
     std::optional<OnceReply> refusal = refuseEarly(now, request);
     if (!refusal) {
-        refusal = refuseHeld(request);
+        refusal = refuseIfHeld(request);
     }
     if (refusal) {
         actions.replies.push_back(*refusal);
-        return finish(now, std::move(actions));
+        return withLogActions(now, std::move(actions));
     }
     const TrackedKeyId id = ++m_lastTrackedKeyId;
     TrackedKey &tracked = m_trackedKeys[id];
@@ -100,7 +100,7 @@
     m_byNonce[tracked.nonce] = id;
     addWaiter(id, tracked, request);
     queueClaim(tracked);
-    return finish(now, std::move(actions));
+    return withLogActions(now, std::move(actions));
 }
 
 std::optional<OnceReply> OnceCoordinator::refuseEarly(TimePoint now,
@@ -122,7 +122,7 @@
 }
 
 /// A claim that the log already shows saves an append that would only lose.
-std::optional<OnceReply> OnceCoordinator::refuseHeld(const OnceRequest &request) const
+std::optional<OnceReply> OnceCoordinator::refuseIfHeld(const OnceRequest &request) const
 {
     const auto holder = m_table->holder(request.rule, request.key);
     if (!holder) {
@@ -132,7 +132,7 @@
     if (isOwn && m_abandonedClaims.count(holder->nonce) != 0) {
         return std::nullopt;
     }
-    return busyReply(request.call, *holder);
+    return heldKeyReply(request.call, *holder);
 }
 
 OnceActions OnceCoordinator::join(TrackedKey &tracked, TrackedKeyId id, const OnceRequest &request)
@@ -187,7 +187,7 @@
     TrackedKeyId id = 0;
     TrackedKey *tracked = findByCall(call, id);
     if (!tracked || !tracked->grantedAttempt || tracked->grantedAttempt->call != call) {
-        return finish(now, std::move(actions));
+        return withLogActions(now, std::move(actions));
     }
     m_byCall.erase(call);
     tracked->grantedAttempt.reset();
@@ -201,7 +201,7 @@
         reply.holder = m_self;
         actions.replies.push_back(std::move(reply));
     }
-    return finish(now, std::move(actions));
+    return withLogActions(now, std::move(actions));
 }
 
 OnceActions OnceCoordinator::notRun(TimePoint now, CallId call)
@@ -213,9 +213,9 @@
         m_byCall.erase(call);
         tracked->grantedAttempt.reset();
         tracked->isStarted = false;
-        grant(now, id, actions);
+        grantNext(now, id, actions);
     }
-    return finish(now, std::move(actions));
+    return withLogActions(now, std::move(actions));
 }
 
 OnceActions OnceCoordinator::cancel(TimePoint now, CallId call)
@@ -223,16 +223,16 @@
     TrackedKeyId id = 0;
     TrackedKey *tracked = findByCall(call, id);
     if (!tracked) {
-        return finish(now, {});
+        return withLogActions(now, {});
     }
     if (tracked->grantedAttempt && tracked->grantedAttempt->call == call) {
-        return tracked->isStarted ? finish(now, {}) : notRun(now, call);
+        return tracked->isStarted ? withLogActions(now, {}) : notRun(now, call);
     }
     removeWaiter(*tracked, call);
     if (tracked->stage == Stage::Claiming && tracked->waiters.empty()) {
         dropKey(now, id);
     }
-    return finish(now, {});
+    return withLogActions(now, {});
 }
 
 void OnceCoordinator::setMember(const DaemonId &daemon, std::optional<Incarnation> incarnation)
@@ -247,11 +247,11 @@
     expireWaiters(now, actions);
     expireKeys(now, actions);
     queueReleases(now);
-    return finish(now, std::move(actions));
+    return withLogActions(now, std::move(actions));
 }
 
 /// Lets the next attempt run, or gives the claim back.
-void OnceCoordinator::grant(TimePoint now, TrackedKeyId id, OnceActions &actions)
+void OnceCoordinator::grantNext(TimePoint now, TrackedKeyId id, OnceActions &actions)
 {
     TrackedKey &tracked = m_trackedKeys[id];
     const bool isInTime = now - *tracked.firstSent < m_options.startWindow;
@@ -371,18 +371,18 @@
     }
 }
 
-OnceReply OnceCoordinator::busyReply(CallId call, const ClaimHolder &holder) const
+OnceReply OnceCoordinator::heldKeyReply(CallId call, const ClaimHolder &holder) const
 {
-    const Reason reason = isGone(holder) ? Reason::KeyHolderGone : Reason::KeyBusy;
+    const Reason reason = isHolderGone(holder) ? Reason::KeyHolderGone : Reason::KeyBusy;
     OnceReply reply = makeReply(call, unknownVerdict(reason));
     reply.holder = holder.daemon;
     return reply;
 }
 
-bool OnceCoordinator::isGone(const ClaimHolder &holder) const
+bool OnceCoordinator::isHolderGone(const ClaimHolder &holder) const
 {
     if (holder.daemon == m_self) {
-        // No tracked is known here, or the attempt would have joined it.
+        // FindingEnd tracked is known here, or the attempt would have joined it.
         return true;
     }
     const auto member = m_members.find(holder.daemon);
--- a/src/coordination/once/internal/oncecoordinator.h
+++ b/src/coordination/once/internal/oncecoordinator.h
@@ -91,10 +91,10 @@
 
     // Attempts and their ends.
     std::optional<OnceReply> refuseEarly(TimePoint now, const OnceRequest &request) const;
-    std::optional<OnceReply> refuseHeld(const OnceRequest &request) const;
+    std::optional<OnceReply> refuseIfHeld(const OnceRequest &request) const;
     OnceActions join(TrackedKey &tracked, TrackedKeyId id, const OnceRequest &request);
     void addWaiter(TrackedKeyId id, TrackedKey &tracked, const OnceRequest &request);
-    void grant(TimePoint now, TrackedKeyId id, OnceActions &actions);
+    void grantNext(TimePoint now, TrackedKeyId id, OnceActions &actions);
     void refuseAll(TrackedKey &tracked, const Verdict &verdict, const DaemonId &holder,
                    OnceActions &actions);
     void dropKey(TimePoint now, TrackedKeyId id);
@@ -102,25 +102,25 @@
     void removeWaiter(TrackedKey &tracked, CallId call);
     void expireWaiters(TimePoint now, OnceActions &actions);
     void expireKeys(TimePoint now, OnceActions &actions);
-    OnceReply busyReply(CallId call, const ClaimHolder &holder) const;
-    bool isGone(const ClaimHolder &holder) const;
+    OnceReply heldKeyReply(CallId call, const ClaimHolder &holder) const;
+    bool isHolderGone(const ClaimHolder &holder) const;
     TrackedKey *findByCall(CallId call, TrackedKeyId &id);
 
     // The log.
     void queueClaim(TrackedKey &tracked);
-    void requeueLost(TimePoint readIssued);
-    void decide(TimePoint now, const ClaimDecision &decision, OnceActions &actions);
-    void locate(TimePoint now, const ClaimPage &page);
+    void requeueUncertainClaims(TimePoint readIssued);
+    void applyDecision(TimePoint now, const ClaimDecision &decision, OnceActions &actions);
+    void findStartOffset(TimePoint now, const ClaimPage &page);
     void applyPage(TimePoint now, const ClaimPage &page, OnceActions &actions);
-    void skipGap(TimePoint now, LogOffset first, OnceActions &actions);
-    void refuseQueued(TimePoint now, OnceActions &actions);
+    void skipTruncatedRecords(TimePoint now, LogOffset first, OnceActions &actions);
+    void refuseQueuedClaims(TimePoint now, OnceActions &actions);
     void queueReleases(TimePoint now);
     void queueRelease(std::uint64_t nonce, AbandonedClaim &abandoned);
     void append(TimePoint now, OnceActions &actions);
     void read(TimePoint now, OnceActions &actions);
     bool isLogDown(TimePoint now) const;
     /// Common end of all events: sends what can be sent.
-    OnceActions finish(TimePoint now, OnceActions actions);
+    OnceActions withLogActions(TimePoint now, OnceActions actions);
 
     const OnceOptions m_options;
     const DaemonId m_self;
@@ -152,14 +152,14 @@
     LogOffset m_awaitedEnd;
     TimePoint m_logDownUntil;
 
-    enum class Located {
-        No, ///< The end of the stream is not known.
-        AtEnd, ///< The last record is being read, for its horizon.
+    enum class StartSearch {
+        FindingEnd, ///< The end of the stream is not known.
+        ReadingLastRecord, ///< The last record is being read, for its horizon.
         Yes,
     };
-    Located m_located = Located::No;
-    LogOffset m_locateFrom;
-    LogOffset m_locateFirst;
+    StartSearch m_startSearch = StartSearch::FindingEnd;
+    LogOffset m_lastRecordOffset;
+    LogOffset m_firstKeptOffset;
 };
 
 } // namespace ivyspar
--- a/src/coordination/once/internal/oncecoordinatorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -21,7 +21,7 @@
 OnceActions OnceCoordinator::appendDone(TimePoint now, AppendId id, LogOffset offset)
 {
     if (!m_inFlightAppend || m_inFlightAppend->id != id) {
-        return finish(now, {});
+        return withLogActions(now, {});
     }
     const LogOffset end(offset.value() + 1);
     for (const ClaimEntry &entry : m_inFlightAppend->entries) {
@@ -39,14 +39,14 @@
     m_inFlightAppend.reset();
     m_awaitedEnd = std::max(m_awaitedEnd, end);
     m_nextRead = now;
-    return finish(now, {});
+    return withLogActions(now, {});
 }
 
 OnceActions OnceCoordinator::appendFailed(TimePoint now, AppendId id, AppendFailure failure)
 {
     OnceActions actions;
     if (!m_inFlightAppend || m_inFlightAppend->id != id) {
-        return finish(now, std::move(actions));
+        return withLogActions(now, std::move(actions));
     }
     const InFlightAppend failed = *std::exchange(m_inFlightAppend, std::nullopt);
     for (const ClaimEntry &entry : failed.entries) {
@@ -74,14 +74,14 @@
     }
     if (failure == AppendFailure::NotAppended) {
         m_logDownUntil = now + m_options.logBackoff;
-        refuseQueued(now, actions);
+        refuseQueuedClaims(now, actions);
     }
     m_nextRead = std::min(m_nextRead, now);
-    return finish(now, std::move(actions));
+    return withLogActions(now, std::move(actions));
 }
 
 /// The log is down: what waits for its turn to be appended is refused at once.
-void OnceCoordinator::refuseQueued(TimePoint now, OnceActions &actions)
+void OnceCoordinator::refuseQueuedClaims(TimePoint now, OnceActions &actions)
 {
     std::vector<TrackedKeyId> refused;
     for (const ClaimEntry &entry : m_appendQueue) {
@@ -111,10 +111,10 @@
     OnceActions actions;
     // Before the end of the stream was found nothing is appended: what waits would wait in vain,
     // and its caller would hear "unknown" at its deadline of a call that was never run.
-    if (m_located != Located::Yes) {
-        refuseQueued(now, actions);
+    if (m_startSearch != StartSearch::Yes) {
+        refuseQueuedClaims(now, actions);
     }
-    return finish(now, std::move(actions));
+    return withLogActions(now, std::move(actions));
 }
 
 OnceActions OnceCoordinator::recordsRead(TimePoint now, const ClaimPage &page)
@@ -122,13 +122,13 @@
     OnceActions actions;
     const TimePoint issued = m_readSent.value_or(now);
     m_readSent.reset();
-    if (m_located != Located::Yes) {
-        locate(now, page);
-        return finish(now, std::move(actions));
+    if (m_startSearch != StartSearch::Yes) {
+        findStartOffset(now, page);
+        return withLogActions(now, std::move(actions));
     }
     const LogOffset before = m_table->appliedEnd();
     if (page.first > before) {
-        skipGap(now, page.first, actions);
+        skipTruncatedRecords(now, page.first, actions);
     }
     applyPage(now, page, actions);
     const LogOffset end = m_table->appliedEnd();
@@ -141,32 +141,32 @@
         // The replica that answered lags behind the one that took the append.
         m_nextRead = now + m_options.readRetry;
     } else {
-        requeueLost(issued);
+        requeueUncertainClaims(issued);
     }
     queueReleases(now);
-    return finish(now, std::move(actions));
+    return withLogActions(now, std::move(actions));
 }
 
 /// Finds where to start: the horizon that the last batch states. Older records are not needed, so a
 /// daemon that starts reads one window, and not all that the log keeps.
-void OnceCoordinator::locate(TimePoint now, const ClaimPage &page)
+void OnceCoordinator::findStartOffset(TimePoint now, const ClaimPage &page)
 {
     m_nextRead = now;
-    if (m_located == Located::No) {
-        m_locateFirst = page.first;
+    if (m_startSearch == StartSearch::FindingEnd) {
+        m_firstKeptOffset = page.first;
         const bool isEmpty = page.end <= page.first;
-        m_locateFrom = isEmpty ? page.first : LogOffset(page.end.value() - 1);
-        m_located = Located::AtEnd;
+        m_lastRecordOffset = isEmpty ? page.first : LogOffset(page.end.value() - 1);
+        m_startSearch = StartSearch::ReadingLastRecord;
         if (!isEmpty) {
             return;
         }
     }
-    LogOffset from = std::max(m_locateFirst, page.first);
+    LogOffset from = std::max(m_firstKeptOffset, page.first);
     if (!page.records.empty() && page.records.back().batch) {
         from = std::max(from, page.records.back().batch->horizon);
     }
     m_table->restart(now, from);
-    m_located = Located::Yes;
+    m_startSearch = StartSearch::Yes;
 }
 
 void OnceCoordinator::applyPage(TimePoint now, const ClaimPage &page, OnceActions &actions)
@@ -186,14 +186,14 @@
             continue;
         }
         for (const ClaimDecision &decision : decisions) {
-            decide(now, decision, actions);
+            applyDecision(now, decision, actions);
         }
     }
 }
 
 /// The log dropped records that were not read here: they are older than the window, and so do not
 /// matter for keys. But a claim of ours may be among them, and can no longer be decided.
-void OnceCoordinator::skipGap(TimePoint now, LogOffset first, OnceActions &actions)
+void OnceCoordinator::skipTruncatedRecords(TimePoint now, LogOffset first, OnceActions &actions)
 {
     m_table->restart(now, first);
     std::vector<TrackedKeyId> undecided;
@@ -208,7 +208,8 @@
     }
 }
 
-void OnceCoordinator::decide(TimePoint now, const ClaimDecision &decision, OnceActions &actions)
+void OnceCoordinator::applyDecision(TimePoint now, const ClaimDecision &decision,
+                                    OnceActions &actions)
 {
     const auto found = m_byNonce.find(decision.nonce);
     if (found == m_byNonce.end()) {
@@ -223,7 +224,7 @@
     if (decision.isFirst) {
         tracked.stage = Stage::Granted;
         m_expiry.emplace_back(now + m_options.window(), id);
-        grant(now, id, actions);
+        grantNext(now, id, actions);
         return;
     }
     const auto &blocker = decision.blocker;
@@ -244,7 +245,7 @@
         queueClaim(tracked);
         return;
     }
-    const OnceReply reply = blocker ? busyReply(CallId(), *blocker)
+    const OnceReply reply = blocker ? heldKeyReply(CallId(), *blocker)
                                     : OnceReply{ {}, logVerdict(m_options.logBackoff), {}, {} };
     refuseAll(tracked, reply.verdict, reply.holder, actions);
     dropKey(now, id);
@@ -258,7 +259,7 @@
 
 /// An append's answer was lost, and a read that began later did not show the claim. It may still be
 /// on its way, so the same claim is sent once more: a second copy changes nothing in the fold.
-void OnceCoordinator::requeueLost(TimePoint readIssued)
+void OnceCoordinator::requeueUncertainClaims(TimePoint readIssued)
 {
     for (auto &[id, tracked] : m_trackedKeys) {
         const bool isLost = tracked.stage == Stage::Claiming && tracked.uncertainSince
@@ -303,7 +304,7 @@
 
 void OnceCoordinator::append(TimePoint now, OnceActions &actions)
 {
-    if (m_inFlightAppend || m_appendQueue.empty() || m_located != Located::Yes
+    if (m_inFlightAppend || m_appendQueue.empty() || m_startSearch != StartSearch::Yes
         || now < m_nextAppend) {
         return;
     }
@@ -344,14 +345,14 @@
         return;
     }
     m_readSent = now;
-    switch (m_located) {
-    case Located::No:
+    switch (m_startSearch) {
+    case StartSearch::FindingEnd:
         actions.read = ClaimRead{ LogOffset(0), 1 };
         return;
-    case Located::AtEnd:
-        actions.read = ClaimRead{ m_locateFrom, m_options.readRecords };
+    case StartSearch::ReadingLastRecord:
+        actions.read = ClaimRead{ m_lastRecordOffset, m_options.readRecords };
         return;
-    case Located::Yes:
+    case StartSearch::Yes:
         actions.read = ClaimRead{ m_table->appliedEnd(), m_options.readRecords };
         return;
     }
@@ -365,7 +366,7 @@
     return now < m_logDownUntil || isAppendStalled || isReadStalled;
 }
 
-OnceActions OnceCoordinator::finish(TimePoint now, OnceActions actions)
+OnceActions OnceCoordinator::withLogActions(TimePoint now, OnceActions actions)
 {
     append(now, actions);
     read(now, actions);
