--- a/src/coordination/once/iclaimtable.h
+++ b/src/coordination/once/iclaimtable.h
@@ -45,8 +45,8 @@
     /// The earliest claim of the key that stands above the horizon.
     virtual std::optional<ClaimHolder> holder(const RuleName &rule,
                                               const IdempotencyKey &key) const = 0;
-    virtual bool isStanding(const RuleName &rule, const IdempotencyKey &key,
-                            const ClaimHolder &holder) const = 0;
+    virtual bool isActive(const RuleName &rule, const IdempotencyKey &key,
+                          const ClaimHolder &holder) const = 0;
     /// Raises the horizon as far as this observer's clock proves, and forgets what is below. To be
     /// called now and then also while no records come.
     virtual LogOffset advanceHorizon(TimePoint now) = 0;
@@ -54,7 +54,7 @@
     virtual LogOffset appliedEnd() const = 0;
     /// More claims stand in the window than memory allows: no claim is the first before the horizon
     /// has passed those that were not kept.
-    virtual bool isOverfull() const = 0;
+    virtual bool isOverCapacity() const = 0;
     virtual std::size_t size() const = 0;
 };
 
--- a/src/coordination/once/internal/claimtable.cpp
+++ b/src/coordination/once/internal/claimtable.cpp
@@ -7,7 +7,7 @@
 namespace ivyspar {
 
 namespace {
-constexpr int MARKS_PER_WINDOW = 200;
+constexpr int OFFSET_SAMPLES_PER_WINDOW = 200;
 } // namespace
 
 std::unique_ptr<IClaimTable> makeClaimTable(const OnceOptions &options, std::uint64_t hashSeed)
@@ -25,11 +25,11 @@
 {
     m_end = offset;
     m_horizon = offset;
-    m_standing.clear();
+    m_activeClaims.clear();
     m_order.clear();
     m_owners.clear();
-    m_marks.clear();
-    m_marks.push_back({ offset, now });
+    m_offsetSamples.clear();
+    m_offsetSamples.push_back({ offset, now });
     m_completeFrom = offset;
 }
 
@@ -44,10 +44,10 @@
     const Owner *owner = &*m_owners.emplace(batch->daemon, batch->incarnation).first;
     for (const ClaimEntry &entry : batch->entries) {
         const KeyHash hash = hashOf(entry.rule, entry.key);
-        const auto own = findStanding(hash, *owner, entry.nonce);
+        const auto own = findActive(hash, *owner, entry.nonce);
         if (entry.kind == ClaimKind::Release) {
-            if (own != m_standing.end()) {
-                m_standing.erase(own);
+            if (own != m_activeClaims.end()) {
+                m_activeClaims.erase(own);
             }
             continue;
         }
@@ -56,18 +56,18 @@
         decision.blocker = blocker(hash, batch->horizon, owner, entry.nonce);
         decision.isFirst = !decision.blocker && batch->horizon >= m_completeFrom;
         decisions.push_back(std::move(decision));
-        if (own == m_standing.end() && !hasRoom()) {
+        if (own == m_activeClaims.end() && !hasRoom()) {
             // Without this bound a flood of keys would end the process; with it, no claim counts as
             // the first until the horizon has passed the gap, so nothing runs twice.
             m_completeFrom = m_end;
-        } else if (own == m_standing.end()) {
-            m_standing.emplace(hash, Standing{ offset, owner, entry.nonce });
+        } else if (own == m_activeClaims.end()) {
+            m_activeClaims.emplace(hash, ActiveClaim{ offset, owner, entry.nonce });
             m_order.emplace_back(offset, hash);
         }
     }
     // A horizon that another daemon stated is a fact about the log, and may be ahead of ours.
     if (batch->horizon > m_horizon && batch->horizon <= offset) {
-        forgetBelow(batch->horizon);
+        evictBelow(batch->horizon);
     }
     return decisions;
 }
@@ -77,28 +77,28 @@
     return blocker(hashOf(rule, key), m_horizon, nullptr, 0);
 }
 
-bool ClaimTable::isStanding(const RuleName &rule, const IdempotencyKey &key,
-                            const ClaimHolder &holder) const
+bool ClaimTable::isActive(const RuleName &rule, const IdempotencyKey &key,
+                          const ClaimHolder &holder) const
 {
     const Owner owner(holder.daemon, holder.incarnation);
-    return findStanding(hashOf(rule, key), owner, holder.nonce) != m_standing.end();
+    return findActive(hashOf(rule, key), owner, holder.nonce) != m_activeClaims.end();
 }
 
 LogOffset ClaimTable::advanceHorizon(TimePoint now)
 {
-    const bool isMarked = !m_marks.empty()
-        && (m_marks.back().offset == m_end
-            || now - m_marks.back().at < m_options.window() / MARKS_PER_WINDOW);
-    if (!isMarked) {
-        m_marks.push_back({ m_end, now });
+    const bool isSampled = !m_offsetSamples.empty()
+        && (m_offsetSamples.back().offset == m_end
+            || now - m_offsetSamples.back().at < m_options.window() / OFFSET_SAMPLES_PER_WINDOW);
+    if (!isSampled) {
+        m_offsetSamples.push_back({ m_end, now });
     }
     LogOffset horizon = m_horizon;
-    while (!m_marks.empty() && now - m_marks.front().at >= m_options.window()) {
-        horizon = std::max(horizon, m_marks.front().offset);
-        m_marks.pop_front();
+    while (!m_offsetSamples.empty() && now - m_offsetSamples.front().at >= m_options.window()) {
+        horizon = std::max(horizon, m_offsetSamples.front().offset);
+        m_offsetSamples.pop_front();
     }
     if (horizon > m_horizon) {
-        forgetBelow(horizon);
+        evictBelow(horizon);
     }
     return m_horizon;
 }
@@ -113,23 +113,23 @@
     return { hash.low64, hash.high64 };
 }
 
-ClaimTable::StandingClaims::const_iterator
-ClaimTable::findStanding(const KeyHash &hash, const Owner &owner, std::uint64_t nonce) const
+ClaimTable::ActiveClaims::const_iterator
+ClaimTable::findActive(const KeyHash &hash, const Owner &owner, std::uint64_t nonce) const
 {
-    const auto [begin, end] = m_standing.equal_range(hash);
+    const auto [begin, end] = m_activeClaims.equal_range(hash);
     const auto found = std::find_if(begin, end, [&](const auto &claim) {
         return claim.second.nonce == nonce && *claim.second.owner == owner;
     });
-    return found == end ? m_standing.end() : found;
+    return found == end ? m_activeClaims.end() : found;
 }
 
 std::optional<ClaimHolder> ClaimTable::blocker(const KeyHash &hash, LogOffset from,
                                                const Owner *owner, std::uint64_t nonce) const
 {
-    const Standing *earliest = nullptr;
-    const auto [begin, end] = m_standing.equal_range(hash);
+    const ActiveClaim *earliest = nullptr;
+    const auto [begin, end] = m_activeClaims.equal_range(hash);
     for (auto it = begin; it != end; ++it) {
-        const Standing &claim = it->second;
+        const ActiveClaim &claim = it->second;
         const bool isOwn = claim.owner == owner && claim.nonce == nonce;
         if (isOwn || claim.offset < from) {
             continue;
@@ -146,17 +146,17 @@
 
 bool ClaimTable::hasRoom() const
 {
-    return m_standing.size() < m_options.maxTableEntries
+    return m_activeClaims.size() < m_options.maxTableEntries
         && m_order.size() < 2 * m_options.maxTableEntries;
 }
 
-void ClaimTable::forgetBelow(LogOffset horizon)
+void ClaimTable::evictBelow(LogOffset horizon)
 {
     m_horizon = horizon;
     while (!m_order.empty() && m_order.front().first < horizon) {
-        const auto [begin, end] = m_standing.equal_range(m_order.front().second);
+        const auto [begin, end] = m_activeClaims.equal_range(m_order.front().second);
         for (auto it = begin; it != end;) {
-            it = it->second.offset < horizon ? m_standing.erase(it) : std::next(it);
+            it = it->second.offset < horizon ? m_activeClaims.erase(it) : std::next(it);
         }
         m_order.pop_front();
     }
--- a/src/coordination/once/internal/claimtable.h
+++ b/src/coordination/once/internal/claimtable.h
@@ -20,12 +20,12 @@
     std::vector<ClaimDecision> apply(const ClaimBatch *batch) override;
     std::optional<ClaimHolder> holder(const RuleName &rule,
                                       const IdempotencyKey &key) const override;
-    bool isStanding(const RuleName &rule, const IdempotencyKey &key,
-                    const ClaimHolder &holder) const override;
+    bool isActive(const RuleName &rule, const IdempotencyKey &key,
+                  const ClaimHolder &holder) const override;
     LogOffset advanceHorizon(TimePoint now) override;
     LogOffset appliedEnd() const override { return m_end; }
-    bool isOverfull() const override { return m_horizon < m_completeFrom; }
-    std::size_t size() const override { return m_standing.size(); }
+    bool isOverCapacity() const override { return m_horizon < m_completeFrom; }
+    std::size_t size() const override { return m_activeClaims.size(); }
 
 private:
     using Owner = std::pair<DaemonId, Incarnation>;
@@ -40,43 +40,43 @@
             return a.low == b.low && a.high == b.high;
         }
     };
-    struct KeyHashHash
+    struct KeyHashHasher
     {
         std::size_t operator()(const KeyHash &hash) const { return hash.low; }
     };
-    struct Standing
+    struct ActiveClaim
     {
         LogOffset offset;
         /// Points into `m_owners`.
         const Owner *owner = nullptr;
         std::uint64_t nonce = 0;
     };
-    using StandingClaims = std::unordered_multimap<KeyHash, Standing, KeyHashHash>;
+    using ActiveClaims = std::unordered_multimap<KeyHash, ActiveClaim, KeyHashHasher>;
     /// At `at`, this observer had seen all records below `offset`.
-    struct SeenMark
+    struct OffsetSample
     {
         LogOffset offset;
         TimePoint at;
     };
 
     KeyHash hashOf(const RuleName &rule, const IdempotencyKey &key) const;
-    StandingClaims::const_iterator findStanding(const KeyHash &hash, const Owner &owner,
-                                                std::uint64_t nonce) const;
+    ActiveClaims::const_iterator findActive(const KeyHash &hash, const Owner &owner,
+                                            std::uint64_t nonce) const;
     /// The earliest standing claim from `from` on by another holder than (owner, nonce).
     std::optional<ClaimHolder> blocker(const KeyHash &hash, LogOffset from, const Owner *owner,
                                        std::uint64_t nonce) const;
     bool hasRoom() const;
-    void forgetBelow(LogOffset horizon);
+    void evictBelow(LogOffset horizon);
 
     const OnceOptions m_options;
     const std::uint64_t m_hashSeed;
     LogOffset m_end;
     LogOffset m_horizon;
-    StandingClaims m_standing;
+    ActiveClaims m_activeClaims;
     /// All claims that stand or stood, in order of offset.
     std::deque<std::pair<LogOffset, KeyHash>> m_order;
     std::set<Owner> m_owners;
-    std::deque<SeenMark> m_marks;
+    std::deque<OffsetSample> m_offsetSamples;
     /// Claims below this offset may be missing here.
     LogOffset m_completeFrom;
 };
--- a/src/coordination/once/internal/oncecoordinator.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -115,7 +115,7 @@
     if (isLogDown(now)) {
         return makeReply(request.call, notRunVerdict(Reason::LogUnavailable, m_options.logBackoff));
     }
-    if (m_trackedKeys.size() >= m_options.maxTrackedKeys || m_table->isOverfull()) {
+    if (m_trackedKeys.size() >= m_options.maxTrackedKeys || m_table->isOverCapacity()) {
         return makeReply(request.call, notRunVerdict(Reason::QueueFull, m_options.logBackoff));
     }
     return std::nullopt;
--- a/src/coordination/once/internal/oncecoordinatorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -279,10 +279,10 @@
     for (auto it = m_releaseCandidates.begin(); it != m_releaseCandidates.end();) {
         const std::uint64_t nonce = *it;
         const auto found = m_abandonedClaims.find(nonce);
-        const bool isStanding = found != m_abandonedClaims.end()
-            && m_table->isStanding(found->second.rule, found->second.key,
-                                   { m_self, m_incarnation, nonce });
-        if (!isStanding) {
+        const bool isActive = found != m_abandonedClaims.end()
+            && m_table->isActive(found->second.rule, found->second.key,
+                                 { m_self, m_incarnation, nonce });
+        if (!isActive) {
             // Only what is known to have been given up is released. A copy that reaches the log
             // later brings the nonce back here.
             it = m_releaseCandidates.erase(it);
--- a/src/coordination/once/tests/oncetest.cpp
+++ b/src/coordination/once/tests/oncetest.cpp
@@ -250,7 +250,7 @@
     table->apply(&a);
     a.entries.front().key = IdempotencyKey("other");
     table->apply(&a);
-    CHECK(table->isOverfull());
+    CHECK(table->isOverCapacity());
     a.entries.front().key = IdempotencyKey("third");
     CHECK_FALSE(table->apply(&a).front().isFirst);
     CHECK_EQUAL(1, table->size());
