--- a/src/coordination/once/internal/oncecoordinator.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -42,7 +42,7 @@
     return RequestFingerprint(XXH3_64bits(text.data(), text.size()));
 }
 
-Ret checkOnce(const OnceOptions &options, Duration logRetention)
+Ret validateOnceOptions(const OnceOptions &options, Duration logRetention)
 {
     if (logRetention <= options.window()) {
         return makeError(ErrorCode::InvalidArgument,
--- a/src/coordination/once/internal/oncecoordinatorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -134,12 +134,12 @@
     const LogOffset end = m_table->appliedEnd();
     const bool isMoreKnown = end < page.end && end > before;
     const bool isAwaited = end < m_awaitedEnd;
-    m_nextRead = now + m_options.idlePoll;
+    m_nextRead = now + m_options.idleReadInterval;
     if (isMoreKnown) {
         m_nextRead = now;
     } else if (isAwaited) {
         // The replica that answered lags behind the one that took the append.
-        m_nextRead = now + m_options.readRetry;
+        m_nextRead = now + m_options.readRetryDelay;
     } else {
         requeueUncertainClaims(issued);
     }
@@ -264,7 +264,7 @@
     for (auto &[id, tracked] : m_trackedKeys) {
         const bool isLost = tracked.stage == Stage::Claiming && tracked.uncertainSince
             && *tracked.uncertainSince <= readIssued && !tracked.isQueued && !tracked.isInFlight;
-        if (isLost && tracked.claimCopies < m_options.maxCopies) {
+        if (isLost && tracked.claimCopies < m_options.maxClaimCopies) {
             tracked.uncertainSince.reset();
             queueClaim(tracked);
         }
@@ -350,10 +350,10 @@
         actions.read = ClaimRead{ LogOffset(0), 1 };
         return;
     case StartSearch::ReadingLastRecord:
-        actions.read = ClaimRead{ m_lastRecordOffset, m_options.readRecords };
+        actions.read = ClaimRead{ m_lastRecordOffset, m_options.maxReadRecords };
         return;
     case StartSearch::Yes:
-        actions.read = ClaimRead{ m_table->appliedEnd(), m_options.readRecords };
+        actions.read = ClaimRead{ m_table->appliedEnd(), m_options.maxReadRecords };
         return;
     }
 }
@@ -361,8 +361,8 @@
 bool OnceCoordinator::isLogDown(TimePoint now) const
 {
     const bool isAppendStalled =
-        m_inFlightAppend && now - m_inFlightAppend->sent > m_options.stallLimit;
-    const bool isReadStalled = m_readSent && now - *m_readSent > m_options.stallLimit;
+        m_inFlightAppend && now - m_inFlightAppend->sent > m_options.stallTimeout;
+    const bool isReadStalled = m_readSent && now - *m_readSent > m_options.stallTimeout;
     return now < m_logDownUntil || isAppendStalled || isReadStalled;
 }
 
@@ -370,7 +370,7 @@
 {
     append(now, actions);
     read(now, actions);
-    actions.wakeAt = now + m_options.idlePoll;
+    actions.wakeAt = now + m_options.idleReadInterval;
     if (!m_readSent) {
         actions.wakeAt = std::min(actions.wakeAt, m_nextRead);
     }
--- a/src/coordination/once/oncefactory.h
+++ b/src/coordination/once/oncefactory.h
@@ -16,28 +16,28 @@
 /// Two runs of a key are at least `lifetime` apart: a claim's holder starts nothing later than
 /// `startWindow` after it first sent the claim, and others let a claim pass only `window()` after
 /// they saw it. Both times are taken from the observer's own clock, and reading late only makes the
-/// second one longer; `margin` covers clocks that run at different speeds.
+/// second one longer; `clockMargin` covers clocks that run at different speeds.
 struct OnceOptions
 {
     Duration lifetime = MAX_KEY_LIFETIME;
     Duration startWindow = std::chrono::seconds(60);
-    Duration margin = std::chrono::seconds(30);
-    Duration window() const { return lifetime + startWindow + margin; }
+    Duration clockMargin = std::chrono::seconds(30);
+    Duration window() const { return lifetime + startWindow + clockMargin; }
 
     /// Bounds on one append, and the shortest time between two.
     std::size_t maxBatchEntries = 256;
     Duration minAppendInterval = std::chrono::milliseconds(5);
     /// Copies of a claim that are appended while the answers are lost.
-    std::uint32_t maxCopies = 4;
-    std::uint32_t readRecords = 512;
+    std::uint32_t maxClaimCopies = 4;
+    std::uint32_t maxReadRecords = 512;
     /// Interval of reading while nothing waits.
-    Duration idlePoll = std::chrono::seconds(1);
+    Duration idleReadInterval = std::chrono::seconds(1);
     /// Pause after a read that failed, or that did not yet show an append of ours.
-    Duration readRetry = std::chrono::milliseconds(25);
+    Duration readRetryDelay = std::chrono::milliseconds(25);
     /// After a failure of the log, requests are refused at once for this long, then one is tried.
     Duration logBackoff = std::chrono::milliseconds(250);
     /// An append or a read that takes longer: the log counts as unavailable for new requests.
-    Duration stallLimit = std::chrono::seconds(1);
+    Duration stallTimeout = std::chrono::seconds(1);
     std::size_t maxKeyBytes = 256;
     std::size_t maxTrackedKeys = 20000;
     std::size_t maxTableEntries = 150000;
@@ -48,7 +48,7 @@
 
 /// Fails with `InvalidArgument` when the log keeps records for less than the window: claims would
 /// vanish while they still matter.
-Ret checkOnce(const OnceOptions &options, Duration logRetention);
+Ret validateOnceOptions(const OnceOptions &options, Duration logRetention);
 
 struct TicketOptions
 {
--- a/src/coordination/once/tests/mocks/oncefabric.h
+++ b/src/coordination/once/tests/mocks/oncefabric.h
@@ -80,7 +80,7 @@
         OnceOptions options;
         options.lifetime = 20s;
         options.startWindow = 5s;
-        options.margin = 1s;
+        options.clockMargin = 1s;
         return options;
     }
     static constexpr Duration RETENTION = std::chrono::seconds(40);
--- a/src/coordination/once/tests/oncetest.cpp
+++ b/src/coordination/once/tests/oncetest.cpp
@@ -187,8 +187,9 @@
 TEST(Once, RetentionBelowTheWindowIsRefused)
 {
     const OnceOptions options;
-    CHECK(checkOnce(options, options.window() + 1s).has_value());
-    CHECK(checkOnce(options, options.window()).error().code == ErrorCode::InvalidArgument);
+    CHECK(validateOnceOptions(options, options.window() + 1s).has_value());
+    CHECK(validateOnceOptions(options, options.window()).error().code
+          == ErrorCode::InvalidArgument);
 }
 
 TEST_GROUP(ClaimTable)
