--- a/src/coordination/once/internal/oncecoordinator.h
+++ b/src/coordination/once/internal/oncecoordinator.h
@@ -155,7 +155,7 @@
     enum class StartSearch {
         FindingEnd, ///< The end of the stream is not known.
         ReadingLastRecord, ///< The last record is being read, for its horizon.
-        Yes,
+        Found,
     };
     StartSearch m_startSearch = StartSearch::FindingEnd;
     LogOffset m_lastRecordOffset;
--- a/src/coordination/once/internal/oncecoordinatorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -111,7 +111,7 @@
     OnceActions actions;
     // Before the end of the stream was found nothing is appended: what waits would wait in vain,
     // and its caller would hear "unknown" at its deadline of a call that was never run.
-    if (m_startSearch != StartSearch::Yes) {
+    if (m_startSearch != StartSearch::Found) {
         refuseQueuedClaims(now, actions);
     }
     return withLogActions(now, std::move(actions));
@@ -122,7 +122,7 @@
     OnceActions actions;
     const TimePoint issued = m_readSent.value_or(now);
     m_readSent.reset();
-    if (m_startSearch != StartSearch::Yes) {
+    if (m_startSearch != StartSearch::Found) {
         findStartOffset(now, page);
         return withLogActions(now, std::move(actions));
     }
@@ -166,7 +166,7 @@
         from = std::max(from, page.records.back().batch->horizon);
     }
     m_table->restart(now, from);
-    m_startSearch = StartSearch::Yes;
+    m_startSearch = StartSearch::Found;
 }
 
 void OnceCoordinator::applyPage(TimePoint now, const ClaimPage &page, OnceActions &actions)
@@ -304,7 +304,7 @@
 
 void OnceCoordinator::append(TimePoint now, OnceActions &actions)
 {
-    if (m_inFlightAppend || m_appendQueue.empty() || m_startSearch != StartSearch::Yes
+    if (m_inFlightAppend || m_appendQueue.empty() || m_startSearch != StartSearch::Found
         || now < m_nextAppend) {
         return;
     }
@@ -352,7 +352,7 @@
     case StartSearch::ReadingLastRecord:
         actions.read = ClaimRead{ m_lastRecordOffset, m_options.maxReadRecords };
         return;
-    case StartSearch::Yes:
+    case StartSearch::Found:
         actions.read = ClaimRead{ m_table->appliedEnd(), m_options.maxReadRecords };
         return;
     }
