--- a/bench/oncebench.cpp
+++ b/bench/oncebench.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/once/tests/mocks/oncefabric.h"
+#include "coordination/once/tests/mocks/oncesimulation.h"
 #include "protocol/internal/claimcodec.h"
 
 namespace ivyspar::lab {
@@ -38,22 +38,22 @@
 {
     const std::size_t daemons = input.daemons;
     const std::size_t perSecond = input.perSecond;
-    OnceOptions options = OnceFabric::options();
+    OnceOptions options = OnceSimulation::options();
     options.minAppendInterval = input.appendInterval;
-    OnceFabric fabric(1, daemons, Sabotage::None, options);
-    fabric.run(std::chrono::seconds(3));
+    OnceSimulation simulation(1, daemons, ProtocolDefect::None, options);
+    simulation.run(std::chrono::seconds(3));
     std::size_t appends = 0;
     std::size_t bytes = 0;
     std::size_t entries = 0;
     std::map<CallId, TimePoint> sent;
     std::vector<double> waits;
-    fabric.onAppend = [&](const ClaimBatch &batch) {
+    simulation.onAppend = [&](const ClaimBatch &batch) {
         ++appends;
         bytes += encodeClaims(batch).size();
         entries += batch.entries.size();
     };
-    fabric.onProceed = [&](CallId call) {
-        const Duration wait = fabric.now() - sent[call];
+    simulation.onProceed = [&](CallId call) {
+        const Duration wait = simulation.now() - sent[call];
         waits.push_back(static_cast<double>(wait.count()) / 1000.0);
     };
     const Duration gap(1'000'000 / perSecond);
@@ -61,9 +61,10 @@
         // As long as the usual keys.
         const std::string key = "2026-12-02-order-" + std::to_string(1'000'000'000 + i);
         const CallId call =
-            fabric.request(fabric.random().below(daemons), key, std::chrono::seconds(2));
-        sent[call] = fabric.now();
-        fabric.run(Duration(fabric.random().below(2 * static_cast<std::uint64_t>(gap.count()))));
+            simulation.request(simulation.random().below(daemons), key, std::chrono::seconds(2));
+        sent[call] = simulation.now();
+        simulation.run(
+            Duration(simulation.random().below(2 * static_cast<std::uint64_t>(gap.count()))));
     }
     const auto perSecondOf = [](std::size_t count) { return static_cast<double>(count) / SECONDS; };
     std::printf(
--- a/src/coordination/once/tests/mocks/oncesimulation.h
+++ b/src/coordination/once/tests/mocks/oncesimulation.h
@@ -15,18 +15,18 @@
 namespace ivyspar {
 
 /// A way to break the protocol from outside, which the checks must find.
-enum class Sabotage {
+enum class ProtocolDefect {
     None,
-    GuessAfterLostAnswer, ///< A lost append answer is taken for "appended, and first".
+    AssumeAppendedOnUnknown, ///< A lost append failAppend is taken for "appended, and first".
     SkipForeignRecords, ///< Reads its own records only.
     ReleaseForeignClaims, ///< Releases the claims of others before claiming.
-    ForgetTooEarly, ///< One daemon lets claims pass after a second.
-    StartAnyway, ///< Sends although `start` refused.
+    ExpireClaimsTooEarly, ///< One daemon lets claims pass after a second.
+    IgnoreStartRefusal, ///< Sends although `start` refused.
 };
 
 /// Several executors over one log under a fake clock, with lost answers, outages, stale reads,
 /// freezes, crashes, retention and clocks that run at different speeds; and a record of what ran.
-class OnceFabric
+class OnceSimulation
 {
 public:
     struct Execution
@@ -48,9 +48,9 @@
     /// Shares of events that go wrong, in 1/1000.
     struct Faults
     {
-        std::uint64_t lostAfter = 0;
-        std::uint64_t lostBefore = 0;
-        std::uint64_t lostLate = 0;
+        std::uint64_t appendAnswerLost = 0;
+        std::uint64_t appendLost = 0;
+        std::uint64_t appendDelayed = 0;
         std::uint64_t readFails = 0;
         std::uint64_t staleRead = 0;
         std::uint64_t refusedByUpstream = 0;
@@ -59,18 +59,19 @@
         std::uint64_t freezeBeforeStart = 0;
     };
 
-    OnceFabric(std::uint64_t seed, std::size_t nodes, Sabotage sabotage = Sabotage::None,
-               const OnceOptions &options = OnceFabric::options())
+    OnceSimulation(std::uint64_t seed, std::size_t nodes,
+                   ProtocolDefect defect = ProtocolDefect::None,
+                   const OnceOptions &options = OnceSimulation::options())
         : m_options(options)
         , m_random(seed)
-        , m_sabotage(sabotage)
+        , m_defect(defect)
         , m_nodes(nodes)
     {
         for (std::size_t i = 0; i < nodes; ++i) {
             // Clocks differ by up to 1 % in speed, and by any offset.
-            m_nodes[i].rate = 0.99 + 0.02 * m_random.unit();
+            m_nodes[i].clockRate = 0.99 + 0.02 * m_random.unit();
             m_nodes[i].offset = Duration(m_random.below(1'000'000'000));
-            boot(i);
+            startNode(i);
         }
     }
 
@@ -93,7 +94,7 @@
         onNode(node, Duration(0), [this, node, key, wait, fingerprint, call] {
             OnceRequest request{ call, RuleName("pay"), IdempotencyKey(key),
                                  RequestFingerprint(fingerprint), local(node) + wait };
-            perform(node, m_nodes[node].executor->request(local(node), request));
+            perform(node, m_nodes[node].coordinator->request(local(node), request));
         });
         return call;
     }
@@ -101,7 +102,7 @@
     void crash(std::size_t node)
     {
         ++m_nodes[node].run;
-        boot(node);
+        startNode(node);
     }
     void freeze(std::size_t node, Duration time)
     {
@@ -126,12 +127,12 @@
     std::size_t appends() const { return m_appends; }
     TimePoint now() const { return m_time.now(); }
     SeededRandom &random() { return m_random; }
-    IOnceCoordinator &executor(std::size_t node) { return *m_nodes[node].executor; }
+    IOnceCoordinator &coordinator(std::size_t node) { return *m_nodes[node].coordinator; }
     TimePoint local(std::size_t node) const
     {
         const auto passed = static_cast<double>((m_time.now() - TimePoint()).count());
         return TimePoint(m_nodes[node].offset)
-            + Duration(static_cast<Duration::rep>(passed * m_nodes[node].rate));
+            + Duration(static_cast<Duration::rep>(passed * m_nodes[node].clockRate));
     }
 
     std::function<void(const ClaimBatch &batch)> onAppend;
@@ -141,7 +142,7 @@
     std::vector<std::string> violations() const
     {
         std::vector<std::string> found;
-        checkApart(found);
+        checkAtMostOnce(found);
         checkReplies(found);
         return found;
     }
@@ -149,9 +150,9 @@
 private:
     struct Node
     {
-        std::unique_ptr<IOnceCoordinator> executor;
+        std::unique_ptr<IOnceCoordinator> coordinator;
         std::uint64_t run = 1;
-        double rate = 1;
+        double clockRate = 1;
         Duration offset{ 0 };
         TimePoint frozenUntil;
         TimePoint wakeAt;
@@ -162,20 +163,20 @@
         TimePoint at;
     };
 
-    void boot(std::size_t index)
+    void startNode(std::size_t index)
     {
         Node &node = m_nodes[index];
         OnceOptions options = m_options;
-        if (m_sabotage == Sabotage::ForgetTooEarly && index == 0) {
+        if (m_defect == ProtocolDefect::ExpireClaimsTooEarly && index == 0) {
             options.lifetime = options.startWindow = Duration(0);
         }
-        node.executor = makeOnceCoordinator(local(index), DaemonId(nameOf(index)),
-                                            Incarnation(node.run), m_random.next(), options);
+        node.coordinator = makeOnceCoordinator(local(index), DaemonId(nameOf(index)),
+                                               Incarnation(node.run), m_random.next(), options);
         node.frozenUntil = m_time.now();
         node.wakeAt = TimePoint::max();
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
-            if (m_nodes[i].executor) {
-                m_nodes[i].executor->setMember(DaemonId(nameOf(index)), Incarnation(node.run));
+            if (m_nodes[i].coordinator) {
+                m_nodes[i].coordinator->setMember(DaemonId(nameOf(index)), Incarnation(node.run));
             }
         }
         scheduleTick(index, m_time.now());
@@ -208,7 +209,7 @@
         node.wakeAt = at;
         onNode(index, at - m_time.now(), [this, index] {
             m_nodes[index].wakeAt = TimePoint::max();
-            perform(index, m_nodes[index].executor->tick(local(index)));
+            perform(index, m_nodes[index].coordinator->tick(local(index)));
         });
     }
 
@@ -222,9 +223,9 @@
                 onProceed(call);
             }
             if (happens(m_faults.freezeBeforeStart)) {
-                freeze(index, micros(0, 60'000'000));
+                freeze(index, randomDuration(0, 60'000'000));
             }
-            onNode(index, micros(0, 3000), [this, index, call] { execute(index, call); });
+            onNode(index, randomDuration(0, 3000), [this, index, call] { execute(index, call); });
         }
         if (actions.append) {
             append(index, *actions.append);
@@ -236,7 +237,7 @@
         scheduleTick(index, m_time.now() + wait + Duration(1000));
     }
 
-    Duration micros(std::uint64_t from, std::uint64_t to)
+    Duration randomDuration(std::uint64_t from, std::uint64_t to)
     {
         return Duration(from + m_random.below(to - from + 1));
     }
@@ -254,13 +255,13 @@
     /// The daemon's step that sends the call, and the upstream's work.
     void execute(std::size_t index, CallId call)
     {
-        IOnceCoordinator &executor = *m_nodes[index].executor;
-        const bool mayStart = executor.start(local(index), call);
+        IOnceCoordinator &coordinator = *m_nodes[index].coordinator;
+        const bool mayStart = coordinator.start(local(index), call);
         const bool isRefused = happens(m_faults.refusedByUpstream);
-        if ((!mayStart && m_sabotage != Sabotage::StartAnyway) || isRefused) {
-            onNode(index, micros(0, 2000), [this, index, call] {
+        if ((!mayStart && m_defect != ProtocolDefect::IgnoreStartRefusal) || isRefused) {
+            onNode(index, randomDuration(0, 2000), [this, index, call] {
                 end(call, { Outcome::NotRun, Reason::UpstreamRefused, {} }, {}, {});
-                perform(index, m_nodes[index].executor->notRun(local(index), call));
+                perform(index, m_nodes[index].coordinator->notRun(local(index), call));
             });
             return;
         }
@@ -271,10 +272,10 @@
         }
         HttpResponse response;
         response.body = std::to_string(call.value());
-        onNode(index, micros(1000, 300000), [this, index, call, verdict, response] {
+        onNode(index, randomDuration(1000, 300000), [this, index, call, verdict, response] {
             end(call, verdict, response.body, {});
             perform(index,
-                    m_nodes[index].executor->finished(local(index), call, verdict, response));
+                    m_nodes[index].coordinator->finished(local(index), call, verdict, response));
         });
     }
 
@@ -286,39 +287,41 @@
         }
         if (m_isDown) {
             const bool isHanging = happens(300);
-            answer(index, append, isHanging ? micros(200000, 400000) : micros(500, 2000),
-                   isHanging ? AppendFailure::Unknown : AppendFailure::NotAppended);
+            failAppend(index, append,
+                       isHanging ? randomDuration(200000, 400000) : randomDuration(500, 2000),
+                       isHanging ? AppendFailure::Unknown : AppendFailure::NotAppended);
             return;
         }
-        if (happens(m_faults.lostBefore)) {
-            answer(index, append, micros(100000, 400000), AppendFailure::Unknown);
+        if (happens(m_faults.appendLost)) {
+            failAppend(index, append, randomDuration(100000, 400000), AppendFailure::Unknown);
             return;
         }
-        const bool isLate = happens(m_faults.lostLate);
-        const bool isLost = isLate || happens(m_faults.lostAfter);
-        const Duration effect = isLate ? micros(500000, 60'000'000) : micros(500, 5000);
+        const bool isLate = happens(m_faults.appendDelayed);
+        const bool isLost = isLate || happens(m_faults.appendAnswerLost);
+        const Duration effect =
+            isLate ? randomDuration(500000, 60'000'000) : randomDuration(500, 5000);
         m_time.scheduleAt(m_time.now() + effect,
-                          [this, index, append, isLost] { take(index, append, isLost); });
+                          [this, index, append, isLost] { storeRecord(index, append, isLost); });
         if (isLost) {
-            answer(index, append, micros(100000, 400000), AppendFailure::Unknown);
+            failAppend(index, append, randomDuration(100000, 400000), AppendFailure::Unknown);
         }
     }
 
-    void take(std::size_t index, const ClaimAppend &append, bool isLost)
+    void storeRecord(std::size_t index, const ClaimAppend &append, bool isLost)
     {
-        if (m_sabotage == Sabotage::ReleaseForeignClaims) {
-            releaseOthers(append.batch);
+        if (m_defect == ProtocolDefect::ReleaseForeignClaims) {
+            releaseForeignClaims(append.batch);
         }
         const LogOffset offset(m_first + m_log.size());
         m_log.push_back({ append.batch, m_time.now() });
         if (!isLost) {
-            onNode(index, micros(500, 3000), [this, index, id = append.id, offset] {
-                perform(index, m_nodes[index].executor->appendDone(local(index), id, offset));
+            onNode(index, randomDuration(500, 3000), [this, index, id = append.id, offset] {
+                perform(index, m_nodes[index].coordinator->appendDone(local(index), id, offset));
             });
         }
     }
 
-    void releaseOthers(const ClaimBatch &batch)
+    void releaseForeignClaims(const ClaimBatch &batch)
     {
         std::vector<ClaimBatch> forged;
         for (const Record &record : m_log) {
@@ -337,18 +340,19 @@
         }
     }
 
-    void answer(std::size_t index, const ClaimAppend &append, Duration delay, AppendFailure failure)
+    void failAppend(std::size_t index, const ClaimAppend &append, Duration delay,
+                    AppendFailure failure)
     {
         onNode(index, delay, [this, index, append, failure] {
-            IOnceCoordinator &executor = *m_nodes[index].executor;
-            perform(index, executor.appendFailed(local(index), append.id, failure));
-            const bool isGuessing =
-                m_sabotage == Sabotage::GuessAfterLostAnswer && failure == AppendFailure::Unknown;
+            IOnceCoordinator &coordinator = *m_nodes[index].coordinator;
+            perform(index, coordinator.appendFailed(local(index), append.id, failure));
+            const bool isGuessing = m_defect == ProtocolDefect::AssumeAppendedOnUnknown
+                && failure == AppendFailure::Unknown;
             if (isGuessing) {
                 const LogOffset at(m_lastReadFrom[index]);
                 ClaimPage page{ LogOffset(m_first), LogOffset(at.value() + 1), {} };
                 page.records.push_back({ at, append.batch });
-                perform(index, executor.recordsRead(local(index), page));
+                perform(index, coordinator.recordsRead(local(index), page));
             }
         });
     }
@@ -357,16 +361,16 @@
     {
         m_lastReadFrom[index] = read.from.value();
         if (m_isDown || happens(m_faults.readFails)) {
-            onNode(index, micros(500, 50000), [this, index] {
-                perform(index, m_nodes[index].executor->readFailed(local(index)));
+            onNode(index, randomDuration(500, 50000), [this, index] {
+                perform(index, m_nodes[index].coordinator->readFailed(local(index)));
             });
             return;
         }
         // The replica answers with what it knows after half of the way.
-        m_time.scheduleAt(m_time.now() + micros(300, 2000), [this, index, read] {
+        m_time.scheduleAt(m_time.now() + randomDuration(300, 2000), [this, index, read] {
             ClaimPage page = makePage(index, read);
-            onNode(index, micros(300, 2000), [this, index, page = std::move(page)] {
-                perform(index, m_nodes[index].executor->recordsRead(local(index), page));
+            onNode(index, randomDuration(300, 2000), [this, index, page = std::move(page)] {
+                perform(index, m_nodes[index].coordinator->recordsRead(local(index), page));
             });
         });
     }
@@ -382,7 +386,7 @@
         for (std::uint64_t at = from; at < end && page.records.size() < read.maxRecords; ++at) {
             const ClaimBatch &batch = m_log[at - m_first].batch;
             ClaimRecord record{ LogOffset(at), batch };
-            const bool isHidden = m_sabotage == Sabotage::SkipForeignRecords
+            const bool isHidden = m_defect == ProtocolDefect::SkipForeignRecords
                 && batch.daemon != DaemonId(nameOf(index));
             if (isHidden) {
                 record.batch.reset();
@@ -401,15 +405,15 @@
     }
 
     /// Two executions of a key within its lifetime: a payment that is charged twice.
-    void checkApart(std::vector<std::string> &found) const
+    void checkAtMostOnce(std::vector<std::string> &found) const
     {
-        constexpr double CLOCK_ERROR = 0.98;
+        constexpr double CLOCK_TOLERANCE = 0.98;
         std::map<std::string, TimePoint> last;
         for (const Execution &execution : m_executions) {
             const auto before = last.find(execution.key);
             const bool isTwice = before != last.end()
                 && static_cast<double>((execution.at - before->second).count())
-                    < CLOCK_ERROR * static_cast<double>(options().lifetime.count());
+                    < CLOCK_TOLERANCE * static_cast<double>(options().lifetime.count());
             if (isTwice) {
                 found.push_back("key " + execution.key + " ran twice within its lifetime");
             }
@@ -452,7 +456,7 @@
 
     const OnceOptions m_options;
     SeededRandom m_random;
-    Sabotage m_sabotage;
+    ProtocolDefect m_defect;
     std::vector<Node> m_nodes;
     SimulatedTime m_time{ TimePoint(std::chrono::hours(1)) };
 
--- a/src/coordination/once/tests/oncehistorytest.cpp
+++ b/src/coordination/once/tests/oncehistorytest.cpp
@@ -1,5 +1,5 @@
 // Random histories of several daemons over one log, checked afterwards.
-#include "coordination/once/tests/mocks/oncefabric.h"
+#include "coordination/once/tests/mocks/oncesimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,7 +11,7 @@
 constexpr std::size_t NODES = 4;
 constexpr std::size_t KEYS = 6;
 constexpr std::uint64_t SEEDS = 200;
-constexpr std::uint64_t SABOTAGE_SEEDS = 40;
+constexpr std::uint64_t DEFECT_SEEDS = 40;
 
 std::string keyOf(std::uint64_t number)
 {
@@ -19,84 +19,84 @@
 }
 
 /// One step of a schedule in which anything may go wrong.
-void disturb(OnceFabric &fabric)
+void injectFault(OnceSimulation &simulation)
 {
-    SeededRandom &random = fabric.random();
+    SeededRandom &random = simulation.random();
     const std::size_t node = random.below(NODES);
     switch (random.below(400)) {
     case 0:
-        fabric.crash(node);
+        simulation.crash(node);
         return;
     case 1:
     case 2:
-        fabric.freeze(node, Duration(random.below(3'000'000)));
+        simulation.freeze(node, Duration(random.below(3'000'000)));
         return;
     case 3:
-        fabric.freeze(node, Duration(random.below(60'000'000)));
+        simulation.freeze(node, Duration(random.below(60'000'000)));
         return;
     case 4:
-        fabric.setOutage(true);
+        simulation.setOutage(true);
         return;
     case 5:
     case 6:
     case 7:
-        fabric.setOutage(false);
+        simulation.setOutage(false);
         return;
     default:
         return;
     }
 }
 
-void runFaults(OnceFabric &fabric)
+void runWithFaults(OnceSimulation &simulation)
 {
-    SeededRandom &random = fabric.random();
-    OnceFabric::Faults faults;
-    faults.lostAfter = random.below(200);
-    faults.lostBefore = random.below(100);
-    faults.lostLate = random.below(50);
+    SeededRandom &random = simulation.random();
+    OnceSimulation::Faults faults;
+    faults.appendAnswerLost = random.below(200);
+    faults.appendLost = random.below(100);
+    faults.appendDelayed = random.below(50);
     faults.readFails = random.below(100);
     faults.staleRead = random.below(300);
     faults.refusedByUpstream = random.below(400);
     faults.answerLost = random.below(200);
     faults.freezeBeforeStart = random.below(60);
-    fabric.setFaults(faults);
+    simulation.setFaults(faults);
     for (int step = 0; step < 1500; ++step) {
-        disturb(fabric);
+        injectFault(simulation);
         if (random.below(2) == 0) {
-            fabric.request(random.below(NODES), keyOf(random.below(KEYS)),
-                           Duration(100'000 + random.below(3'000'000)));
+            simulation.request(random.below(NODES), keyOf(random.below(KEYS)),
+                               Duration(100'000 + random.below(3'000'000)));
         }
-        fabric.run(Duration(random.below(200'000)));
+        simulation.run(Duration(random.below(200'000)));
     }
 }
 
 /// Ends all faults, and the window of what crashed daemons left behind.
-void heal(OnceFabric &fabric)
+void endFaults(OnceSimulation &simulation)
 {
-    fabric.setFaults({});
-    fabric.setOutage(false);
-    fabric.run(60s + 2 * OnceFabric::options().window());
+    simulation.setFaults({});
+    simulation.setOutage(false);
+    simulation.run(60s + 2 * OnceSimulation::options().window());
 }
 
 /// Every daemon serves again: a new key runs at once, and the others name its holder.
-void checkLive(OnceFabric &fabric, std::vector<std::string> &found)
+void checkAvailability(OnceSimulation &simulation, std::vector<std::string> &found)
 {
     for (std::size_t node = 0; node < NODES; ++node) {
         const std::string key = keyOf(node % KEYS);
-        const CallId first = fabric.request(node, key, 1s);
-        fabric.run(2s);
-        const CallId again = fabric.request(node, key, 1s);
-        const CallId elsewhere = fabric.request((node + 1) % NODES, key, 1s);
-        fabric.run(2s);
-        const bool isServed = fabric.call(first).verdict.outcome == Outcome::Answered
-            && fabric.call(again).verdict.outcome == Outcome::Answered
-            && fabric.call(again).body == fabric.call(first).body
-            && fabric.call(elsewhere).verdict.reason == Reason::KeyBusy;
+        const CallId first = simulation.request(node, key, 1s);
+        simulation.run(2s);
+        const CallId again = simulation.request(node, key, 1s);
+        const CallId elsewhere = simulation.request((node + 1) % NODES, key, 1s);
+        simulation.run(2s);
+        const bool isServed = simulation.call(first).verdict.outcome == Outcome::Answered
+            && simulation.call(again).verdict.outcome == Outcome::Answered
+            && simulation.call(again).body == simulation.call(first).body
+            && simulation.call(elsewhere).verdict.reason == Reason::KeyBusy;
         if (!isServed) {
             std::string text =
                 "not served after the faults at daemon " + std::to_string(node) + ':';
             for (const CallId call : { first, again, elsewhere }) {
-                const Verdict &verdict = fabric.call(call).verdict;
+                const Verdict &verdict = simulation.call(call).verdict;
                 text += std::string(" ") + toText(verdict.outcome) + '/' + toText(verdict.reason);
             }
             found.push_back(text);
@@ -104,26 +104,27 @@
     }
 }
 
-std::vector<std::string> checkSeed(std::uint64_t seed, Sabotage sabotage, std::size_t &executions)
+std::vector<std::string> checkSeed(std::uint64_t seed, ProtocolDefect defect,
+                                   std::size_t &executions)
 {
-    OnceFabric fabric(seed, NODES, sabotage);
-    runFaults(fabric);
-    heal(fabric);
+    OnceSimulation simulation(seed, NODES, defect);
+    runWithFaults(simulation);
+    endFaults(simulation);
     std::vector<std::string> found;
-    checkLive(fabric, found);
-    executions += fabric.executions();
-    for (const std::string &violation : fabric.violations()) {
+    checkAvailability(simulation, found);
+    executions += simulation.executions();
+    for (const std::string &violation : simulation.violations()) {
         found.push_back(violation);
     }
     return found;
 }
 
 /// True when a history in which a key ran twice is found in one of the first seeds.
-bool isFound(Sabotage sabotage)
+bool isDefectDetected(ProtocolDefect defect)
 {
     std::size_t executions = 0;
-    for (std::uint64_t seed = 1; seed <= SABOTAGE_SEEDS; ++seed) {
-        const auto found = checkSeed(seed, sabotage, executions);
+    for (std::uint64_t seed = 1; seed <= DEFECT_SEEDS; ++seed) {
+        const auto found = checkSeed(seed, defect, executions);
         const bool isTwice = std::any_of(found.begin(), found.end(), [](const std::string &text) {
             return text.find("ran twice") != std::string::npos;
         });
@@ -141,11 +142,11 @@
 // Callers repeat payments at several daemons at once, while append answers are lost, the log goes
 // down, reads are stale, processes freeze past every timeout and crash. Whatever the order: a key
 // runs once within its lifetime, what was called not run did not run, and all serve again after.
-TEST(OnceHistory, RandomFaultsBreakNothing)
+TEST(OnceHistory, RandomFaultsKeepAtMostOnceExecution)
 {
     std::size_t executions = 0;
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
-        const auto found = checkSeed(seed, Sabotage::None, executions);
+        const auto found = checkSeed(seed, ProtocolDefect::None, executions);
         const std::string text = found.empty() ? "" : found.front();
         CHECK_TRUE_TEXT(found.empty(), ("seed " + std::to_string(seed) + ": " + text).c_str());
     }
@@ -154,27 +155,27 @@
 }
 
 // The checks are worth something only if they find a protocol that is broken.
-TEST(OnceHistory, GuessingAfterLostAnswersIsFound)
+TEST(OnceHistory, AssumingAppendOnUnknownIsDetected)
 {
-    CHECK(isFound(Sabotage::GuessAfterLostAnswer));
+    CHECK(isDefectDetected(ProtocolDefect::AssumeAppendedOnUnknown));
 }
 
-TEST(OnceHistory, ExecutingWithoutReadingOthersIsFound)
+TEST(OnceHistory, SkippingForeignRecordsIsDetected)
 {
-    CHECK(isFound(Sabotage::SkipForeignRecords));
+    CHECK(isDefectDetected(ProtocolDefect::SkipForeignRecords));
 }
 
-TEST(OnceHistory, ReleasingForeignClaimsIsFound)
+TEST(OnceHistory, ReleasingForeignClaimsIsDetected)
 {
-    CHECK(isFound(Sabotage::ReleaseForeignClaims));
+    CHECK(isDefectDetected(ProtocolDefect::ReleaseForeignClaims));
 }
 
-TEST(OnceHistory, ForgettingTooEarlyIsFound)
+TEST(OnceHistory, ExpiringClaimsTooEarlyIsDetected)
 {
-    CHECK(isFound(Sabotage::ForgetTooEarly));
+    CHECK(isDefectDetected(ProtocolDefect::ExpireClaimsTooEarly));
 }
 
-TEST(OnceHistory, StartingAfterAFreezeIsFound)
+TEST(OnceHistory, StartingAfterAFreezeIsDetected)
 {
-    CHECK(isFound(Sabotage::StartAnyway));
+    CHECK(isDefectDetected(ProtocolDefect::IgnoreStartRefusal));
 }
--- a/src/coordination/once/tests/oncetest.cpp
+++ b/src/coordination/once/tests/oncetest.cpp
@@ -1,6 +1,6 @@
 #include "coordination/once/oncefactory.h"
 
-#include "coordination/once/tests/mocks/oncefabric.h"
+#include "coordination/once/tests/mocks/oncesimulation.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -9,12 +9,12 @@
 
 namespace {
 
-bool isVerdict(const OnceFabric::Call &call, Outcome outcome, Reason reason)
+bool isVerdict(const OnceSimulation::Call &call, Outcome outcome, Reason reason)
 {
     return call.ends == 1 && call.verdict.outcome == outcome && call.verdict.reason == reason;
 }
 
-bool isAnswered(const OnceFabric::Call &call)
+bool isAnswered(const OnceSimulation::Call &call)
 {
     return isVerdict(call, Outcome::Answered, Reason::None);
 }
@@ -34,157 +34,157 @@
 
 TEST_GROUP(Once)
 {
-    OnceFabric fabric{ 1, 3 };
+    OnceSimulation simulation{ 1, 3 };
 
     void setup() override
     {
-        fabric.run(1s);
+        simulation.run(1s);
     }
     void teardown() override
     {
-        for (const std::string &violation : fabric.violations()) {
+        for (const std::string &violation : simulation.violations()) {
             FAIL(violation.c_str());
         }
     }
 };
 
 // A caller's client repeats a payment while the first attempt still runs on that daemon.
-TEST(Once, AttemptsAtTheHolderGetTheOneAnswer)
+TEST(Once, AttemptsAtTheHolderShareOneResponse)
 {
-    const CallId first = fabric.request(0, "a", 2s);
-    const CallId second = fabric.request(0, "a", 2s);
-    fabric.run(2s);
-    const CallId third = fabric.request(0, "a", 2s);
-    fabric.run(1s);
+    const CallId first = simulation.request(0, "a", 2s);
+    const CallId second = simulation.request(0, "a", 2s);
+    simulation.run(2s);
+    const CallId third = simulation.request(0, "a", 2s);
+    simulation.run(1s);
     for (const CallId call : { first, second, third }) {
-        CHECK(isAnswered(fabric.call(call)));
-        CHECK(fabric.call(call).body == fabric.call(first).body);
+        CHECK(isAnswered(simulation.call(call)));
+        CHECK(simulation.call(call).body == simulation.call(first).body);
     }
-    CHECK_EQUAL(1, fabric.executionsOf("a"));
+    CHECK_EQUAL(1, simulation.executionsOf("a"));
 }
 
-TEST(Once, AttemptElsewhereIsToldTheHolder)
+TEST(Once, AttemptElsewhereGetsBusyWithTheHolder)
 {
-    fabric.request(0, "a", 2s);
-    fabric.run(1s);
-    const CallId elsewhere = fabric.request(1, "a", 2s);
-    fabric.run(1s);
-    CHECK(isVerdict(fabric.call(elsewhere), Outcome::Unknown, Reason::KeyBusy));
-    CHECK(fabric.call(elsewhere).holder == DaemonId("daemon-0"));
+    simulation.request(0, "a", 2s);
+    simulation.run(1s);
+    const CallId elsewhere = simulation.request(1, "a", 2s);
+    simulation.run(1s);
+    CHECK(isVerdict(simulation.call(elsewhere), Outcome::Unknown, Reason::KeyBusy));
+    CHECK(simulation.call(elsewhere).holder == DaemonId("daemon-0"));
 }
 
 // The daemon that ran a payment dies. Nobody knows the result any more, and nobody may say that it
 // was not run.
-TEST(Once, KeyOfACrashedHolderIsUnknown)
+TEST(Once, KeyOfACrashedHolderHasUnknownOutcome)
 {
-    fabric.request(0, "a", 2s);
-    fabric.run(1s);
-    fabric.crash(0);
-    const CallId elsewhere = fabric.request(1, "a", 2s);
-    const CallId same = fabric.request(0, "a", 2s);
-    fabric.run(2s);
-    CHECK(isVerdict(fabric.call(elsewhere), Outcome::Unknown, Reason::KeyHolderGone));
-    CHECK(isVerdict(fabric.call(same), Outcome::Unknown, Reason::KeyHolderGone));
+    simulation.request(0, "a", 2s);
+    simulation.run(1s);
+    simulation.crash(0);
+    const CallId elsewhere = simulation.request(1, "a", 2s);
+    const CallId same = simulation.request(0, "a", 2s);
+    simulation.run(2s);
+    CHECK(isVerdict(simulation.call(elsewhere), Outcome::Unknown, Reason::KeyHolderGone));
+    CHECK(isVerdict(simulation.call(same), Outcome::Unknown, Reason::KeyHolderGone));
 }
 
 TEST(Once, KeyCanBeUsedAgainAfterItsLifetime)
 {
-    fabric.request(0, "a", 2s);
-    fabric.run(2 * OnceFabric::options().window());
-    const CallId later = fabric.request(1, "a", 2s);
-    fabric.run(2s);
-    CHECK(isAnswered(fabric.call(later)));
-    CHECK_EQUAL(2, fabric.executionsOf("a"));
+    simulation.request(0, "a", 2s);
+    simulation.run(2 * OnceSimulation::options().window());
+    const CallId later = simulation.request(1, "a", 2s);
+    simulation.run(2s);
+    CHECK(isAnswered(simulation.call(later)));
+    CHECK_EQUAL(2, simulation.executionsOf("a"));
 }
 
-TEST(Once, OtherRequestWithTheSameKeyIsRefused)
+TEST(Once, DifferentRequestWithTheSameKeyIsRefused)
 {
-    fabric.request(0, "a", 2s, 1);
-    const CallId other = fabric.request(0, "a", 2s, 2);
-    fabric.run(1s);
-    CHECK(isVerdict(fabric.call(other), Outcome::NotRun, Reason::BadRequest));
+    simulation.request(0, "a", 2s, 1);
+    const CallId other = simulation.request(0, "a", 2s, 2);
+    simulation.run(1s);
+    CHECK(isVerdict(simulation.call(other), Outcome::NotRun, Reason::BadRequest));
 }
 
 // The upstream refuses a payment before it starts it. The caller tries again through another daemon
 // and must not find the key blocked.
-TEST(Once, KeyOfARefusedCallIsReleased)
+TEST(Once, KeyOfACallThatDidNotRunIsReleased)
 {
-    OnceFabric::Faults faults;
+    OnceSimulation::Faults faults;
     faults.refusedByUpstream = 1000;
-    fabric.setFaults(faults);
-    const CallId refused = fabric.request(0, "a", 2s);
-    fabric.run(1s);
-    CHECK(isVerdict(fabric.call(refused), Outcome::NotRun, Reason::UpstreamRefused));
-    fabric.setFaults({});
-    const CallId again = fabric.request(1, "a", 2s);
-    fabric.run(2s);
-    CHECK(isAnswered(fabric.call(again)));
+    simulation.setFaults(faults);
+    const CallId refused = simulation.request(0, "a", 2s);
+    simulation.run(1s);
+    CHECK(isVerdict(simulation.call(refused), Outcome::NotRun, Reason::UpstreamRefused));
+    simulation.setFaults({});
+    const CallId again = simulation.request(1, "a", 2s);
+    simulation.run(2s);
+    CHECK(isAnswered(simulation.call(again)));
 }
 
 // While the log is down, a payment is refused at once and not after its caller's deadline.
-TEST(Once, LogOutageRefusesAtOnceAndEnds)
+TEST(Once, LogOutageRefusesWithoutDelayAndServiceResumes)
 {
-    fabric.setOutage(true);
-    fabric.run(2s);
-    const CallId refused = fabric.request(0, "a", 30s);
-    fabric.run(500ms);
-    CHECK(isVerdict(fabric.call(refused), Outcome::NotRun, Reason::LogUnavailable));
-    fabric.setOutage(false);
-    fabric.run(2s);
-    const CallId again = fabric.request(0, "a", 2s);
-    fabric.run(2s);
-    CHECK(isAnswered(fabric.call(again)));
+    simulation.setOutage(true);
+    simulation.run(2s);
+    const CallId refused = simulation.request(0, "a", 30s);
+    simulation.run(500ms);
+    CHECK(isVerdict(simulation.call(refused), Outcome::NotRun, Reason::LogUnavailable));
+    simulation.setOutage(false);
+    simulation.run(2s);
+    const CallId again = simulation.request(0, "a", 2s);
+    simulation.run(2s);
+    CHECK(isAnswered(simulation.call(again)));
 }
 
-// Every append takes effect, and every answer to it is lost. Reading on settles it.
-TEST(Once, LostAppendAnswersAreSettledByReading)
+// Every append takes effect, and every failAppend to it is lost. Reading on settles it.
+TEST(Once, LostAppendAnswersAreResolvedByReading)
 {
-    OnceFabric::Faults faults;
-    faults.lostAfter = 1000;
-    fabric.setFaults(faults);
-    const CallId call = fabric.request(0, "a", 3s);
-    fabric.run(4s);
-    CHECK(isAnswered(fabric.call(call)));
-    CHECK_EQUAL(1, fabric.executionsOf("a"));
+    OnceSimulation::Faults faults;
+    faults.appendAnswerLost = 1000;
+    simulation.setFaults(faults);
+    const CallId call = simulation.request(0, "a", 3s);
+    simulation.run(4s);
+    CHECK(isAnswered(simulation.call(call)));
+    CHECK_EQUAL(1, simulation.executionsOf("a"));
 }
 
-// The answer is lost, and so is the append, which arrives half a minute later. The caller was told
-// "not run"; the claim that turns up is released, and the key is free for the next attempt.
-TEST(Once, ClaimThatArrivesLateIsReleased)
+// The failAppend is lost, and so is the append, which arrives half a minute later. The caller was
+// told "not run"; the claim that turns up is released, and the key is free for the next attempt.
+TEST(Once, DelayedClaimOfARefusedCallIsReleased)
 {
-    OnceFabric::Faults faults;
-    faults.lostLate = 1000;
-    fabric.setFaults(faults);
-    const CallId call = fabric.request(0, "a", 400ms);
-    fabric.run(1s);
-    CHECK(isVerdict(fabric.call(call), Outcome::NotRun, Reason::LogUnavailable));
-    fabric.setFaults({});
-    fabric.run(70s);
-    const CallId again = fabric.request(1, "a", 2s);
-    fabric.run(2s);
-    CHECK(isAnswered(fabric.call(again)));
-    CHECK_EQUAL(1, fabric.executionsOf("a"));
+    OnceSimulation::Faults faults;
+    faults.appendDelayed = 1000;
+    simulation.setFaults(faults);
+    const CallId call = simulation.request(0, "a", 400ms);
+    simulation.run(1s);
+    CHECK(isVerdict(simulation.call(call), Outcome::NotRun, Reason::LogUnavailable));
+    simulation.setFaults({});
+    simulation.run(70s);
+    const CallId again = simulation.request(1, "a", 2s);
+    simulation.run(2s);
+    CHECK(isAnswered(simulation.call(again)));
+    CHECK_EQUAL(1, simulation.executionsOf("a"));
 }
 
 // A daemon is stopped after its claim has won, and wakes up when the key has long passed on and run
 // elsewhere. It must not send the payment that it still holds in its hands.
-TEST(Once, FrozenHolderDoesNotStartAfterwards)
+TEST(Once, HolderFrozenPastItsClaimDoesNotStart)
 {
-    OnceFabric::Faults faults;
+    OnceSimulation::Faults faults;
     faults.freezeBeforeStart = 1000;
-    fabric.setFaults(faults);
-    fabric.request(0, "a", 2s);
-    fabric.run(20ms);
-    fabric.setFaults({});
-    fabric.freeze(0, 3 * OnceFabric::options().window());
-    fabric.run(2 * OnceFabric::options().window());
-    const CallId elsewhere = fabric.request(1, "a", 2s);
-    fabric.run(3 * OnceFabric::options().window());
-    CHECK(isAnswered(fabric.call(elsewhere)));
-    CHECK_EQUAL(1, fabric.executionsOf("a"));
+    simulation.setFaults(faults);
+    simulation.request(0, "a", 2s);
+    simulation.run(20ms);
+    simulation.setFaults({});
+    simulation.freeze(0, 3 * OnceSimulation::options().window());
+    simulation.run(2 * OnceSimulation::options().window());
+    const CallId elsewhere = simulation.request(1, "a", 2s);
+    simulation.run(3 * OnceSimulation::options().window());
+    CHECK(isAnswered(simulation.call(elsewhere)));
+    CHECK_EQUAL(1, simulation.executionsOf("a"));
 }
 
-TEST(Once, RetentionBelowTheWindowIsRefused)
+TEST(Once, LogRetentionBelowTheClaimWindowIsRejected)
 {
     const OnceOptions options;
     CHECK(validateOnceOptions(options, options.window() + 1s).has_value());
@@ -221,7 +221,7 @@
     CHECK_FALSE(table->holder(RuleName("pay"), IdempotencyKey("k")).has_value());
 }
 
-// A second copy of a claim, sent since the first one's answer was lost, is no other claim.
+// A second copy of a claim, sent since the first one's failAppend was lost, is no other claim.
 TEST(ClaimTable, CopiesOfAClaimAreOneClaim)
 {
     const ClaimBatch a = claimOf("a", 1, 0);
@@ -230,7 +230,7 @@
     CHECK_EQUAL(1, table->size());
 }
 
-TEST(ClaimTable, HorizonLetsOldClaimsPass)
+TEST(ClaimTable, ClaimsBelowTheHorizonDoNotBlock)
 {
     const ClaimBatch a = claimOf("a", 1, 0);
     table->apply(&a);
@@ -242,7 +242,7 @@
     CHECK(table->apply(&b).front().isFirst);
 }
 
-TEST(ClaimTable, OverfullTableTakesNoClaimForTheFirst)
+TEST(ClaimTable, TableOverCapacityGrantsNoClaim)
 {
     options.maxTableEntries = 1;
     table = makeClaimTable(options, 1);
