--- a/src/coordination/once/tests/logoutagetest.cpp
+++ b/src/coordination/once/tests/logoutagetest.cpp
@@ -24,7 +24,7 @@
 
 // A daemon starts while the log is out of reach. The caller of its first keyed request hears "not
 // run" as soon as the read of the stream fails, not "unknown" at its deadline.
-TEST(OnceLogOutage, FirstRequestIsRefusedAtOnce)
+TEST(OnceLogOutage, FirstRequestIsRefusedWhenTheFirstReadFails)
 {
     const OnceActions first = request(1);
     CHECK(first.read.has_value());
--- a/src/coordination/once/tests/ticketregistrytest.cpp
+++ b/src/coordination/once/tests/ticketregistrytest.cpp
@@ -40,7 +40,7 @@
     }
 };
 
-TEST(TicketRegistry, OwnerCanBeReadByAnyone)
+TEST(TicketRegistry, OwnerIsReadFromTheTicketAlone)
 {
     const auto owner = readTicketOwner(registry->issue(now));
     CHECK(owner->daemon == DaemonId("rescue.desk-1") && owner->incarnation == Incarnation(7));
@@ -48,7 +48,7 @@
     CHECK_FALSE(readTicketOwner("a.b.c.d").has_value());
 }
 
-TEST(TicketRegistry, TicketRunsOnceAndThenGivesTheStoredAnswer)
+TEST(TicketRegistry, TicketRunsOnceAndThenReturnsTheStoredResponse)
 {
     const std::string ticket = registry->issue(now);
     runOnce(present(ticket));
@@ -71,7 +71,7 @@
     CHECK(done.replies.front().verdict.outcome == Outcome::Answered);
 }
 
-TEST(TicketRegistry, TicketOfARefusedCallCanBeUsedAgain)
+TEST(TicketRegistry, TicketOfACallThatDidNotRunCanBeUsedAgain)
 {
     const std::string ticket = registry->issue(now);
     const TicketRequest first = present(ticket);
@@ -81,7 +81,7 @@
     runOnce(present(ticket));
 }
 
-TEST(TicketRegistry, MadeUpTicketsAreRefused)
+TEST(TicketRegistry, ForgedTicketsAreRefused)
 {
     std::string ticket = registry->issue(now);
     ticket.back() = ticket.back() == '1' ? '2' : '1';
@@ -90,7 +90,7 @@
     CHECK(refusal(present("other.7.1.1")).outcome == Outcome::NotRun);
 }
 
-TEST(TicketRegistry, OtherRequestWithTheSameTicketIsRefused)
+TEST(TicketRegistry, DifferentRequestWithTheSameTicketIsRefused)
 {
     const std::string ticket = registry->issue(now);
     runOnce(present(ticket, 1));
@@ -98,7 +98,7 @@
 }
 
 // The daemon restarted, or the ticket is too old: it may have been used, and nobody knows.
-TEST(TicketRegistry, WhatIsForgottenIsUnknown)
+TEST(TicketRegistry, TicketOfAnEarlierRunOrExpiredHasUnknownOutcome)
 {
     const std::string ticket = registry->issue(now);
     const auto next =
--- a/src/state/tests/accountstest.cpp
+++ b/src/state/tests/accountstest.cpp
@@ -27,7 +27,7 @@
 
 TEST_GROUP(Accounts){};
 
-TEST(Accounts, AKeyFindsItsAccount)
+TEST(Accounts, KeyIndexFindsTheAccountOfEachKey)
 {
     const KeySalt salt = makeKeySalt();
     const AccountKey old = makeAccountKey();
@@ -44,7 +44,7 @@
 }
 
 // Guards against an account that is served with another one's key.
-TEST(Accounts, AKeyOfTwoAccountsIsAnError)
+TEST(Accounts, KeySharedByTwoAccountsIsRejected)
 {
     const KeySalt salt = makeKeySalt();
     const KeyDigest shared = digestOf(AccountKey("k"), salt);
@@ -54,7 +54,7 @@
     STRCMP_CONTAINS("accounts a and b hold the same key", index.error().text.c_str());
 }
 
-TEST(Accounts, HashesDependOnTheSalt)
+TEST(Accounts, DigestsDependOnTheSalt)
 {
     CHECK(digestOf(AccountKey("k"), makeKeySalt()) != digestOf(AccountKey("k"), makeKeySalt()));
     const KeyDigest digest = digestOf(AccountKey("k"), KeySalt{});
@@ -65,7 +65,7 @@
 }
 
 // Guards against rules that lose their order among the requests of equal accounts.
-TEST(Accounts, TheAccountsPriorityGoesFirstAndThenTheRules)
+TEST(Accounts, AccountPriorityOutranksRulePriority)
 {
     Rules rules;
     rules.rules = { makeRule(Priority(98)), makeRule(Priority(100)) };
@@ -80,7 +80,7 @@
     CHECK(order.of(std::nullopt, Priority(98)) == order.of(high, Priority(98)));
 }
 
-TEST(Accounts, WithoutAccountsTheRulesPriorityHolds)
+TEST(Accounts, WithoutAccountsRulePriorityApplies)
 {
     Rules rules;
     rules.rules = { makeRule(Priority(40)), makeRule(Priority(7)) };
--- a/src/state/tests/durationtexttest.cpp
+++ b/src/state/tests/durationtexttest.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(DurationText){};
 
-TEST(DurationText, ReadsEveryUnitAndWritesItBack)
+TEST(DurationText, EveryUnitRoundTrips)
 {
     for (const char *text : { "0s", "1us", "250ms", "2s", "5min", "24h" }) {
         STRCMP_EQUAL(text, toText(parseDuration(text).value()).c_str());
@@ -14,7 +14,7 @@
     CHECK(parseDuration("1500ms").value() == Duration(1'500'000));
 }
 
-TEST(DurationText, RefusesWhatHasNoUnitOrRange)
+TEST(DurationText, RejectsMissingUnitsAndOutOfRangeValues)
 {
     for (const char *text : { "", "5", "ms", "-5ms", "1.5s", "5 ms", "5ms ", "5m", "9999h",
                               "99999999999999999999s", "9223372036854775807h" }) {
--- a/src/state/tests/fingerprinttest.cpp
+++ b/src/state/tests/fingerprinttest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const AccountName NOBODY;
+const AccountName NO_ACCOUNT;
 
 HttpRequest makeRequest()
 {
@@ -18,22 +18,22 @@
 TEST_GROUP(Fingerprint){};
 
 // Guards against a request that is new to each daemon because its own id or time left is.
-TEST(Fingerprint, HeadersOfOneAttemptDoNotChangeIt)
+TEST(Fingerprint, IgnoresHeadersAndHostCase)
 {
     HttpRequest other = makeRequest();
     other.headers.push_back({ "Request-Id", "7" });
     other.headers.insert(other.headers.begin(), { "Deadline", "250" });
     other.headers.at(1).value = "SHOP.example:8080";
-    CHECK(fingerprintOf(NOBODY, makeRequest()) == fingerprintOf(NOBODY, other));
+    CHECK(fingerprintOf(NO_ACCOUNT, makeRequest()) == fingerprintOf(NO_ACCOUNT, other));
 }
 
-TEST(Fingerprint, EachPartOfTheRequestChangesIt)
+TEST(Fingerprint, DependsOnMethodTargetBodyAndHost)
 {
-    const Fingerprint first = fingerprintOf(NOBODY, makeRequest());
+    const Fingerprint first = fingerprintOf(NO_ACCOUNT, makeRequest());
     const auto isOther = [&](void (*change)(HttpRequest &)) {
         HttpRequest request = makeRequest();
         change(request);
-        return fingerprintOf(NOBODY, request) != first;
+        return fingerprintOf(NO_ACCOUNT, request) != first;
     };
     CHECK(isOther([](HttpRequest &request) { request.method = "PUT"; }));
     CHECK(isOther([](HttpRequest &request) { request.target = "/pages/1"; }));
@@ -42,16 +42,16 @@
 }
 
 // Guards against one account that gets the same request of another one barred.
-TEST(Fingerprint, TheAccountChangesIt)
+TEST(Fingerprint, DependsOnTheAccount)
 {
     CHECK(fingerprintOf(AccountName("kitchen"), makeRequest())
-          != fingerprintOf(NOBODY, makeRequest()));
+          != fingerprintOf(NO_ACCOUNT, makeRequest()));
 }
 
 // Guards against two requests taken for one because text moved from one part to the next.
-TEST(Fingerprint, TextCannotMoveBetweenParts)
+TEST(Fingerprint, FieldBoundariesAreHashed)
 {
     const HttpRequest a{ "GET", "/ab", {}, "c" };
     const HttpRequest b{ "GET", "/a", {}, "bc" };
-    CHECK(fingerprintOf(NOBODY, a) != fingerprintOf(NOBODY, b));
+    CHECK(fingerprintOf(NO_ACCOUNT, a) != fingerprintOf(NO_ACCOUNT, b));
 }
--- a/src/state/tests/metricstest.cpp
+++ b/src/state/tests/metricstest.cpp
@@ -17,7 +17,7 @@
     }
 };
 
-TEST(Metrics, CountersAndGaugesHaveNamesAndLabels)
+TEST(Metrics, CountersAndGaugesAreExportedWithLabels)
 {
     metrics->add(Counter::RetryAttempts, 3);
     metrics->set(Gauge::Members, 16);
@@ -54,7 +54,7 @@
     checkHas("ivyspar_request_duration_seconds_sum 3600.002305");
 }
 
-TEST(Metrics, ThreadsLoseNothing)
+TEST(Metrics, ConcurrentUpdatesAreNotLost)
 {
     constexpr int THREADS = 4;
     constexpr int ROUNDS = 20'000;
--- a/src/state/tests/ranktest.cpp
+++ b/src/state/tests/ranktest.cpp
@@ -6,21 +6,21 @@
 
 TEST_GROUP(Rank){};
 
-TEST(Rank, HigherPriorityWinsOverDepth)
+TEST(Rank, PriorityOutranksDepth)
 {
     const Rank payment = makeRank(Priority(90), Depth(0), RootId(1));
     const Rank browsing = makeRank(Priority(10), Depth(25), RootId(2));
     CHECK(browsing < payment);
 }
 
-TEST(Rank, DeeperCallsOfOneClassComeFirst)
+TEST(Rank, DeeperCallsOfOneClassRankHigher)
 {
     const Rank shallow = makeRank(Priority(50), Depth(1), RootId(1));
     const Rank deep = makeRank(Priority(50), Depth(2), RootId(2));
     CHECK(shallow < deep);
 }
 
-TEST(Rank, RootsKeepTheirOrderAtEveryDepth)
+TEST(Rank, RequestsKeepTheirOrderAtEveryDepth)
 {
     const bool isFirstLower =
         makeRank(Priority(50), Depth(0), RootId(7)) < makeRank(Priority(50), Depth(0), RootId(8));
@@ -31,7 +31,7 @@
     }
 }
 
-TEST(Rank, CarriesItsPriority)
+TEST(Rank, PriorityIsRecoveredFromRank)
 {
     const Rank rank = makeRank(Priority(42), Depth(3), RootId(99));
     CHECK(priorityOf(rank) == Priority(42));
