--- a/src/state/internal/metricnames.cpp
+++ b/src/state/internal/metricnames.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // In the order of the enumerations.
-constexpr MetricName COUNTERS[] = {
+constexpr MetricDescription COUNTERS[] = {
     { "ivyspar_attempts_total", "kind=\"first\"", "Attempts sent, by kind." },
     { "ivyspar_attempts_total", "kind=\"retry\"", "" },
     { "ivyspar_attempts_total", "kind=\"hedge\"", "" },
@@ -47,7 +47,7 @@
     { "ivyspar_log_lines_dropped_total", "", "Lines of this daemon's logs that were dropped." },
 };
 
-constexpr MetricName GAUGES[] = {
+constexpr MetricDescription GAUGES[] = {
     { "ivyspar_requests_in_flight", "", "Requests of callers being worked on." },
     { "ivyspar_gate_in_flight", "", "Calls that the upstream works on." },
     { "ivyspar_gate_queued", "", "Calls that wait at the gate." },
@@ -62,7 +62,7 @@
     { "ivyspar_configuration_age_seconds", "", "Time since the version in force was learned." },
 };
 
-constexpr MetricName TIMINGS[] = {
+constexpr MetricDescription TIMINGS[] = {
     { "ivyspar_request_duration_seconds", "", "From a caller's request to its answer." },
     { "ivyspar_added_duration_seconds", "", "Time of a request outside its upstream." },
     { "ivyspar_upstream_duration_seconds", "", "Time that the upstream took for a call." },
@@ -78,17 +78,17 @@
 
 } // namespace
 
-const MetricName &nameOf(Counter counter)
+const MetricDescription &descriptionOf(Counter counter)
 {
     return COUNTERS[static_cast<std::size_t>(counter)];
 }
 
-const MetricName &nameOf(Gauge gauge)
+const MetricDescription &descriptionOf(Gauge gauge)
 {
     return GAUGES[static_cast<std::size_t>(gauge)];
 }
 
-const MetricName &nameOf(Timing timing)
+const MetricDescription &descriptionOf(Timing timing)
 {
     return TIMINGS[static_cast<std::size_t>(timing)];
 }
--- a/src/state/internal/metricnames.h
+++ b/src/state/internal/metricnames.h
@@ -6,7 +6,7 @@
 
 /// How a value appears in the text. Values of one name stand next to each other in their
 /// enumeration.
-struct MetricName
+struct MetricDescription
 {
     const char *name;
     /// Labels without braces; empty for none.
@@ -14,9 +14,9 @@
     const char *help;
 };
 
-const MetricName &nameOf(Counter counter);
-const MetricName &nameOf(Gauge gauge);
-const MetricName &nameOf(Timing timing);
+const MetricDescription &descriptionOf(Counter counter);
+const MetricDescription &descriptionOf(Gauge gauge);
+const MetricDescription &descriptionOf(Timing timing);
 
 /// Number of values of an enumeration that ends with `Count`.
 template <typename E> constexpr std::size_t countOf()
--- a/src/state/internal/metrics.cpp
+++ b/src/state/internal/metrics.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 // Ten buckets for each power of ten: neighbouring bounds differ by a quarter.
-constexpr unsigned BUCKETS = 70;
-constexpr double LEAST_SECONDS = 1e-5;
-constexpr double GREATEST_SECONDS = 100;
+constexpr unsigned BUCKET_COUNT = 70;
+constexpr double MIN_BUCKET_SECONDS = 1e-5;
+constexpr double MAX_BUCKET_SECONDS = 100;
 constexpr double MICROSECONDS_PER_SECOND = 1e6;
 
 template <typename E> std::size_t indexOf(E value)
@@ -63,7 +63,7 @@
 } // namespace
 
 Metrics::Distribution::Distribution()
-    : histogram(std::make_tuple(Axis(BUCKETS, LEAST_SECONDS, GREATEST_SECONDS)))
+    : histogram(std::make_tuple(Axis(BUCKET_COUNT, MIN_BUCKET_SECONDS, MAX_BUCKET_SECONDS)))
 {
 }
 
@@ -76,7 +76,7 @@
 
 void Metrics::countRequest(const Verdict &verdict, Priority priority)
 {
-    const std::size_t row = std::min<std::size_t>(priority.value(), PRIORITIES - 1);
+    const std::size_t row = std::min<std::size_t>(priority.value(), PRIORITY_COUNT - 1);
     m_requests[indexOf(verdict.outcome)][row].fetch_add(1, std::memory_order_relaxed);
     m_reasons[indexOf(verdict.outcome)][indexOf(verdict.reason)].fetch_add(
         1, std::memory_order_relaxed);
@@ -113,7 +113,7 @@
 {
     const char *previous = "";
     for (std::size_t i = 0; i < countOf<Counter>(); ++i) {
-        const MetricName &name = nameOf(static_cast<Counter>(i));
+        const MetricDescription &name = descriptionOf(static_cast<Counter>(i));
         if (std::string(previous) != name.name) {
             writeHeader(name.name, name.help, "counter", text);
         }
@@ -125,7 +125,7 @@
 void Metrics::writeGauges(std::string &text) const
 {
     for (std::size_t i = 0; i < countOf<Gauge>(); ++i) {
-        const MetricName &name = nameOf(static_cast<Gauge>(i));
+        const MetricDescription &name = descriptionOf(static_cast<Gauge>(i));
         writeHeader(name.name, name.help, "gauge", text);
         writeValue(name.name, name.labels, std::to_string(m_gauges[i].load()), text);
     }
@@ -135,8 +135,8 @@
 {
     const char name[] = "ivyspar_requests_total";
     writeHeader(name, "Requests of callers, by outcome and priority.", "counter", text);
-    for (std::size_t outcome = 0; outcome < OUTCOMES; ++outcome) {
-        for (std::size_t priority = 0; priority < PRIORITIES; ++priority) {
+    for (std::size_t outcome = 0; outcome < OUTCOME_COUNT; ++outcome) {
+        for (std::size_t priority = 0; priority < PRIORITY_COUNT; ++priority) {
             writeOutcome(name, outcome, label("priority", std::to_string(priority)),
                          m_requests[outcome][priority], text);
         }
@@ -147,8 +147,8 @@
 {
     const char name[] = "ivyspar_request_reasons_total";
     writeHeader(name, "Requests of callers, by outcome and reason.", "counter", text);
-    for (std::size_t outcome = 0; outcome < OUTCOMES; ++outcome) {
-        for (std::size_t reason = 0; reason < REASONS; ++reason) {
+    for (std::size_t outcome = 0; outcome < OUTCOME_COUNT; ++outcome) {
+        for (std::size_t reason = 0; reason < REASON_COUNT; ++reason) {
             writeOutcome(name, outcome, label("reason", toText(static_cast<Reason>(reason))),
                          m_reasons[outcome][reason], text);
         }
@@ -157,18 +157,18 @@
 
 void Metrics::writeTiming(Timing timing, std::string &text) const
 {
-    const MetricName &name = nameOf(timing);
+    const MetricDescription &name = descriptionOf(timing);
     const Distribution &distribution = m_timings[indexOf(timing)];
     const Axis &axis = distribution.histogram.axis();
     const std::string bucket = std::string(name.name) + "_bucket";
     writeHeader(name.name, name.help, "histogram", text);
     std::uint64_t total = 0;
-    // Index -1 holds what is below the first bound, BUCKETS what is above the last.
-    for (int i = -1; i < static_cast<int>(BUCKETS); ++i) {
+    // Index -1 holds what is below the first bound, BUCKET_COUNT what is above the last.
+    for (int i = -1; i < static_cast<int>(BUCKET_COUNT); ++i) {
         total += distribution.histogram.at(i).load();
         writeValue(bucket, label("le", number(axis.value(i + 1))), std::to_string(total), text);
     }
-    total += distribution.histogram.at(static_cast<int>(BUCKETS)).load();
+    total += distribution.histogram.at(static_cast<int>(BUCKET_COUNT)).load();
     writeValue(bucket, label("le", "+Inf"), std::to_string(total), text);
     const double sum =
         static_cast<double>(distribution.microseconds.load()) / MICROSECONDS_PER_SECOND;
--- a/src/state/internal/metrics.h
+++ b/src/state/internal/metrics.h
@@ -39,9 +39,9 @@
         Total microseconds{ 0 };
     };
 
-    static constexpr std::size_t PRIORITIES = 101;
-    static constexpr std::size_t OUTCOMES = 3;
-    static constexpr std::size_t REASONS = static_cast<std::size_t>(Reason::Last) + 1;
+    static constexpr std::size_t PRIORITY_COUNT = 101;
+    static constexpr std::size_t OUTCOME_COUNT = 3;
+    static constexpr std::size_t REASON_COUNT = static_cast<std::size_t>(Reason::Last) + 1;
 
     void writeCounters(std::string &text) const;
     void writeGauges(std::string &text) const;
@@ -52,8 +52,8 @@
     std::array<Total, countOf<Counter>()> m_counters{};
     std::array<std::atomic<std::int64_t>, countOf<Gauge>()> m_gauges{};
     std::array<Distribution, countOf<Timing>()> m_timings;
-    std::array<std::array<Total, PRIORITIES>, OUTCOMES> m_requests{};
-    std::array<std::array<Total, REASONS>, OUTCOMES> m_reasons{};
+    std::array<std::array<Total, PRIORITY_COUNT>, OUTCOME_COUNT> m_requests{};
+    std::array<std::array<Total, REASON_COUNT>, OUTCOME_COUNT> m_reasons{};
 };
 
 } // namespace ivyspar
