--- a/src/state/internal/accounts.cpp
+++ b/src/state/internal/accounts.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-void makeReady()
+void initializeSodium()
 {
     // Chooses the fastest code for this processor.
     static const int IS_READY = sodium_init();
@@ -19,7 +19,7 @@
 
 KeySalt makeKeySalt()
 {
-    makeReady();
+    initializeSodium();
     KeySalt salt{};
     randombytes_buf(salt.data(), salt.size());
     return salt;
@@ -27,7 +27,7 @@
 
 KeyDigest digestOf(const AccountKey &key, const KeySalt &salt)
 {
-    makeReady();
+    initializeSodium();
     KeyDigest digest{};
     const std::string &text = key.value();
     crypto_generichash(digest.data(), digest.size(),
@@ -38,12 +38,12 @@
 
 AccountKey makeAccountKey()
 {
-    makeReady();
-    constexpr char LETTERS[] = "abcdefghijkmnpqrstuvwxyz23456789";
-    constexpr std::size_t SIZE = 32;
+    initializeSodium();
+    constexpr char KEY_ALPHABET[] = "abcdefghijkmnpqrstuvwxyz23456789";
+    constexpr std::size_t KEY_LENGTH = 32;
     std::string text;
-    for (std::size_t i = 0; i < SIZE; ++i) {
-        text += LETTERS[randombytes_uniform(sizeof(LETTERS) - 1)];
+    for (std::size_t i = 0; i < KEY_LENGTH; ++i) {
+        text += KEY_ALPHABET[randombytes_uniform(sizeof(KEY_ALPHABET) - 1)];
     }
     return AccountKey(text);
 }
--- a/src/state/internal/randomfactory.cpp
+++ b/src/state/internal/randomfactory.cpp
@@ -8,9 +8,9 @@
 
 std::unique_ptr<IRandom> makeRandom()
 {
-    constexpr unsigned HALF = 32;
+    constexpr unsigned WORD_BITS = 32;
     std::random_device device;
-    return std::make_unique<SeededRandom>((std::uint64_t(device()) << HALF) | device());
+    return std::make_unique<SeededRandom>((std::uint64_t(device()) << WORD_BITS) | device());
 }
 
 } // namespace ivyspar
--- a/src/state/internal/rank.cpp
+++ b/src/state/internal/rank.cpp
@@ -11,7 +11,7 @@
 constexpr unsigned DEPTH_SHIFT = 16;
 constexpr std::uint32_t HASH_MASK = 0xFFFF;
 /// Above the 100 priorities.
-constexpr std::uint32_t COMMITTED = 0x80000000;
+constexpr std::uint32_t COMMITTED_BIT = 0x80000000;
 constexpr std::uint32_t PRIORITY_MASK = 0x7F;
 } // namespace
 
@@ -25,7 +25,7 @@
 
 Rank makeCommittedRank(Priority priority, Depth depth, RootId root)
 {
-    return Rank(makeRank(priority, depth, root).value() | COMMITTED);
+    return Rank(makeRank(priority, depth, root).value() | COMMITTED_BIT);
 }
 
 Rank lowestRankOf(Priority priority)
