--- a/src/coordination/calls/internal/parentfinder.cpp
+++ b/src/coordination/calls/internal/parentfinder.cpp
@@ -113,20 +113,22 @@
 
 void ParentFinder::count(ConnectionTally &tally, bool isFit, bool isPossible)
 {
-    if (tally.strangers + tally.fits + tally.misfits >= LONG_TALLY) {
-        tally.strangers /= 2;
-        tally.fits /= 2;
-        tally.misfits /= 2;
-    }
-    std::uint32_t &counter = isFit ? tally.fits : isPossible ? tally.misfits : tally.strangers;
+    if (tally.unattributed + tally.matches + tally.mismatches >= LONG_TALLY) {
+        tally.unattributed /= 2;
+        tally.matches /= 2;
+        tally.mismatches /= 2;
+    }
+    std::uint32_t &counter = isFit ? tally.matches
+        : isPossible               ? tally.mismatches
+                                   : tally.unattributed;
     ++counter;
 }
 
 bool ParentFinder::judge(const ConnectionTally &tally, Inner &inner) const
 {
-    const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
+    const std::uint32_t requests = tally.unattributed + tally.matches + tally.mismatches;
     const bool isServersConnection = isServers(tally);
-    if (tally.strangers > 0 || requests >= m_options.fewRequests) {
+    if (tally.unattributed > 0 || requests >= m_options.fewRequests) {
         const double vote = isServersConnection ? 1 : 0;
         inner.share = inner.isKnown ? inner.share + m_options.weight * (vote - inner.share) : vote;
         inner.isKnown = true;
@@ -139,14 +141,14 @@
 
 bool ParentFinder::isFitting(const ConnectionTally &tally) const
 {
-    const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
-    return tally.fits > m_options.fittingShare * requests;
+    const std::uint32_t requests = tally.unattributed + tally.matches + tally.mismatches;
+    return tally.matches > m_options.fittingShare * requests;
 }
 
 bool ParentFinder::isServers(const ConnectionTally &tally) const
 {
-    const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
-    return tally.strangers <= m_options.strangerShare * requests;
+    const std::uint32_t requests = tally.unattributed + tally.matches + tally.mismatches;
+    return tally.unattributed <= m_options.strangerShare * requests;
 }
 
 bool ParentFinder::hasPossibleParent(TimePoint deadline) const
--- a/src/state/connectiontally.h
+++ b/src/state/connectiontally.h
@@ -8,11 +8,11 @@
 struct ConnectionTally
 {
     /// Requests that no running call of this host's server can have made.
-    std::uint32_t strangers = 0;
+    std::uint32_t unattributed = 0;
     /// Requests that end with a running call.
-    std::uint32_t fits = 0;
+    std::uint32_t matches = 0;
     /// Requests that a running call may have made, but that do not end with it.
-    std::uint32_t misfits = 0;
+    std::uint32_t mismatches = 0;
 };
 
 } // namespace ivyspar
