--- a/src/app/internal/entry/entryrecorder.cpp
+++ b/src/app/internal/entry/entryrecorder.cpp
@@ -34,7 +34,7 @@
         : action.isHedge              ? DecisionKind::Hedge
                                       : DecisionKind::Retry;
     const Importance importance = isFirst ? Importance::Routine : Importance::Essential;
-    if (m_observers.decisions.leavesOut(kind, importance, facts.root)) {
+    if (m_observers.decisions.wouldDrop(kind, importance, facts.root)) {
         return;
     }
     Decision decision = makeDecision(facts);
@@ -53,7 +53,7 @@
 void EntryRecorder::recordCancel(const RequestFacts &facts, const EntryAction &action)
 {
     m_observers.metrics.add(Counter::Cancels);
-    if (m_observers.decisions.leavesOut(DecisionKind::Cancel, Importance::Essential, facts.root)) {
+    if (m_observers.decisions.wouldDrop(DecisionKind::Cancel, Importance::Essential, facts.root)) {
         return;
     }
     Decision decision = makeDecision(facts);
@@ -83,7 +83,7 @@
     const bool isWhole = isAnswered && !isServerError(end.status);
     const DecisionKind kind = isAnswered ? DecisionKind::Answer : DecisionKind::Refuse;
     const Importance importance = isWhole ? Importance::Routine : Importance::Essential;
-    if (m_observers.decisions.leavesOut(kind, importance, facts.root)) {
+    if (m_observers.decisions.wouldDrop(kind, importance, facts.root)) {
         return;
     }
     Decision decision = makeDecision(facts);
@@ -105,7 +105,7 @@
 void EntryRecorder::recordRejection(const Rejection &rejection)
 {
     const EarlyRefusal &refusal = rejection.refusal;
-    if (m_observers.decisions.leavesOut(DecisionKind::Refuse, Importance::Essential,
+    if (m_observers.decisions.wouldDrop(DecisionKind::Refuse, Importance::Essential,
                                         refusal.root)) {
         return;
     }
--- a/src/app/internal/gate/gaterecorder.cpp
+++ b/src/app/internal/gate/gaterecorder.cpp
@@ -54,7 +54,7 @@
     const bool isAnswered = verdict.outcome == Outcome::Answered;
     const bool isWhole = isAnswered && !isServerError(status);
     const Importance importance = isWhole ? Importance::Routine : Importance::Essential;
-    if (leavesOut(DecisionKind::Run, importance, message.root)) {
+    if (wouldDrop(DecisionKind::Run, importance, message.root)) {
         return;
     }
     Decision decision = makeDecision(DecisionKind::Run, message);
--- a/src/app/internal/gate/gaterecorder.h
+++ b/src/app/internal/gate/gaterecorder.h
@@ -31,9 +31,9 @@
     }
 
     /// Whether nothing need be worked out that is only said in such a line.
-    bool leavesOut(DecisionKind kind, Importance importance, RootId root)
+    bool wouldDrop(DecisionKind kind, Importance importance, RootId root)
     {
-        return m_observers.decisions.leavesOut(kind, importance, root);
+        return m_observers.decisions.wouldDrop(kind, importance, root);
     }
     void recordAdmitted(const GatedCall &call);
     void recordRefused(const GatedCall &call, Reason reason);
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -407,7 +407,7 @@
     m_observers.metrics.observe(
         Timing::GateWait,
         std::chrono::duration_cast<Duration>(m_loop.now() - found->second.arrivedAt));
-    if (!m_recorder.leavesOut(DecisionKind::Admit, Importance::Routine,
+    if (!m_recorder.wouldDrop(DecisionKind::Admit, Importance::Routine,
                               found->second.message.root)) {
         m_recorder.recordAdmitted(stateOf(found->second));
     }
@@ -560,7 +560,7 @@
     m_observers.metrics.add(Counter::GateRefusals);
     const auto found = m_calls.find(id);
     if (found != m_calls.end()
-        && !m_recorder.leavesOut(DecisionKind::Refuse, Importance::Essential,
+        && !m_recorder.wouldDrop(DecisionKind::Refuse, Importance::Essential,
                                  found->second.message.root)) {
         m_recorder.recordRefused(stateOf(found->second), verdict.reason);
     }
--- a/src/app/internal/logs/asynclogs.cpp
+++ b/src/app/internal/logs/asynclogs.cpp
@@ -108,7 +108,7 @@
     return m_decisionAppender.get() != nullptr;
 }
 
-bool AsyncLogs::leavesOut(DecisionKind kind, Importance importance, RootId root)
+bool AsyncLogs::wouldDrop(DecisionKind kind, Importance importance, RootId root)
 {
     if (!isEnabled()) {
         return true;
--- a/src/app/internal/logs/asynclogs.h
+++ b/src/app/internal/logs/asynclogs.h
@@ -48,7 +48,7 @@
 private:
     void write(LogLevel level, std::string text) override;
     bool isEnabled() const override;
-    bool leavesOut(DecisionKind kind, Importance importance, RootId root) override;
+    bool wouldDrop(DecisionKind kind, Importance importance, RootId root) override;
     void write(Decision decision) override;
 
     void push(LogEntry entry);
--- a/src/app/tests/mocks/silentobservers.h
+++ b/src/app/tests/mocks/silentobservers.h
@@ -25,7 +25,7 @@
     {
     public:
         bool isEnabled() const override { return false; }
-        bool leavesOut(DecisionKind /*kind*/, Importance /*importance*/, RootId /*root*/) override
+        bool wouldDrop(DecisionKind /*kind*/, Importance /*importance*/, RootId /*root*/) override
         {
             return true;
         }
--- a/src/state/idecisionlog.h
+++ b/src/state/idecisionlog.h
@@ -85,7 +85,7 @@
     virtual bool isEnabled() const = 0;
     /// Whether such a line has no room now; it is then counted as left out. Lets a busy thread skip
     /// building the decision: under load nine in ten lines are left out.
-    virtual bool leavesOut(DecisionKind kind, Importance importance, RootId root) = 0;
+    virtual bool wouldDrop(DecisionKind kind, Importance importance, RootId root) = 0;
     /// Never waits for the file or the reader of the lines: drops and counts what does not fit.
     virtual void write(Decision decision) = 0;
 };
--- a/src/state/tests/mocks/recordingdecisionlog.h
+++ b/src/state/tests/mocks/recordingdecisionlog.h
@@ -11,7 +11,7 @@
 {
 public:
     bool isEnabled() const override { return true; }
-    bool leavesOut(DecisionKind /*kind*/, Importance /*importance*/, RootId /*root*/) override
+    bool wouldDrop(DecisionKind /*kind*/, Importance /*importance*/, RootId /*root*/) override
     {
         return false;
     }
