--- a/src/app/internal/logs/logbudget.cpp
+++ b/src/app/internal/logs/logbudget.cpp
@@ -54,7 +54,7 @@
         return false;
     }
     return importance == Importance::Essential
-        || (m_routineTaken < m_options.routineLines && spread(root.value()) < m_share);
+        || (m_routineTaken < m_options.routineLines && toUnitInterval(root.value()) < m_share);
 }
 
 void LogBudget::startSecond(TimePoint now)
--- a/src/coordination/admission/internal/gate.cpp
+++ b/src/coordination/admission/internal/gate.cpp
@@ -192,7 +192,7 @@
 void Gate::refuse(CallId id, Reason reason, GateActions &actions)
 {
     const auto shortest = static_cast<double>(m_options.retryAfter.count());
-    const Duration retryAfter(std::llround(shortest * (1 + spread(id.value()))));
+    const Duration retryAfter(std::llround(shortest * (1 + toUnitInterval(id.value()))));
     actions.push_back({ GateVerb::Refuse, id, { Outcome::NotRun, reason, retryAfter } });
 }
 
--- a/src/state/internal/idvalue.cpp
+++ b/src/state/internal/idvalue.cpp
@@ -12,7 +12,7 @@
     return text;
 }
 
-double spread(std::uint64_t id)
+double toUnitInterval(std::uint64_t id)
 {
     const std::uint64_t mixed = id * 0x9E3779B97F4A7C15ULL;
     return static_cast<double>(mixed >> 11) * 0x1.0p-53;
