--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -313,7 +313,7 @@
 {
     const Duration wanted =
         m_policies.retries.retryAfter(m_loop.now(), incoming.rule.service, m_policies.random);
-    return withinObjective(wanted, incoming.rule.objective, m_policies.random);
+    return withinObjective(wanted, incoming.rule.targetLatency, m_policies.random);
 }
 
 Rejection EntryService::rejectionOf(const Incoming &incoming)
--- a/src/state/configuration.h
+++ b/src/state/configuration.h
@@ -98,7 +98,7 @@
     /// How long a caller waits when it names no deadline, and the longest deadline it may name.
     Duration wait{ 0 };
     /// Time within which an answer is worth most; zero if the rule does not say.
-    Duration objective{ 0 };
+    Duration targetLatency{ 0 };
     /// Servers that one request of a caller may run on; 0 for no bound but the attempts.
     std::uint32_t servers = 0;
     /// Calls that the whole request makes, this one included.
