--- a/src/app/internal/accounts/accountservice.cpp
+++ b/src/app/internal/accounts/accountservice.cpp
@@ -7,8 +7,9 @@
 
 namespace ivyspar {
 
-AccountService::AccountService(IEventLoop &loop, IRandom &random, const Confirmation &confirmation,
-                               Observers observers, Send send, const AccountServiceOptions &options)
+AccountService::AccountService(IEventLoop &loop, IRandom &random,
+                               const ConfirmationTime &confirmation, Observers observers, Send send,
+                               const AccountServiceOptions &options)
     : m_loop(loop)
     , m_confirmation(confirmation)
     , m_observers(observers)
--- a/src/app/internal/accounts/accountservice.h
+++ b/src/app/internal/accounts/accountservice.h
@@ -10,7 +10,7 @@
 #include "app/internal/accounts/iaccounts.h"
 #include "app/internal/logs/observers.h"
 #include "coordination/accounts/iaccountlimits.h"
-#include "state/confirmation.h"
+#include "state/confirmationtime.h"
 #include "state/irandom.h"
 #include "state/member.h"
 #include "transport/ieventloop.h"
@@ -36,7 +36,7 @@
     using Send = std::function<void(DaemonId, std::string)>;
 
     /// All references outlive the service.
-    AccountService(IEventLoop &loop, IRandom &random, const Confirmation &confirmation,
+    AccountService(IEventLoop &loop, IRandom &random, const ConfirmationTime &confirmation,
                    Observers observers, Send send, const AccountServiceOptions &options);
 
     void setConfiguration(ConfigurationPtr configuration);
@@ -62,7 +62,7 @@
     void sendAll();
 
     IEventLoop &m_loop;
-    const Confirmation &m_confirmation;
+    const ConfirmationTime &m_confirmation;
     Observers m_observers;
     Send m_send;
     AccountServiceOptions m_options;
--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -238,7 +238,7 @@
     port.setListed = [this](std::size_t daemons) {
         onTraffic([daemons](TrafficNode &traffic) { traffic.setListed(daemons); });
     };
-    port.confirm = [this](TimePoint asOf) { m_confirmation.note(asOf); };
+    port.confirm = [this](TimePoint asOf) { m_confirmation.advance(asOf); };
     port.liftQuarantine = [this](Fingerprint fingerprint, std::function<void(bool)> callback) {
         onTraffic([fingerprint = std::move(fingerprint), callback = std::move(callback)](
                       TrafficNode &traffic) { callback(traffic.liftQuarantine(fingerprint)); });
--- a/src/app/internal/daemon.h
+++ b/src/app/internal/daemon.h
@@ -51,7 +51,7 @@
     Observers m_observers;
     DaemonIdentity m_self;
     /// Noted by the control thread, read by the traffic thread.
-    Confirmation m_confirmation;
+    ConfirmationTime m_confirmation;
     std::unique_ptr<IEventLoop> m_trafficLoop;
     std::unique_ptr<IEventLoop> m_controlLoop;
     /// Each belongs to its thread; null before its start and after its end.
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -104,7 +104,7 @@
 
 TrafficNode::TrafficNode(IEventLoop &loop, const DaemonSettings &settings,
                          const IPlatform &platform, const DaemonIdentity &self,
-                         TrafficEvents events, const Confirmation &confirmation,
+                         TrafficEvents events, const ConfirmationTime &confirmation,
                          Observers observers)
     : m_loop(loop)
     , m_settings(settings)
--- a/src/app/internal/trafficnode.h
+++ b/src/app/internal/trafficnode.h
@@ -51,8 +51,8 @@
 {
 public:
     TrafficNode(IEventLoop &loop, const DaemonSettings &settings, const IPlatform &platform,
-                const DaemonIdentity &self, TrafficEvents events, const Confirmation &confirmation,
-                Observers observers);
+                const DaemonIdentity &self, TrafficEvents events,
+                const ConfirmationTime &confirmation, Observers observers);
     ~TrafficNode();
 
     /// Opens the listeners.
--- a/src/state/confirmationtime.h
+++ b/src/state/confirmationtime.h
@@ -9,11 +9,11 @@
 
 /// When the configuration in force was last known to be the newest one. Safe to use from all
 /// threads: one notes, others read.
-class Confirmation
+class ConfirmationTime
 {
 public:
     /// Earlier times than the one that is known change nothing.
-    void note(TimePoint asOf)
+    void advance(TimePoint asOf)
     {
         const auto since = asOf.time_since_epoch().count();
         if (since > m_asOf.load(std::memory_order_relaxed)) {
