--- a/src/coordination/once/claimrecords.h
+++ b/src/coordination/once/claimrecords.h
@@ -7,12 +7,12 @@
 
 namespace ivyspar {
 
-/// Who claims a key: one claim of one run of one daemon.
+/// Identifies one claim: the daemon, its incarnation, and the claim's nonce.
 struct ClaimHolder
 {
     DaemonId daemon;
     Incarnation incarnation;
-    /// Tells apart the claims of one incarnation.
+    /// Unique within the incarnation.
     std::uint64_t nonce = 0;
 
     friend bool operator==(const ClaimHolder &a, const ClaimHolder &b)
@@ -24,25 +24,25 @@
 
 enum class ClaimKind {
     Claim,
-    Release, ///< The claim's call was not run, and never will be.
+    Release, ///< Withdraws a claim whose call did not run and never will.
 };
 
 struct ClaimEntry
 {
     ClaimKind kind = ClaimKind::Claim;
-    /// Scope of a key: the rule under which it was used.
+    /// A key is scoped to the rule under which it was used.
     RuleName rule;
     IdempotencyKey key;
     std::uint64_t nonce = 0;
 };
 
-/// One record of the claim stream: claims and releases of one daemon, in order.
+/// One record of the claim stream: claims and releases of one daemon, in the order they apply.
 struct ClaimBatch
 {
     DaemonId daemon;
     Incarnation incarnation;
-    /// All records below this offset are older than the claim window. The daemon that appended the
-    /// batch knows it from its own clock or from the log's retention. It holds for every reader.
+    /// All records below this offset are older than the claim window. The appending daemon derives
+    /// it from its own clock or from the log's retention; it is valid for every reader.
     LogOffset horizon;
     std::vector<ClaimEntry> entries;
 };
--- a/src/coordination/once/internal/claimtable.cpp
+++ b/src/coordination/once/internal/claimtable.cpp
@@ -57,15 +57,16 @@
         decision.isFirst = !decision.blocker && batch->horizon >= m_completeFrom;
         decisions.push_back(std::move(decision));
         if (own == m_activeClaims.end() && !hasRoom()) {
-            // Without this bound a flood of keys would end the process; with it, no claim counts as
-            // the first until the horizon has passed the gap, so nothing runs twice.
+            // The bound keeps a flood of keys from exhausting the memory. No claim counts as the
+            // first until the horizon has passed the claims that were not stored, so no key runs
+            // twice.
             m_completeFrom = m_end;
         } else if (own == m_activeClaims.end()) {
             m_activeClaims.emplace(hash, ActiveClaim{ offset, owner, entry.nonce });
             m_order.emplace_back(offset, hash);
         }
     }
-    // A horizon that another daemon stated is a fact about the log, and may be ahead of ours.
+    // The horizon of another daemon's batch is valid here too, and may be ahead of this table's.
     if (batch->horizon > m_horizon && batch->horizon <= offset) {
         evictBelow(batch->horizon);
     }
@@ -105,7 +106,7 @@
 
 ClaimTable::KeyHash ClaimTable::hashOf(const RuleName &rule, const IdempotencyKey &key) const
 {
-    // The length keeps ("a", "bc") apart from ("ab", "c").
+    // The length distinguishes ("a", "bc") from ("ab", "c").
     std::string text = std::to_string(rule.value().size()) + ':';
     text += rule.value();
     text += key.value();
--- a/src/coordination/once/internal/claimtable.h
+++ b/src/coordination/once/internal/claimtable.h
@@ -52,7 +52,7 @@
         std::uint64_t nonce = 0;
     };
     using ActiveClaims = std::unordered_multimap<KeyHash, ActiveClaim, KeyHashHasher>;
-    /// At `at`, this observer had seen all records below `offset`.
+    /// At time `at`, this daemon had read all records below `offset`.
     struct OffsetSample
     {
         LogOffset offset;
@@ -62,7 +62,7 @@
     KeyHash hashOf(const RuleName &rule, const IdempotencyKey &key) const;
     ActiveClaims::const_iterator findActive(const KeyHash &hash, const Owner &owner,
                                             std::uint64_t nonce) const;
-    /// The earliest standing claim from `from` on by another holder than (owner, nonce).
+    /// Holder of the earliest active claim at or after `from` that is not (owner, nonce).
     std::optional<ClaimHolder> blocker(const KeyHash &hash, LogOffset from, const Owner *owner,
                                        std::uint64_t nonce) const;
     bool hasRoom() const;
@@ -73,11 +73,11 @@
     LogOffset m_end;
     LogOffset m_horizon;
     ActiveClaims m_activeClaims;
-    /// All claims that stand or stood, in order of offset.
+    /// All claims above the horizon, including released ones, in order of offset.
     std::deque<std::pair<LogOffset, KeyHash>> m_order;
     std::set<Owner> m_owners;
     std::deque<OffsetSample> m_offsetSamples;
-    /// Claims below this offset may be missing here.
+    /// Claims below this offset may be missing from the table.
     LogOffset m_completeFrom;
 };
 
--- a/src/coordination/once/internal/oncecoordinator.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -121,7 +121,7 @@
     return std::nullopt;
 }
 
-/// A claim that the log already shows saves an append that would only lose.
+/// An append is pointless if the log already contains another holder's claim.
 std::optional<OnceReply> OnceCoordinator::refuseIfHeld(const OnceRequest &request) const
 {
     const auto holder = m_table->holder(request.rule, request.key);
@@ -161,9 +161,9 @@
     m_deadlines.emplace(request.deadline, request.call);
 }
 
-/// A process that was frozen between the claim and this point may have been given up by all others,
-/// and its key may have run elsewhere by now. Both limits are far below the time after which
-/// others let the claim pass, and they are checked in the step that sends.
+/// If the process was suspended after the claim, other daemons may ignore the claim by now and have
+/// run its key. Both limits are far below the time after which others ignore the claim, and they
+/// are checked in the same step that sends.
 bool OnceCoordinator::start(TimePoint now, CallId call)
 {
     TrackedKeyId id = 0;
@@ -250,7 +250,7 @@
     return withLogActions(now, std::move(actions));
 }
 
-/// Lets the next attempt run, or gives the claim back.
+/// Grants the next attempt, or releases the claim if there is none.
 void OnceCoordinator::grantNext(TimePoint now, TrackedKeyId id, OnceActions &actions)
 {
     TrackedKey &tracked = m_trackedKeys[id];
@@ -292,8 +292,8 @@
     queueReleases(now);
 }
 
-/// The nonce will never run from here on. Its claim may be in the log, or reach it later, and would
-/// block the key; it is released as soon as it shows up.
+/// Nothing will run under this nonce from here on. Its claim may be in the log, or reach it later,
+/// and would block the key; it is released as soon as it appears.
 void OnceCoordinator::abandonClaim(TimePoint now, const TrackedKey &tracked)
 {
     m_byNonce.erase(tracked.nonce);
@@ -305,7 +305,7 @@
     abandoned.key = tracked.key;
     abandoned.since = now;
     if (m_abandonedClaims.size() >= m_options.maxTrackedKeys) {
-        // The oldest is forgotten: its key, if claimed, stays blocked until the window has passed.
+        // The oldest one is dropped: its key, if claimed, stays blocked for the rest of the window.
         m_abandonedClaims.erase(m_abandonedClaims.begin());
     }
     m_abandonedClaims.emplace(tracked.nonce, std::move(abandoned));
@@ -334,7 +334,7 @@
         if (tracked.stage == Stage::Claiming) {
             actions.replies.push_back(makeReply(call, notRunVerdict(Reason::LogUnavailable)));
         } else {
-            // Another attempt with the key runs: this one did not, but the key's request may have.
+            // This attempt did not run, but another one with the key may have.
             OnceReply reply = makeReply(call, unknownVerdict(Reason::KeyBusy));
             reply.holder = m_self;
             actions.replies.push_back(std::move(reply));
@@ -345,7 +345,7 @@
     }
 }
 
-/// After the window the claim is passed over by everyone, and nothing is to be remembered of it.
+/// After the claim window all daemons ignore the claim, so its state can be removed.
 void OnceCoordinator::expireKeys(TimePoint now, OnceActions &actions)
 {
     while (!m_expiry.empty() && m_expiry.front().first <= now) {
@@ -382,7 +382,7 @@
 bool OnceCoordinator::isHolderGone(const ClaimHolder &holder) const
 {
     if (holder.daemon == m_self) {
-        // FindingEnd tracked is known here, or the attempt would have joined it.
+        // The key is not tracked, or the attempt would have joined it.
         return true;
     }
     const auto member = m_members.find(holder.daemon);
--- a/src/coordination/once/internal/oncecoordinator.h
+++ b/src/coordination/once/internal/oncecoordinator.h
@@ -44,12 +44,12 @@
     };
 
     enum class Stage {
-        Claiming, ///< The claim is not decided.
-        Granted, ///< The claim was the first; one attempt may run, or runs.
+        Claiming, ///< The result of the claim is not known yet.
+        Granted, ///< The claim was the first; one attempt may run or is running.
         Done, ///< The outcome is stored.
     };
 
-    /// All attempts here with one key.
+    /// State of one idempotency key with all attempts that use it on this daemon.
     struct TrackedKey
     {
         RuleName rule;
@@ -61,24 +61,27 @@
         bool isStarted = false;
 
         std::uint64_t nonce = 0;
+        /// How often the claim was sent.
         std::uint32_t claimCopies = 0;
-        /// When the first copy of the claim was sent.
+        /// When the claim was first sent.
         std::optional<TimePoint> firstSent;
         bool isQueued = false;
         bool isInFlight = false;
+        /// An append of the claim succeeded or had an unknown result.
         bool mayBeInLog = false;
-        /// Since when it is unknown whether a copy was appended.
+        /// When an append of the claim last ended with an unknown result.
         std::optional<TimePoint> uncertainSince;
     };
 
-    /// A claim whose call will never run; to be released if it shows up in the log.
+    /// A claim whose call will never run; released if it appears in the log.
     struct AbandonedClaim
     {
         RuleName rule;
         IdempotencyKey key;
         TimePoint since;
         bool isReleasePending = false;
-        /// The release was appended below this offset: nothing to do until that was read.
+        /// The release was appended below this offset; nothing to do until the log is read up to
+        /// it.
         LogOffset releaseEnd;
     };
 
@@ -89,7 +92,7 @@
         TimePoint sent;
     };
 
-    // Attempts and their ends.
+    // Attempts and their results.
     std::optional<OnceReply> refuseEarly(TimePoint now, const OnceRequest &request) const;
     std::optional<OnceReply> refuseIfHeld(const OnceRequest &request) const;
     OnceActions join(TrackedKey &tracked, TrackedKeyId id, const OnceRequest &request);
@@ -106,7 +109,7 @@
     bool isHolderGone(const ClaimHolder &holder) const;
     TrackedKey *findByCall(CallId call, TrackedKeyId &id);
 
-    // The log.
+    // The claim log (oncecoordinatorlog.cpp).
     void queueClaim(TrackedKey &tracked);
     void requeueUncertainClaims(TimePoint readIssued);
     void applyDecision(TimePoint now, const ClaimDecision &decision, OnceActions &actions);
@@ -119,7 +122,8 @@
     void append(TimePoint now, OnceActions &actions);
     void read(TimePoint now, OnceActions &actions);
     bool isLogDown(TimePoint now) const;
-    /// Common end of all events: sends what can be sent.
+    /// Common last step of all events: adds the append and the read that are due, and the wake
+    /// time.
     OnceActions withLogActions(TimePoint now, OnceActions actions);
 
     const OnceOptions m_options;
@@ -135,10 +139,10 @@
     std::unordered_map<std::uint64_t, TrackedKeyId> m_byNonce;
     std::unordered_map<CallId, TrackedKeyId> m_byCall;
     std::set<std::pair<TimePoint, CallId>> m_deadlines;
-    /// When granted works are forgotten.
+    /// When granted keys are removed, in order of time.
     std::deque<std::pair<TimePoint, TrackedKeyId>> m_expiry;
     std::map<std::uint64_t, AbandonedClaim> m_abandonedClaims;
-    /// Nonces in `m_abandonedClaims` whose claims may stand in the log now.
+    /// Nonces of abandoned claims that may be active in the log now.
     std::set<std::uint64_t> m_releaseCandidates;
     std::unordered_map<DaemonId, std::optional<Incarnation>> m_members;
 
@@ -148,13 +152,13 @@
     TimePoint m_nextAppend;
     std::optional<TimePoint> m_readSent;
     TimePoint m_nextRead;
-    /// Read on at once until this offset.
+    /// End of the newest append of this daemon; reading continues without idling up to it.
     LogOffset m_awaitedEnd;
     TimePoint m_logDownUntil;
 
     enum class StartSearch {
-        FindingEnd, ///< The end of the stream is not known.
-        ReadingLastRecord, ///< The last record is being read, for its horizon.
+        FindingEnd, ///< The end of the stream is not known yet.
+        ReadingLastRecord, ///< The last record is read to get its horizon.
         Found,
     };
     StartSearch m_startSearch = StartSearch::FindingEnd;
--- a/src/coordination/once/internal/oncecoordinatorlog.cpp
+++ b/src/coordination/once/internal/oncecoordinatorlog.cpp
@@ -1,4 +1,4 @@
-// The part of OnceCoordinator that speaks to the log.
+// Appends to and reads from the claim log.
 #include <algorithm>
 
 #include "coordination/once/internal/oncecoordinator.h"
@@ -64,7 +64,7 @@
             tracked.mayBeInLog = true;
             tracked.uncertainSince = now;
         } else if (!tracked.mayBeInLog) {
-            // Proved absent: not even a release is needed.
+            // Certainly not in the log, so that no release is needed.
             tracked.claimCopies = 0;
         }
         if (failure == AppendFailure::NotAppended && tracked.stage == Stage::Claiming) {
@@ -80,7 +80,7 @@
     return withLogActions(now, std::move(actions));
 }
 
-/// The log is down: what waits for its turn to be appended is refused at once.
+/// The log is unavailable: attempts whose claims are still queued are refused immediately.
 void OnceCoordinator::refuseQueuedClaims(TimePoint now, OnceActions &actions)
 {
     std::vector<TrackedKeyId> refused;
@@ -109,8 +109,8 @@
     m_nextRead = now + m_options.logBackoff;
     m_logDownUntil = now + m_options.logBackoff;
     OnceActions actions;
-    // Before the end of the stream was found nothing is appended: what waits would wait in vain,
-    // and its caller would hear "unknown" at its deadline of a call that was never run.
+    // Nothing is appended before the start offset is found. Queued claims would wait in vain, and
+    // their callers would get "unknown" at the deadline for calls that never ran.
     if (m_startSearch != StartSearch::Found) {
         refuseQueuedClaims(now, actions);
     }
@@ -138,7 +138,7 @@
     if (isMoreKnown) {
         m_nextRead = now;
     } else if (isAwaited) {
-        // The replica that answered lags behind the one that took the append.
+        // The replica that answered lags behind the one that accepted the append.
         m_nextRead = now + m_options.readRetryDelay;
     } else {
         requeueUncertainClaims(issued);
@@ -147,8 +147,8 @@
     return withLogActions(now, std::move(actions));
 }
 
-/// Finds where to start: the horizon that the last batch states. Older records are not needed, so a
-/// daemon that starts reads one window, and not all that the log keeps.
+/// The start offset is the horizon of the last batch. Older records are not needed, so a starting
+/// daemon reads one claim window instead of everything that the log retains.
 void OnceCoordinator::findStartOffset(TimePoint now, const ClaimPage &page)
 {
     m_nextRead = now;
@@ -191,8 +191,9 @@
     }
 }
 
-/// The log dropped records that were not read here: they are older than the window, and so do not
-/// matter for keys. But a claim of ours may be among them, and can no longer be decided.
+/// The log dropped records before they were read. They are older than the claim window and no
+/// longer block keys, but a claim of this daemon may be among them, and its result cannot be
+/// determined.
 void OnceCoordinator::skipTruncatedRecords(TimePoint now, LogOffset first, OnceActions &actions)
 {
     m_table->restart(now, first);
@@ -231,7 +232,7 @@
     const bool isOwnAbandoned = blocker && blocker->daemon == m_self
         && blocker->incarnation == m_incarnation && m_abandonedClaims.count(blocker->nonce) != 0;
     if (isOwnAbandoned) {
-        // An attempt that ended here left its claim; it is released first, then claimed anew.
+        // The blocking claim was abandoned by this daemon: release it, then claim the key again.
         abandonClaim(now, tracked);
         tracked.nonce = ++m_lastNonce;
         m_byNonce[tracked.nonce] = id;
@@ -257,8 +258,8 @@
     m_appendQueue.push_back({ ClaimKind::Claim, tracked.rule, tracked.key, tracked.nonce });
 }
 
-/// An append's answer was lost, and a read that began later did not show the claim. It may still be
-/// on its way, so the same claim is sent once more: a second copy changes nothing in the fold.
+/// The result of an append is unknown, and a later read did not contain the claim. It may still
+/// arrive, so the same claim is sent again: a second copy does not change the result of the replay.
 void OnceCoordinator::requeueUncertainClaims(TimePoint readIssued)
 {
     for (auto &[id, tracked] : m_trackedKeys) {
@@ -283,8 +284,8 @@
             && m_table->isActive(found->second.rule, found->second.key,
                                  { m_self, m_incarnation, nonce });
         if (!isActive) {
-            // Only what is known to have been given up is released. A copy that reaches the log
-            // later brings the nonce back here.
+            // Only abandoned claims that are active are released. A copy that reaches the log later
+            // makes the nonce a candidate again.
             it = m_releaseCandidates.erase(it);
             continue;
         }
--- a/src/coordination/once/internal/outcomecache.h
+++ b/src/coordination/once/internal/outcomecache.h
@@ -10,23 +10,24 @@
 
 namespace ivyspar {
 
-/// How a run ended, for later attempts with the same key.
+/// Outcome of a run, for later attempts with the same key.
 struct StoredOutcome
 {
     Verdict verdict;
     HttpResponse response;
 };
 
-/// Keeps the ends of runs, with a bound on bytes: beyond it the oldest answers are dropped.
+/// Outcomes of runs, bounded in bytes: beyond the bound the oldest ones are evicted.
 class OutcomeCache
 {
 public:
     OutcomeCache(std::size_t maxBytes, std::size_t maxOutcomeBytes);
 
-    /// `id` is new in each call.
+    /// `id` must not have been stored before. An outcome of more than `maxOutcomeBytes` is not
+    /// kept.
     void put(std::uint64_t id, StoredOutcome outcome);
-    /// What a later attempt is told: an answer that was dropped, or too large to keep, is
-    /// `Unknown`.
+    /// The result for a later attempt: `Unknown` with `KeyHolderGone` if the outcome was evicted or
+    /// was too large to be kept.
     StoredOutcome get(std::uint64_t id) const;
     void erase(std::uint64_t id);
 
@@ -35,6 +36,7 @@
     std::size_t m_maxOutcomeBytes;
     std::size_t m_bytes = 0;
     std::unordered_map<std::uint64_t, std::pair<StoredOutcome, std::size_t>> m_outcomes;
+    /// Ids from the oldest to the newest.
     std::deque<std::uint64_t> m_order;
 };
 
--- a/src/coordination/once/internal/ticketregistry.cpp
+++ b/src/coordination/once/internal/ticketregistry.cpp
@@ -27,7 +27,7 @@
     return result.ec == std::errc() && result.ptr == end;
 }
 
-/// Takes the last field off `text`.
+/// Removes the last field from `text` and returns it.
 std::string takeField(std::string &text)
 {
     const std::size_t at = text.rfind(SEPARATOR);
@@ -39,7 +39,7 @@
     return field;
 }
 
-/// A daemon's name may contain the separator, so the fields are taken from the end.
+/// A daemon's name may contain the separator, so the fields are parsed from the end.
 std::optional<Ticket> readTicket(std::string text)
 {
     Ticket ticket;
@@ -153,7 +153,7 @@
     }
     counter = ticket->counter;
     if (ticket->owner.incarnation != m_incarnation || counter <= m_lastExpiredCounter) {
-        // Whether it was used is no longer known.
+        // Whether the ticket was used is no longer known.
         return makeVerdict(Outcome::Unknown, Reason::KeyHolderGone);
     }
     if (counter > m_lastCounter || ticket->checkValue != checkValueOf(counter)) {
@@ -244,7 +244,7 @@
     OnceActions actions;
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
         const CallId call = m_deadlines.begin()->second;
-        // Another attempt with the ticket runs.
+        // Another attempt with the ticket is running.
         const Verdict verdict = makeVerdict(Outcome::Unknown, Reason::KeyBusy);
         actions.replies.push_back({ call, verdict, {}, m_self });
         cancel(now, call);
@@ -285,7 +285,7 @@
         const Verdict verdict = makeVerdict(Outcome::NotRun, Reason::DeadlineExceeded);
         actions.replies.push_back({ next.call, verdict, {}, {} });
     }
-    // Nobody ran it, and nobody waits: the ticket is as good as new.
+    // No attempt ran and none is waiting: the ticket is unused again.
     m_usedTickets.erase(counter);
     m_usedCounters.erase(counter);
 }
--- a/src/coordination/once/internal/ticketregistry.h
+++ b/src/coordination/once/internal/ticketregistry.h
@@ -34,7 +34,7 @@
         CallId call;
         TimePoint deadline;
     };
-    /// A ticket that was presented.
+    /// State of a ticket that has been presented, with its attempts.
     struct UsedTicket
     {
         RequestFingerprint fingerprint;
@@ -45,7 +45,7 @@
     };
 
     std::uint64_t checkValueOf(std::uint64_t counter) const;
-    /// Why a request with the ticket is refused; none, and the counter, when it is good.
+    /// The refusal of a request with an unusable ticket; none if it is usable, with its `counter`.
     std::optional<Verdict> refuse(TimePoint now, const TicketRequest &request,
                                   std::uint64_t &counter) const;
     void addWaiter(std::uint64_t counter, UsedTicket &used, const TicketRequest &request);
@@ -62,9 +62,9 @@
     OutcomeCache m_outcomeCache;
 
     std::uint64_t m_lastCounter = 0;
-    /// Tickets up to this one have expired.
+    /// Tickets with a counter up to this one have expired.
     std::uint64_t m_lastExpiredCounter = 0;
-    /// At `second`, the last ticket handed out was `first`.
+    /// At time `second`, the last ticket issued had the counter `first`.
     std::deque<std::pair<std::uint64_t, TimePoint>> m_issueSamples;
     std::unordered_map<std::uint64_t, UsedTicket> m_usedTickets;
     std::set<std::uint64_t> m_usedCounters;
--- a/src/coordination/once/ioncecoordinator.h
+++ b/src/coordination/once/ioncecoordinator.h
@@ -12,29 +12,29 @@
 
 namespace ivyspar {
 
-/// Hash of what a caller asked for (method, target, body). A key that comes back with another
-/// fingerprint is a caller's mistake.
+/// Hash of a request's method, target and body. Reusing a key with a different fingerprint is an
+/// error of the caller.
 using RequestFingerprint = StrongType<std::uint64_t, struct RequestFingerprintTag>;
 RequestFingerprint makeFingerprint(const HttpRequest &request);
 
-/// One attempt that is to run at most once.
+/// One attempt of a request that has to run at most once.
 struct OnceRequest
 {
     CallId call;
     RuleName rule;
     IdempotencyKey key;
     RequestFingerprint fingerprint;
-    /// Nothing is started after this. Leave time to send the refusal.
+    /// The call is not started after this. Must leave time to send the refusal.
     TimePoint deadline;
 };
 
-/// The end of an attempt. `Answered` comes with the whole answer, of this run or a stored one.
+/// Result of an attempt. `Answered` carries the whole response, of this run or a stored one.
 struct OnceReply
 {
     CallId call;
     Verdict verdict;
     HttpResponse response;
-    /// The daemon that can know the result, for `KeyBusy` and `KeyHolderGone`.
+    /// The daemon that may know the result, for `KeyBusy` and `KeyHolderGone`.
     DaemonId holder;
 };
 
@@ -53,8 +53,8 @@
 };
 
 enum class AppendFailure {
-    NotAppended, ///< Proved: `Unavailable`, `Throttled`.
-    Unknown, ///< It may have been appended, or be appended later.
+    NotAppended, ///< Certain, as after `Unavailable` or `Throttled`.
+    Unknown, ///< It may have been appended, or may still be appended later.
 };
 
 struct ClaimRecord
@@ -66,45 +66,48 @@
 
 struct ClaimPage
 {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that the log retains.
     LogOffset first;
-    /// The offset that the next append will get, as far as known.
+    /// The offset that the next append will get; may be behind, as replicas answer reads.
     LogOffset end;
     std::vector<ClaimRecord> records;
 };
 
+/// What the caller of a coordinator or ticket registry has to do after an event.
 struct OnceActions
 {
-    /// Append to the claim stream; to be answered by `appendDone` or `appendFailed`.
+    /// Append to the claim stream; report the result with `appendDone` or `appendFailed`.
     std::optional<ClaimAppend> append;
-    /// Read from the claim stream; to be answered by `recordsRead` or `readFailed`.
+    /// Read from the claim stream; report the result with `recordsRead` or `readFailed`.
     std::optional<ClaimRead> read;
-    /// Calls that may go to the upstream, each after asking `start`.
+    /// Calls that may be sent to the upstream, each only after `start` has returned true.
     std::vector<CallId> proceed;
     std::vector<OnceReply> replies;
-    /// When to call `tick` at the latest.
+    /// Latest time to call `tick`.
     TimePoint wakeAt;
 };
 
-/// Runs calls with an idempotency key at most once, on the daemon that executes them. Plain object.
-/// For each request there is one reply, or one `proceed`; after `proceed` the attempt's end is
-/// reported by `finished`, `notRun` or `cancel`, and gets no reply from here.
+/// Runs calls with an idempotency key at most once, on the daemon that executes them. Does no I/O
+/// and reads no clock; not thread-safe.
+/// Each request gets either one reply or one `proceed`. After `proceed` the caller reports the end
+/// of the attempt with `finished`, `notRun` or `cancel`, and gets no reply for it.
 class IOnceCoordinator
 {
 public:
     virtual ~IOnceCoordinator() = default;
 
     virtual OnceActions request(TimePoint now, const OnceRequest &request) = 0;
-    /// To be asked in the same step in which the first byte is sent to the upstream. False when the
-    /// attempt came too late, as after a freeze: nothing may be sent, and `notRun` is to follow.
+    /// Must be called in the same event-loop step that sends the first byte to the upstream.
+    /// Returns false if it is too late, for example after the process was suspended: nothing may be
+    /// sent, and `notRun` must follow.
     virtual bool start(TimePoint now, CallId call) = 0;
-    /// The attempt's end as its caller is told: an answer, or a verdict of `Unknown`.
+    /// The result that the attempt's caller receives: a response, or a verdict of `Unknown`.
     virtual OnceActions finished(TimePoint now, CallId call, const Verdict &verdict,
                                  const HttpResponse &response) = 0;
-    /// Proof that the upstream did not start the call.
+    /// The upstream is known not to have started the call.
     virtual OnceActions notRun(TimePoint now, CallId call) = 0;
-    /// The caller gave up. A call that was not started ends here, without a reply; for one that was
-    /// started, `finished` or `notRun` still has to follow.
+    /// The caller gave up. A call that was not started ends without a reply; for one that was
+    /// started, `finished` or `notRun` must still follow.
     virtual OnceActions cancel(TimePoint now, CallId call) = 0;
 
     virtual OnceActions appendDone(TimePoint now, AppendId id, LogOffset offset) = 0;
@@ -112,7 +115,7 @@
     virtual OnceActions recordsRead(TimePoint now, const ClaimPage &page) = 0;
     virtual OnceActions readFailed(TimePoint now) = 0;
 
-    /// The incarnation of a daemon that is alive, or none when it is dead or left.
+    /// The incarnation of a daemon that is alive; none if it is dead or has left.
     virtual void setMember(const DaemonId &daemon, std::optional<Incarnation> incarnation) = 0;
     virtual OnceActions tick(TimePoint now) = 0;
 };
--- a/src/coordination/once/iticketregistry.h
+++ b/src/coordination/once/iticketregistry.h
@@ -7,14 +7,15 @@
 
 namespace ivyspar {
 
-/// The run of a daemon that a ticket belongs to: only it may run the ticket's request.
+/// The daemon and incarnation that issued a ticket: only they may run the ticket's request.
 struct TicketOwner
 {
     DaemonId daemon;
     Incarnation incarnation;
 };
 
-/// Whom to send a request with that ticket to; none if it is not a ticket.
+/// Parses the owner that a request with this ticket must be sent to; none if it is malformed. Does
+/// not verify the ticket.
 std::optional<TicketOwner> readTicketOwner(const std::string &ticket);
 
 struct TicketRequest
@@ -25,17 +26,19 @@
     TimePoint deadline;
 };
 
-/// Hands out tickets, and runs each at most once from this process's memory: no log is needed.
-/// A ticket ends with this run of the daemon. Its check value keeps callers from making up tickets
-/// or using another's by a slip; it is a keyed hash without cryptographic strength, and who forges
-/// one gains a request that runs at most once, as any caller may send. Plain object.
+/// Issues tickets, and runs the request of each at most once. State is kept in memory only, so no
+/// log is needed and a ticket is valid only for this run of the daemon. The check value in a ticket
+/// detects made-up and mistyped tickets; it is a keyed hash without cryptographic strength, since a
+/// forged ticket only allows a request that runs at most once, which any caller may send anyway.
+/// Does no I/O and reads no clock; not thread-safe.
 class ITicketRegistry
 {
 public:
     virtual ~ITicketRegistry() = default;
 
     virtual std::string issue(TimePoint now) = 0;
-    /// Replies at once, proceeds, or waits for the attempt that runs; as IOnceCoordinator.
+    /// Replies immediately, proceeds, or waits for the attempt that runs. This and the methods
+    /// below behave as in IOnceCoordinator.
     virtual OnceActions request(TimePoint now, const TicketRequest &request) = 0;
     virtual bool start(TimePoint now, CallId call) = 0;
     virtual OnceActions finished(TimePoint now, CallId call, const Verdict &verdict,
--- a/src/coordination/once/oncefactory.h
+++ b/src/coordination/once/oncefactory.h
@@ -13,10 +13,10 @@
 
 namespace ivyspar {
 
-/// Two runs of a key are at least `lifetime` apart: a claim's holder starts nothing later than
-/// `startWindow` after it first sent the claim, and others let a claim pass only `window()` after
-/// they saw it. Both times are taken from the observer's own clock, and reading late only makes the
-/// second one longer; `clockMargin` covers clocks that run at different speeds.
+/// Two runs of a key are at least `lifetime` apart: the holder of a claim starts nothing later than
+/// `startWindow` after it first sent the claim, and other daemons ignore the claim only `window()`
+/// after they read it. Each daemon measures with its own clock; reading late only lengthens the
+/// second time. `clockMargin` covers clocks that run at different speeds.
 struct OnceOptions
 {
     Duration lifetime = MAX_KEY_LIFETIME;
@@ -24,45 +24,57 @@
     Duration clockMargin = std::chrono::seconds(30);
     Duration window() const { return lifetime + startWindow + clockMargin; }
 
-    /// Bounds on one append, and the shortest time between two.
+    /// Bound on the claims and releases in one append.
     std::size_t maxBatchEntries = 256;
+    /// Shortest time between two appends.
     Duration minAppendInterval = std::chrono::milliseconds(5);
-    /// Copies of a claim that are appended while the answers are lost.
+    /// How often one claim is sent while its appends have an unknown result.
     std::uint32_t maxClaimCopies = 4;
+    /// Bound on the records in one read.
     std::uint32_t maxReadRecords = 512;
-    /// Interval of reading while nothing waits.
+    /// Interval between reads while no append awaits its result.
     Duration idleReadInterval = std::chrono::seconds(1);
-    /// Pause after a read that failed, or that did not yet show an append of ours.
+    /// Delay after a read that did not yet contain an append of this daemon.
     Duration readRetryDelay = std::chrono::milliseconds(25);
-    /// After a failure of the log, requests are refused at once for this long, then one is tried.
+    /// For this long after a failed read, or an append that certainly failed, new requests are
+    /// refused immediately; also the delay after a failed read, and the `retryAfter` of refusals.
     Duration logBackoff = std::chrono::milliseconds(250);
-    /// An append or a read that takes longer: the log counts as unavailable for new requests.
+    /// While an append or a read takes longer than this, new requests are refused as if the log had
+    /// failed.
     Duration stallTimeout = std::chrono::seconds(1);
     std::size_t maxKeyBytes = 256;
+    /// Keys that this daemon holds state for; also bounds the abandoned claims that it remembers.
     std::size_t maxTrackedKeys = 20000;
+    /// Active claims in the claim table.
     std::size_t maxTableEntries = 150000;
-    /// Bytes of stored answers in all, and of a single one.
+    /// Bytes of all stored outcomes together.
     std::size_t maxOutcomeCacheBytes = 4 * 1024 * 1024;
+    /// Bytes of a single stored outcome.
     std::size_t maxOutcomeBytes = 64 * 1024;
 };
 
-/// Fails with `InvalidArgument` when the log keeps records for less than the window: claims would
-/// vanish while they still matter.
+/// Fails with `InvalidArgument` unless the log retains records for longer than the claim window:
+/// claims would otherwise be dropped while they are still in force.
 Ret validateOnceOptions(const OnceOptions &options, Duration logRetention);
 
 struct TicketOptions
 {
+    /// Tickets are valid for at least this long after they were issued.
     Duration lifetime = std::chrono::minutes(30);
+    /// Tickets that have been presented and have not expired.
     std::size_t maxUsedTickets = 20000;
+    /// Bytes of all stored outcomes together.
     std::size_t maxOutcomeCacheBytes = 2 * 1024 * 1024;
+    /// Bytes of a single stored outcome.
     std::size_t maxOutcomeBytes = 64 * 1024;
 };
 
-/// Random bytes that only this run of the daemon knows.
+/// Random bytes known only to this run of the daemon; the key of the check values in tickets.
 using TicketSecret = std::array<std::uint8_t, 192>;
 
-std::unique_ptr<IClaimTable> makeClaimTable(const OnceOptions &options, std::uint64_t hashSeed);
 /// `hashSeed` is random and secret, so that callers cannot choose keys that collide in the table.
+std::unique_ptr<IClaimTable> makeClaimTable(const OnceOptions &options, std::uint64_t hashSeed);
+/// `hashSeed` as for `makeClaimTable`.
 std::unique_ptr<IOnceCoordinator> makeOnceCoordinator(TimePoint now, const DaemonId &self,
                                                       Incarnation incarnation,
                                                       std::uint64_t hashSeed,
--- a/src/state/accounts.h
+++ b/src/state/accounts.h
@@ -14,51 +14,54 @@
 
 /// Salted hash of a client account's key.
 using KeyDigest = std::array<std::uint8_t, 16>;
-/// Mixed into all hashes of one configuration, so that nobody can work out hashes beforehand.
+/// Key of all digests of one configuration; prevents precomputed digests.
 using KeySalt = std::array<std::uint8_t, 16>;
 
-/// How much an account may send, over all daemons together.
+/// Request limit of an account, over all daemons together.
 struct AccountLimit
 {
-    /// Requests a second; 0 for no limit.
+    /// Requests per second; 0 for no limit.
     double rate = 0;
-    /// Requests that may come at once.
+    /// Requests that may arrive at the same time.
     double burst = 0;
 
     bool isSet() const { return rate > 0; }
 };
 
-/// A client account: callers that are served, limited and told apart from others by their keys.
+/// A client account: callers that are identified by a key and share a priority and a limit.
 struct AccountSpec
 {
     AccountName name;
-    /// Several at a time, so that operators can replace one without a gap.
+    /// Several may be valid at a time, so that operators can rotate keys without an interruption.
     std::vector<KeyDigest> keys;
-    /// Goes before the priority of the rule.
+    /// Takes precedence over the priority of the rule; see PriorityOrder.
     std::optional<Priority> priority;
     AccountLimit limit;
 };
 
+/// A new random salt.
 KeySalt makeKeySalt();
+/// BLAKE2b (128 bits), keyed with the salt.
 KeyDigest digestOf(const AccountKey &key, const KeySalt &salt);
-/// A new key, of letters and digits, that cannot be guessed.
+/// A new random key of 32 letters and digits.
 AccountKey makeAccountKey();
 
 std::string toHex(const KeyDigest &digest);
-/// Nothing if `hex` is not a digest, or a salt, in hexadecimal digits.
+/// Nothing unless `hex` is a digest, or a salt, in hexadecimal digits.
 std::optional<KeyDigest> digestFromHex(const std::string &hex);
 
-/// Finds the account that holds a key. A key is hashed with the secret salt before it is looked up,
-/// so the time that this takes tells nothing of the keys that exist.
+/// Finds the account that holds a key. Keys are hashed with the secret salt before the lookup, so
+/// its duration reveals nothing about existing keys.
 class KeyIndex
 {
 public:
     KeyIndex() = default;
-    /// Fails when two accounts hold the same key; the error names the accounts.
+    /// Fails with `InvalidArgument` if two accounts hold the same key; the error names them.
     static RetVal<KeyIndex> make(const std::vector<AccountSpec> &accounts, const KeySalt &salt);
 
-    /// Position among the accounts.
+    /// Index in the vector that `make` was given; nothing if no account holds the key.
     std::optional<std::size_t> find(const AccountKey &key) const;
+    /// Number of keys.
     std::size_t size() const { return m_accounts.size(); }
 
 private:
--- a/src/state/configuration.h
+++ b/src/state/configuration.h
@@ -18,19 +18,20 @@
 
 namespace ivyspar {
 
-/// A service and what each of its servers can take.
+/// A service and the capacity of each of its servers.
 struct ServiceSpec
 {
     ServiceName name;
-    /// Where a server tells whether it takes work; empty if the service has no such path.
+    /// Path at which a server reports whether it accepts requests; empty if the service has none.
     std::string healthPath;
-    /// Requests that one server works on at a time.
+    /// Requests that one server processes concurrently.
     std::uint32_t slots = 0;
     /// Connections that one server accepts.
     std::uint32_t connections = 0;
 };
 
-/// A server that the asset register knows. It takes work only once it announces itself.
+/// A server that is listed in the operators' inventory. It gets requests only once it announces
+/// itself.
 struct ServerSpec
 {
     std::string name;
@@ -44,7 +45,7 @@
     RegionName region;
 };
 
-/// What the operators' asset register says.
+/// The operators' inventory of domains, services and servers.
 struct Inventory
 {
     std::string deployment;
@@ -59,19 +60,19 @@
     Priority priority;
 };
 
-/// For how long every idempotency key is remembered at the least, and so the longest lifetime that
-/// a rule may ask for.
+/// Every idempotency key is remembered for at least this long, so it is also the longest lifetime
+/// that a rule may set.
 constexpr Duration MAX_KEY_LIFETIME = std::chrono::minutes(10);
 
-/// How often an attempt that may have started can be followed by another.
+/// Whether a request may be attempted again after an attempt that may have started.
 enum class Repetition {
     Never, ///< An attempt that may have started is the last one.
-    Once, ///< As `Never`, and an idempotency key or a ticket makes it run at most once over all
-          ///< attempts.
+    Once, ///< As `Never`; in addition an idempotency key or a ticket limits all attempts together
+          ///< to at most one run.
     Idempotent, ///< May be repeated, and hedged where the rule allows it.
 };
 
-/// A part of the requests of a rule goes to this service, in proportion to the weights.
+/// A service that gets a share of the requests of a rule, in proportion to the weights.
 struct SplitPart
 {
     ServiceName service;
@@ -83,7 +84,7 @@
 {
     RuleName name;
     ServiceName service;
-    /// Requests with this `Host` match by it and by `path`, whatever service they name. Empty:
+    /// Requests with this `Host` match by host and `path`, whatever service they name. If empty,
     /// requests name the service themselves.
     std::string host;
     /// Instead of `service`; empty if the rule leads to one service.
@@ -95,34 +96,35 @@
     ClassName requestClass;
     /// Priority of `requestClass`, resolved when the rules are read.
     Priority priority;
-    /// How long a caller waits when it names no deadline, and the longest deadline it may name.
+    /// Time limit of a request whose caller sets no deadline, and the longest that a caller may
+    /// set.
     Duration wait{ 0 };
-    /// Time within which an answer is worth most; zero if the rule does not say.
+    /// Latency up to which a response has its full value; zero if the rule sets none.
     Duration targetLatency{ 0 };
-    /// Servers that one request of a caller may run on; 0 for no bound but the attempts.
+    /// Most servers that one request of a caller may run on; 0 if only the attempts are bounded.
     std::uint32_t servers = 0;
-    /// Calls that the whole request makes, this one included.
+    /// Calls in the request's whole call tree, this one included.
     std::uint32_t calls = 1;
-    /// Attempts for the whole request, over all calls. By default 3 × calls.
+    /// Attempts of all calls of the request together. By default 3 × calls.
     AttemptCount attempts;
-    /// Attempts that a caller may make of one request, the first included.
+    /// Attempts that a caller may make at one request, the first included.
     std::uint32_t callerAttempts = 3;
     Repetition repetition = Repetition::Never;
     bool hedge = false;
     /// For how long an idempotency key is remembered.
     Duration keyLifetime{ 0 };
-    /// Callers need no key of a client account.
+    /// Callers need no client account key.
     bool isAnonymous = false;
 };
 
-/// Bounds that operators set on what callers may send. Zero where they set none.
+/// Limits on what callers may send. Zero where operators set none.
 struct CallerLimits
 {
     std::size_t headerBytes = 0;
     std::size_t bodyBytes = 0;
-    /// For the arrival of a request's header.
+    /// Time for a request's header to arrive.
     Duration headerTimeout{ 0 };
-    /// How long a connection may stay unused.
+    /// Time after which an unused connection is closed.
     Duration idleTimeout{ 0 };
 };
 
@@ -130,34 +132,34 @@
 {
     std::vector<ClassSpec> classes;
     std::vector<RuleSpec> rules;
-    /// Empty: callers need no key.
+    /// If empty, callers need no key.
     std::vector<AccountSpec> accounts;
 };
 
-/// Finds the rule with the longest path prefix among those of a host, in time that depends on the
-/// path alone: a configuration may have thousands of rules.
+/// Finds the rule with the longest path prefix among those of a host. The time depends only on the
+/// path, as a configuration may have thousands of rules.
 class HostIndex
 {
 public:
     HostIndex() = default;
     explicit HostIndex(const Rules &rules);
 
-    /// Position in `Rules::rules`; nothing when no rule matches. `path` is without query.
+    /// Index in `Rules::rules`; nothing if no rule matches. `path` has no query.
     std::optional<std::size_t> find(const std::string &host, const std::string &path) const;
 
 private:
     std::unordered_map<std::string, std::size_t> m_rules;
 };
 
-/// Order of requests under overload where accounts have priorities: the account's goes first, that
-/// of the rule decides among requests of equal accounts. Without accounts it is the rule's.
+/// Combines the priorities of account and rule into one. The account's priority takes precedence,
+/// and the rule's decides among accounts of equal priority. Without accounts it is the rule's.
 class PriorityOrder
 {
 public:
     PriorityOrder() = default;
     explicit PriorityOrder(const Rules &rules);
 
-    /// An account without a priority, and none, stand with the most important ones.
+    /// An account without a priority, or no account, counts as `HIGHEST_PRIORITY`.
     Priority of(std::optional<Priority> account, Priority rule) const;
 
 private:
@@ -168,7 +170,8 @@
     std::map<Pair, Priority> m_order;
 };
 
-/// One accepted version of inventory and rules. Immutable, shared between threads by count.
+/// One accepted version of inventory and rules. Immutable and reference-counted, so that threads
+/// can share it.
 struct Configuration : boost::intrusive_ref_counter<Configuration, boost::thread_safe_counter>
 {
     ConfigurationVersion version;
@@ -183,15 +186,16 @@
 };
 using ConfigurationPtr = boost::intrusive_ptr<const Configuration>;
 
-/// The rule for a request, or nullptr when no rule matches.
+/// The rule for a request, or nullptr if no rule matches. Ignores rules with a host.
 const RuleSpec *findRule(const Rules &rules, const ServiceName &service, const std::string &method,
                          const std::string &path);
-/// The rule for a request to a host, or nullptr when no rule matches. Case and port of the host do
-/// not matter.
+/// The rule for a request to a host, or nullptr if no rule matches. Case and port of the host are
+/// ignored; `path` has no query.
 const RuleSpec *findRuleOfHost(const Configuration &configuration, const std::string &host,
                                const std::string &path);
-/// The client account that holds the key, or nullptr when none does.
+/// The client account that holds the key, or nullptr if none does.
 const AccountSpec *findAccount(const Configuration &configuration, const AccountKey &key);
+/// The service of that name, or nullptr.
 const ServiceSpec *findService(const Inventory &inventory, const ServiceName &service);
 
 } // namespace ivyspar
--- a/src/state/confirmationtime.h
+++ b/src/state/confirmationtime.h
@@ -7,12 +7,12 @@
 
 namespace ivyspar {
 
-/// When the configuration in force was last known to be the newest one. Safe to use from all
-/// threads: one notes, others read.
+/// When the configuration in force was last known to be the newest. Thread-safe for one writer and
+/// any number of readers.
 class ConfirmationTime
 {
 public:
-    /// Earlier times than the one that is known change nothing.
+    /// Times before the current one are ignored.
     void advance(TimePoint asOf)
     {
         const auto since = asOf.time_since_epoch().count();
@@ -20,7 +20,7 @@
             m_asOf.store(since, std::memory_order_relaxed);
         }
     }
-    /// Nothing while nothing is known.
+    /// Time since the last confirmation; nothing before the first one.
     std::optional<Duration> age(TimePoint now) const
     {
         const auto asOf = m_asOf.load(std::memory_order_relaxed);
--- a/src/state/connectiontally.h
+++ b/src/state/connectiontally.h
@@ -4,14 +4,15 @@
 
 namespace ivyspar {
 
-/// What the requests of one connection told of its other end: a caller, or the server of this host.
+/// Counts of the requests of one connection by how they relate to running calls. They tell whether
+/// the peer is a caller or the server of this host.
 struct ConnectionTally
 {
-    /// Requests that no running call of this host's server can have made.
+    /// Requests that cannot have been made by any running call of this host's server.
     std::uint32_t unattributed = 0;
-    /// Requests that end with a running call.
+    /// Requests whose deadline matches that of a running call.
     std::uint32_t matches = 0;
-    /// Requests that a running call may have made, but that do not end with it.
+    /// Requests that a running call may have made, but whose deadline does not match it.
     std::uint32_t mismatches = 0;
 };
 
--- a/src/state/durationtext.h
+++ b/src/state/durationtext.h
@@ -7,11 +7,12 @@
 
 namespace ivyspar {
 
-/// Reads a whole number with its unit: `us`, `ms`, `s`, `min` or `h`, such as `250ms`.
-/// Fails with `InvalidArgument` on anything else, also on a number without a unit.
+/// Parses a whole number with a unit (`us`, `ms`, `s`, `min` or `h`), such as `250ms`.
+/// Fails with `InvalidArgument` on anything else, on a number without a unit, and on more than 366
+/// days.
 RetVal<Duration> parseDuration(const std::string &text);
 
-/// The duration in the largest unit that divides it, in the form that `parseDuration` reads.
+/// The duration in the largest unit that divides it, in the format of `parseDuration`.
 std::string toText(Duration duration);
 
 } // namespace ivyspar
--- a/src/state/endpoint.h
+++ b/src/state/endpoint.h
@@ -8,14 +8,14 @@
 
 namespace ivyspar {
 
-/// An IP address and a port. Names are never resolved.
+/// An IP address and a port. Host names are not accepted.
 struct Endpoint
 {
     std::string address;
     std::uint16_t port = 0;
 
     std::string text() const;
-    /// Reads `127.0.0.1:80` or `[::1]:80`.
+    /// Parses `127.0.0.1:80` or `[::1]:80`. Fails with `InvalidArgument`.
     static RetVal<Endpoint> parse(const std::string &text);
 
     friend bool operator==(const Endpoint &a, const Endpoint &b)
--- a/src/state/http.h
+++ b/src/state/http.h
@@ -28,20 +28,20 @@
     std::string body;
 };
 
-/// Whether an answer of this status says that the server failed.
+/// Whether a response of this status reports a failure of the server (5xx).
 constexpr bool isServerError(int status)
 {
     constexpr int FIRST_SERVER_ERROR = 500;
     return status >= FIRST_SERVER_ERROR;
 }
 
-/// The value of the first header of that name (compared without case), or nullptr.
+/// The value of the first header of that name (case-insensitive), or nullptr.
 const std::string *findHeader(const std::vector<HttpHeader> &headers, const std::string &name);
-/// Removes all headers of that name (compared without case).
+/// Removes all headers of that name (case-insensitive).
 void removeHeader(std::vector<HttpHeader> &headers, const std::string &name);
-/// The name in a `Host` header: without port, in lower case.
+/// The host name in a `Host` header, without port and in lower case.
 std::string hostNameOf(const std::string &host);
-/// Compares header names, without case.
+/// Compares header names case-insensitively.
 bool isSameHeader(const std::string &a, const std::string &b);
 
 } // namespace ivyspar
--- a/src/state/idecisionlog.h
+++ b/src/state/idecisionlog.h
@@ -14,21 +14,21 @@
     Refuse, ///< An entry daemon or a gate refused a call.
     Retry,
     Hedge,
-    Cancel, ///< An entry gave an attempt up whose answer is not wanted any more.
+    Cancel, ///< An entry daemon cancelled an attempt whose response is no longer needed.
     Run, ///< A server's run of a call ended.
-    Answer, ///< An entry answered a request.
-    Configuration, ///< A configuration was judged, or is in force.
-    Membership, ///< The daemons that are believed to work changed.
-    Upstream, ///< What is believed of a server of this host changed.
-    Dependency, ///< Something that this daemon needs was lost or is back.
-    Quarantine, ///< A request is kept from servers that it would crash, or is not any more.
+    Answer, ///< An entry daemon answered a request.
+    Configuration, ///< A configuration was accepted, rejected or put in force.
+    Membership, ///< The set of daemons that are considered alive changed.
+    Upstream, ///< The known state of a server of this host changed.
+    Dependency, ///< A dependency of this daemon became unavailable or available again.
+    Quarantine, ///< A request that crashes servers was quarantined or released.
     Lifecycle, ///< Start, stop and reload of this daemon.
 };
 
 const char *toText(DecisionKind kind);
 
-/// Whether the line must be there when somebody asks why a request failed, or whether it is one of
-/// many that say that all went as usual.
+/// Essential lines are needed to explain why a request failed; routine lines record normal
+/// operation and are dropped first.
 enum class Importance { Routine, Essential };
 
 struct DecisionCandidate
@@ -40,53 +40,53 @@
 /// A number that a decision was based on.
 struct DecisionInput
 {
-    /// Text that lives as long as the program; with its unit, as in `load_age_ms`.
+    /// String of static lifetime, with the unit as in `load_age_ms`.
     const char *name = "";
     double value = 0;
 };
 
-/// One decision and what it was based on. Fields that do not apply stay at their defaults and are
-/// left out of the log's line.
+/// One decision and its inputs. Fields that do not apply keep their defaults and are omitted from
+/// the log line.
 struct Decision
 {
     DecisionKind kind = DecisionKind::Route;
     Importance importance = Importance::Routine;
-    /// The caller's request, the same at every daemon that works for it.
+    /// Id of the caller's request, the same at every daemon that handles it.
     RootId root;
-    /// The call's own id, if it was made by an upstream for that request.
+    /// Id of the call itself, if an upstream made it for that request.
     RootId call;
     ServiceName service;
     RuleName rule;
     Rank rank;
-    /// From 1.
+    /// Counted from 1; 0 if it does not apply.
     std::uint32_t attempt = 0;
     std::vector<DecisionCandidate> candidates;
     std::vector<DecisionInput> inputs;
     /// What was chosen: a daemon, a server, or a version of the configuration.
     std::string choice;
-    /// Text that lives as long as the program.
+    /// Strings of static lifetime.
     const char *outcome = "";
     const char *reason = "";
-    /// Of the request, where what it does to servers matters.
+    /// Fingerprint of the request, for decisions about requests that crash servers.
     Fingerprint fingerprint;
-    /// Of the caller, where the decision was made for its sake.
+    /// Client account of the caller, if the decision depended on it.
     AccountName account;
-    /// What others said, as the text of an error.
+    /// Further text, such as an error message of another component.
     std::string detail;
 };
 
-/// Takes a line for each decision. Safe to use from all threads.
+/// Log with one line for each decision. Thread-safe.
 class IDecisionLog
 {
 public:
     virtual ~IDecisionLog() = default;
 
-    /// False when lines go nowhere: lets a busy thread skip building the decision.
+    /// False if lines are discarded: callers then need not build the decision.
     virtual bool isEnabled() const = 0;
-    /// Whether such a line has no room now; it is then counted as left out. Lets a busy thread skip
-    /// building the decision: under load nine in ten lines are left out.
+    /// Whether such a line would be dropped now; it is then counted as dropped. Callers then need
+    /// not build the decision: under load nine in ten lines are dropped.
     virtual bool wouldDrop(DecisionKind kind, Importance importance, RootId root) = 0;
-    /// Never waits for the file or the reader of the lines: drops and counts what does not fit.
+    /// Never blocks on the output: lines that do not fit are dropped and counted.
     virtual void write(Decision decision) = 0;
 };
 
