--- a/src/coordination/once/internal/oncecoordinator.cpp
+++ b/src/coordination/once/internal/oncecoordinator.cpp
@@ -45,10 +45,11 @@
 Ret validateOnceOptions(const OnceOptions &options, Duration logRetention)
 {
     if (logRetention <= options.window()) {
-        return makeError(ErrorCode::InvalidArgument,
-                         "the log must keep claims for longer than the claim window of "
-                             + std::to_string(options.window().count()) + " us; it keeps them for "
-                             + std::to_string(logRetention.count()) + " us");
+        return makeError(
+            ErrorCode::InvalidArgument,
+            "log retention is too short: claims must be kept for more than the claim window of "
+                + std::to_string(options.window().count()) + " us, but the log keeps them for "
+                + std::to_string(logRetention.count()) + " us");
     }
     return {};
 }
--- a/src/state/http.h
+++ b/src/state/http.h
@@ -28,7 +28,7 @@
     std::string body;
 };
 
-/// Whether a response of this status reports a failure of the server (5xx).
+/// Whether a response of this status reports a failure of the server.
 constexpr bool isServerError(int status)
 {
     constexpr int FIRST_SERVER_ERROR = 500;
--- a/src/state/idvalue.h
+++ b/src/state/idvalue.h
@@ -5,9 +5,9 @@
 
 namespace ivyspar {
 
-/// Sixteen hexadecimal digits, as ids stand in headers and logs.
+/// Sixteen hexadecimal digits, the format of ids in headers and logs.
 std::string toHex(std::uint64_t id);
-/// Spreads ids evenly over [0, 1); the same id always gives the same number, at every daemon.
+/// Hashes an id to a number that is evenly distributed over [0, 1) and the same at every daemon.
 double toUnitInterval(std::uint64_t id);
 
 } // namespace ivyspar
--- a/src/state/imetrics.h
+++ b/src/state/imetrics.h
@@ -9,7 +9,7 @@
 
 namespace ivyspar {
 
-/// Totals that only grow. The comments in internal/metricnames.cpp are their help texts.
+/// Monotonic counters. Their names and help texts are in internal/metricnames.cpp.
 enum class Counter {
     FirstAttempts,
     RetryAttempts,
@@ -47,10 +47,10 @@
     ConfigurationsAccepted,
     ConfigurationsRejected,
     LogLinesDropped,
-    Count, ///< Number of the others.
+    Count, ///< Number of values above.
 };
 
-/// Values that rise and fall.
+/// Current values.
 enum class Gauge {
     RequestsInFlight,
     GateInFlight,
@@ -64,33 +64,33 @@
     Members,
     ConfigurationVersion,
     ConfigurationAgeSeconds,
-    Count, ///< Number of the others.
+    Count, ///< Number of values above.
 };
 
-/// Distributions of times.
+/// Histograms of durations.
 enum class Timing {
-    Request, ///< From the arrival of a caller's request to its answer.
-    AddedByDaemons, ///< The same without the time that the upstream took.
-    Upstream, ///< From sending to the upstream to its whole answer.
+    Request, ///< From the arrival of a caller's request to its response.
+    AddedByDaemons, ///< The same without the time taken by the upstream.
+    Upstream, ///< From sending to the upstream to its complete response.
     GateWait, ///< From the arrival at the gate to the start.
-    ReadLag, ///< How far the loop was behind its timers when a request or call was read.
+    ReadLag, ///< Delay of the event loop's timers when a request or call was read.
     LogAppend,
     LogRead,
-    Count, ///< Number of the others.
+    Count, ///< Number of values above.
 };
 
-/// What a daemon counts of itself. Safe to use from all threads and cheap: no locks.
+/// A daemon's metrics. Thread-safe and lock-free.
 class IMetrics
 {
 public:
     virtual ~IMetrics() = default;
 
     virtual void add(Counter counter, std::uint64_t amount = 1) = 0;
-    /// A caller's request ended. Priority 0 when no rule matched.
+    /// Counts a completed request of a caller. Priority 0 if no rule matched.
     virtual void countRequest(const Verdict &verdict, Priority priority) = 0;
     virtual void set(Gauge gauge, std::int64_t value) = 0;
     virtual void observe(Timing timing, Duration duration) = 0;
-    /// All values in the text format of Prometheus.
+    /// All values in the Prometheus text format.
     virtual std::string text() const = 0;
 };
 
--- a/src/state/internal/accounts.cpp
+++ b/src/state/internal/accounts.cpp
@@ -10,7 +10,7 @@
 
 void initializeSodium()
 {
-    // Chooses the fastest code for this processor.
+    // Selects the fastest implementation for this processor.
     static const int IS_READY = sodium_init();
     (void)IS_READY;
 }
@@ -87,7 +87,7 @@
     return found == m_accounts.end() ? std::nullopt : std::optional(found->second);
 }
 
-/// Hashes are spread evenly already.
+/// Digests are evenly distributed, so a part of one serves as the hash.
 std::size_t KeyIndex::DigestHash::operator()(const KeyDigest &digest) const
 {
     std::size_t hash = 0;
--- a/src/state/internal/configuration.cpp
+++ b/src/state/internal/configuration.cpp
@@ -22,7 +22,7 @@
     return path.compare(0, rule.path.size(), rule.path) == 0;
 }
 
-/// No host name contains a slash, so host and path cannot be confused.
+/// Host names contain no slash, so the boundary between host and path is unambiguous.
 std::string indexKey(const std::string &host, const std::string &prefix)
 {
     return host + prefix;
@@ -64,7 +64,7 @@
 std::optional<std::size_t> HostIndex::find(const std::string &host, const std::string &path) const
 {
     const std::string name = hostNameOf(host);
-    // Prefixes end with a slash: only the path's beginnings up to one of its slashes can match.
+    // Prefixes end with a slash, so only the parts of the path up to one of its slashes can match.
     for (auto end = path.rfind('/'); end != std::string::npos; end = path.rfind('/', end - 1)) {
         const auto found = m_rules.find(indexKey(name, path.substr(0, end + 1)));
         if (found != m_rules.end()) {
--- a/src/state/internal/durationtext.cpp
+++ b/src/state/internal/durationtext.cpp
@@ -12,11 +12,11 @@
     std::int64_t microseconds;
 };
 
-// From the largest to the smallest.
+// In descending order.
 constexpr Unit UNITS[] = {
     { "h", 3'600'000'000 }, { "min", 60'000'000 }, { "s", 1'000'000 }, { "ms", 1'000 }, { "us", 1 },
 };
-// Keeps sums and multiples of durations far from overflow.
+// Prevents overflow in sums and multiples of durations.
 constexpr std::int64_t MAX_MICROSECONDS = 366LL * 24 * 3'600'000'000;
 
 const Unit *findUnit(const std::string &name)
@@ -50,7 +50,7 @@
         return malformed(text);
     }
     if (number > MAX_MICROSECONDS / unit->microseconds) {
-        return makeError(ErrorCode::InvalidArgument, '"' + text + "\" is longer than a year");
+        return makeError(ErrorCode::InvalidArgument, '"' + text + "\" is longer than 366 days");
     }
     return Duration(number * unit->microseconds);
 }
--- a/src/state/internal/fingerprint.cpp
+++ b/src/state/internal/fingerprint.cpp
@@ -17,7 +17,7 @@
     return reinterpret_cast<const unsigned char *>(text.data());
 }
 
-/// With its length, so that no two lists of texts are hashed as the same bytes.
+/// The length prefix makes the boundaries between texts part of the hash.
 void addText(crypto_generichash_state &state, const std::string &text)
 {
     std::array<unsigned char, sizeof(std::uint64_t)> length{};
@@ -41,7 +41,7 @@
 
 Fingerprint fingerprintOf(const AccountName &account, const HttpRequest &request)
 {
-    // Chooses the fastest code for this processor.
+    // Selects the fastest implementation for this processor.
     static const int IS_READY = sodium_init();
     (void)IS_READY;
     const std::string *host = findHeader(request.headers, "Host");
--- a/src/state/internal/metricnames.h
+++ b/src/state/internal/metricnames.h
@@ -4,8 +4,8 @@
 
 namespace ivyspar {
 
-/// How a value appears in the text. Values of one name stand next to each other in their
-/// enumeration.
+/// Name, labels and help text of an exported value. Values with the same name must be adjacent in
+/// their enumeration.
 struct MetricDescription
 {
     const char *name;
@@ -18,7 +18,7 @@
 const MetricDescription &descriptionOf(Gauge gauge);
 const MetricDescription &descriptionOf(Timing timing);
 
-/// Number of values of an enumeration that ends with `Count`.
+/// Number of values of an enumeration whose last enumerator is `Count`.
 template <typename E> constexpr std::size_t countOf()
 {
     return static_cast<std::size_t>(E::Count);
--- a/src/state/internal/metrics.cpp
+++ b/src/state/internal/metrics.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Ten buckets for each power of ten: neighbouring bounds differ by a quarter.
+// Ten buckets per decade: adjacent bounds differ by a factor of about 1.26.
 constexpr unsigned BUCKET_COUNT = 70;
 constexpr double MIN_BUCKET_SECONDS = 1e-5;
 constexpr double MAX_BUCKET_SECONDS = 100;
@@ -48,7 +48,7 @@
     return std::string(name) + "=\"" + value + '"';
 }
 
-/// Most combinations never occur: those at 0 are left out.
+/// Omits combinations with a count of 0, as most never occur.
 void writeOutcome(const char *name, std::size_t outcome, const std::string &other,
                   std::uint64_t value, std::string &text)
 {
@@ -163,7 +163,7 @@
     const std::string bucket = std::string(name.name) + "_bucket";
     writeHeader(name.name, name.help, "histogram", text);
     std::uint64_t total = 0;
-    // Index -1 holds what is below the first bound, BUCKET_COUNT what is above the last.
+    // Index -1 counts values below the first bound, BUCKET_COUNT those above the last.
     for (int i = -1; i < static_cast<int>(BUCKET_COUNT); ++i) {
         total += distribution.histogram.at(i).load();
         writeValue(bucket, label("le", number(axis.value(i + 1))), std::to_string(total), text);
--- a/src/state/internal/metrics.h
+++ b/src/state/internal/metrics.h
@@ -12,7 +12,7 @@
 
 namespace ivyspar {
 
-/// Relaxed atomics: each value is exact, but values read together may be of different moments.
+/// Uses relaxed atomics: each value is exact, but values read together may be from different times.
 class Metrics : public IMetrics
 {
 public:
--- a/src/state/irandom.h
+++ b/src/state/irandom.h
@@ -4,12 +4,13 @@
 
 namespace ivyspar {
 
-/// Source of random numbers; seeded in tests so that each run is repeatable.
+/// Source of random numbers; seeded in tests so that runs are reproducible.
 class IRandom
 {
 public:
     virtual ~IRandom() = default;
 
+    /// A number that is evenly distributed over all 64-bit values.
     virtual std::uint64_t next() = 0;
 
     /// A number in [0, bound); `bound` is at least 1.
--- a/src/state/load.h
+++ b/src/state/load.h
@@ -7,18 +7,19 @@
 
 namespace ivyspar {
 
-/// What a gate says of itself; rides on every answer of its daemon.
+/// Load of a gate; sent with every response of its daemon.
 struct LoadReport
 {
     std::uint32_t inFlight = 0;
     std::uint32_t queued = 0;
     /// The gate's current concurrency limit.
     std::uint32_t limit = 0;
-    /// The lowest rank that the gate admits now; 0 while it admits all.
+    /// The lowest rank that the gate currently admits; 0 if it admits all.
     Rank floor;
-    /// What entries would send here if they refused nothing, over what the gate can take.
+    /// Demand that entry daemons would send here if they refused nothing, relative to the gate's
+    /// capacity.
     DemandLoad demand;
-    /// The server takes no new work.
+    /// The server accepts no new calls.
     bool draining = false;
 };
 
--- a/src/state/member.h
+++ b/src/state/member.h
@@ -17,26 +17,26 @@
     std::uint32_t slots = 0;
     std::uint32_t connections = 0;
     bool draining = false;
-    /// How much longer it is slow after its start, when it last said so; nothing if servers of this
-    /// deployment do not say.
+    /// Remaining time of the slow phase after its start, as it last reported; nothing if servers of
+    /// this deployment do not report it.
     std::optional<Duration> coldLeft = {};
-    /// Known beside the server only.
+    /// Known only on the server's own host; not sent to other daemons.
     UpstreamVersion version = {};
 };
 
-/// What the other daemons know of one daemon. Of two records of a daemon the one with the larger
+/// A daemon as known to the other daemons. Of two records of one daemon, the one with the larger
 /// (incarnation, counter) is newer.
 struct Member
 {
     DaemonId id;
     Incarnation incarnation;
-    /// Grows with every change of this record within one incarnation.
+    /// Grows with every change of the record within one incarnation.
     std::uint64_t counter = 0;
     DomainName domain;
-    /// Where other daemons open links to it.
+    /// Address at which other daemons open links to it.
     Endpoint peerEndpoint;
     std::vector<UpstreamInfo> upstreams;
-    /// The daemon takes no new work: it is about to stop.
+    /// The daemon is shutting down and accepts no new calls.
     bool leaving = false;
 };
 
--- a/src/state/outcome.h
+++ b/src/state/outcome.h
@@ -6,10 +6,11 @@
 
 namespace ivyspar {
 
-/// What a caller is told of its request. The three are never blurred.
+/// Result of a request as reported to its caller. `NotRun` is never reported for a request that may
+/// have run.
 enum class Outcome {
-    Answered, ///< The upstream's whole answer.
-    NotRun, ///< Proof that no upstream started it.
+    Answered, ///< The upstream's complete response.
+    NotRun, ///< It is certain that no upstream started it.
     Unknown, ///< It may have run.
 };
 
@@ -19,9 +20,9 @@
     NoConfiguration,
     NoRule,
     NoServer, ///< No live server of the service is known.
-    BelowFloor, ///< Refused before anything was spent: the gates admit only higher ranks.
+    BelowFloor, ///< Refused before any work was done: the gates admit only higher ranks.
     QueueFull,
-    Doomed, ///< The remaining time is less than the service takes.
+    Doomed, ///< The remaining time is shorter than the service needs.
     DeadlineExceeded,
     BudgetSpent, ///< No attempt is left.
     CallerAttempts, ///< The caller repeated more often than the rule allows.
@@ -29,21 +30,20 @@
     Cancelled,
     ConnectFailed,
     UpstreamRefused, ///< The upstream said that it did not start the request.
-    BrokenAnswer, ///< The upstream's answer was cut off or malformed.
+    BrokenAnswer, ///< The upstream's response was truncated or malformed.
     LinkLost, ///< The link to the daemon of the upstream's host was lost after sending.
     Timeout,
     KeyBusy, ///< Another attempt with the same key is running.
-    KeyHolderGone, ///< The daemon that ran the key's attempt is gone.
-    LogUnavailable, ///< The platform's log is needed and cannot be reached.
+    KeyHolderGone, ///< The daemon that holds the key is gone, or no longer has the result.
+    LogUnavailable, ///< The platform's log is needed but unavailable.
     TooLarge,
     BadRequest,
     ShuttingDown,
-    ServerCrashed, ///< The upstream ended while it worked on the request.
-    Suspected, ///< It may have crashed servers and waits until they are back.
+    ServerCrashed, ///< The upstream's process ended while it ran the request.
+    Suspected, ///< It may have crashed servers and is not run until they are back.
     Quarantined, ///< It crashes the servers that run it.
-    UnknownKey, ///< No client account holds the caller's key, or it showed none.
-    UncertainKey, ///< The key is not known here, but a configuration that is on its way may have
-                  ///< it.
+    UnknownKey, ///< No client account holds the caller's key, or it sent none.
+    UncertainKey, ///< The key is unknown here, but a newer configuration may contain it.
     OverLimit, ///< The client account has used up its limit.
     Last = OverLimit,
 };
@@ -51,12 +51,12 @@
 const char *toText(Outcome outcome);
 const char *toText(Reason reason);
 
-/// A refusal or failure with what the caller is to do.
+/// Result of a request, and when the caller may retry.
 struct Verdict
 {
     Outcome outcome = Outcome::NotRun;
     Reason reason = Reason::None;
-    /// When to come back; zero when coming back does not help.
+    /// Time to wait before a retry; zero if a retry does not help.
     Duration retryAfter{ 0 };
 };
 
--- a/src/state/randomfactory.h
+++ b/src/state/randomfactory.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// A source that differs from process to process.
+/// A pseudo-random source that is seeded from the system's random device.
 std::unique_ptr<IRandom> makeRandom();
 
 } // namespace ivyspar
--- a/src/state/rank.h
+++ b/src/state/rank.h
@@ -4,15 +4,16 @@
 
 namespace ivyspar {
 
-/// Rank of a call: class priority first, then depth (deeper calls first, as more was already
-/// spent on their request), then a hash of the root id. All hops give the calls of one request
-/// the same order against other requests of the class, so their verdicts agree.
+/// Rank of a call: ordered by class priority, then by depth (deeper calls first, as more work was
+/// already done for their request), then by a hash of the root id. All daemons order the calls of
+/// one request in the same way against other requests of the class, so their decisions agree.
 Rank makeRank(Priority priority, Depth depth, RootId root);
 
 /// The lowest rank that any call of this priority can have.
 Rank lowestRankOf(Priority priority);
 
-/// The same order among the calls of requests that were let in, above all ranks of `makeRank`.
+/// The same order for the calls of requests that were already admitted; above all ranks of
+/// `makeRank`.
 Rank makeCommittedRank(Priority priority, Depth depth, RootId root);
 
 Priority priorityOf(Rank rank);
--- a/src/state/result.h
+++ b/src/state/result.h
@@ -7,20 +7,20 @@
 
 namespace ivyspar {
 
-/// What went wrong, for code that has to tell the cases apart.
+/// Kinds of errors that callers have to distinguish.
 enum class ErrorCode {
-    InvalidArgument, ///< Input from outside broke a rule or a bound.
-    NotFound, ///< The named thing does not exist.
-    Conflict, ///< Another writer came first.
-    Unavailable, ///< The other side could not be reached; the action did not happen.
-    Unknown, ///< No answer: the action may or may not have happened.
-    Timeout, ///< The time ran out before anything was sent.
+    InvalidArgument, ///< External input violated a rule or a bound.
+    NotFound, ///< The named object does not exist.
+    Conflict, ///< Another writer was first.
+    Unavailable, ///< The peer could not be reached; the action did not happen.
+    Unknown, ///< No response: the action may or may not have happened.
+    Timeout, ///< The deadline passed before anything was sent.
     Throttled, ///< Refused by a rate or size limit; the action did not happen.
     Cancelled, ///< The initiator gave up.
     Internal,
 };
 
-/// An error as a value: a code for programs and one line of text for people.
+/// An error code for programs and one line of text for people.
 struct Error
 {
     ErrorCode code = ErrorCode::Internal;
--- a/src/state/strongtype.h
+++ b/src/state/strongtype.h
@@ -8,7 +8,7 @@
 namespace ivyspar {
 
 /// A value that does not convert to, or compare with, values of another meaning.
-/// `Tag` is an incomplete type that only serves to tell the types apart.
+/// `Tag` is an incomplete type that only distinguishes the types.
 template <typename T, typename Tag> class StrongType
 {
 public:
--- a/src/state/time.h
+++ b/src/state/time.h
@@ -13,7 +13,7 @@
     using rep = duration::rep;
     using period = duration::period;
     using time_point = std::chrono::time_point<MonotonicClock>;
-    // NOLINTNEXTLINE(readability-identifier-naming): the name that std::chrono asks for.
+    // NOLINTNEXTLINE(readability-identifier-naming): required by std::chrono.
     static constexpr bool is_steady = true;
 };
 using TimePoint = MonotonicClock::time_point;
--- a/tests/process/commandlinetest.cpp
+++ b/tests/process/commandlinetest.cpp
@@ -129,7 +129,7 @@
     const Run result = runBinary("daemon --typo --seeds=host:1 --max_in_flight=0");
     checkRun(result, 2, "unknown flag --typo");
     STRCMP_CONTAINS("--daemon_id (IVYSPAR_DAEMON_ID): must be set", result.output.c_str());
-    STRCMP_CONTAINS("\"host\" is not an IP number", result.output.c_str());
+    STRCMP_CONTAINS("\"host\" is not an IP address", result.output.c_str());
     STRCMP_CONTAINS("--max_in_flight (IVYSPAR_MAX_IN_FLIGHT): 0 is not", result.output.c_str());
     STRCMP_CONTAINS("ivyspar daemon: 5 errors", result.output.c_str());
 }
@@ -137,7 +137,7 @@
 TEST(CommandLine, VariablesSetFlags)
 {
     checkRun(runBinary("daemon --domain=d --daemon_id=d1", "IVYSPAR_SEEDS=host:1"), 2,
-             "--seeds (IVYSPAR_SEEDS): \"host\" is not an IP number");
+             "--seeds (IVYSPAR_SEEDS): \"host\" is not an IP address");
     const Run result =
         runBinary("daemon --domain=d --daemon_id=d1 --seeds=10.0.0.1:0", "IVYSPAR_SEEDS=host:1");
     checkRun(result, 2, "port 0 in \"10.0.0.1:0\"");
@@ -168,5 +168,5 @@
 {
     // Port 1 is privileged and not served on a test machine.
     checkRun(runBinary("status --operator=127.0.0.1:1"), 1, "127.0.0.1:1: Connection refused");
-    checkRun(runBinary("status --operator=localhost:1"), 2, "\"localhost\" is not an IP number");
+    checkRun(runBinary("status --operator=localhost:1"), 2, "\"localhost\" is not an IP address");
 }
