--- a/src/app/internal/gate/onceservice.h
+++ b/src/app/internal/gate/onceservice.h
@@ -37,7 +37,8 @@
 
 private:
     bool isTicketed(CallId call) const { return m_ticketed.count(call) > 0; }
-    /// Does what a coordinator or office asks, and wakes it with `timer` when it wants to be.
+    /// Does what a coordinator or ticket registry asks, and wakes it with `timer` when it wants to
+    /// be.
     void perform(OnceActions actions, WakeTimer &timer);
     void performKeys(OnceActions actions) { perform(std::move(actions), m_keyTimer); }
     void performTickets(OnceActions actions) { perform(std::move(actions), m_ticketTimer); }
--- a/src/coordination/once/tests/logoutagetest.cpp
+++ b/src/coordination/once/tests/logoutagetest.cpp
@@ -22,8 +22,9 @@
     }
 };
 
-// A daemon starts while the log is out of reach. The caller of its first keyed request hears "not
-// run" as soon as the read of the stream fails, not "unknown" at its deadline.
+// Guards against a keyed request that ends with "unknown" at its deadline although it never ran,
+// because the daemon started while the log was unavailable. It must get "not run" as soon as the
+// first read fails.
 TEST(OnceLogOutage, FirstRequestIsRefusedWhenTheFirstReadFails)
 {
     const OnceActions first = request(1);
--- a/src/coordination/once/tests/mocks/oncesimulation.h
+++ b/src/coordination/once/tests/mocks/oncesimulation.h
@@ -14,18 +14,18 @@
 
 namespace ivyspar {
 
-/// A way to break the protocol from outside, which the checks must find.
+/// A defect injected into the protocol, which the checks must detect.
 enum class ProtocolDefect {
     None,
-    AssumeAppendedOnUnknown, ///< A lost append failAppend is taken for "appended, and first".
-    SkipForeignRecords, ///< Reads its own records only.
-    ReleaseForeignClaims, ///< Releases the claims of others before claiming.
-    ExpireClaimsTooEarly, ///< One daemon lets claims pass after a second.
-    IgnoreStartRefusal, ///< Sends although `start` refused.
+    AssumeAppendedOnUnknown, ///< An append with an unknown result counts as the first claim.
+    SkipForeignRecords, ///< A daemon reads only its own records.
+    ReleaseForeignClaims, ///< A daemon releases the claims of others before it claims.
+    ExpireClaimsTooEarly, ///< One daemon ignores claims after one second.
+    IgnoreStartRefusal, ///< Calls are sent although `start` returned false.
 };
 
-/// Several executors over one log under a fake clock, with lost answers, outages, stale reads,
-/// freezes, crashes, retention and clocks that run at different speeds; and a record of what ran.
+/// Simulates several coordinators that share one log, with lost answers, outages, stale reads,
+/// freezes, crashes, retention and clocks that run at different speeds, and records what ran.
 class OnceSimulation
 {
 public:
@@ -45,17 +45,20 @@
         std::string body;
         DaemonId holder;
     };
-    /// Shares of events that go wrong, in 1/1000.
+    /// Probabilities of faults, in 1/1000.
     struct Faults
     {
+        /// The append takes effect, but its answer is lost.
         std::uint64_t appendAnswerLost = 0;
+        /// The append has no effect and no answer.
         std::uint64_t appendLost = 0;
+        /// The append takes effect up to a minute later, and its answer is lost.
         std::uint64_t appendDelayed = 0;
         std::uint64_t readFails = 0;
         std::uint64_t staleRead = 0;
         std::uint64_t refusedByUpstream = 0;
         std::uint64_t answerLost = 0;
-        /// Freezes between the permission to run and its use, at most a minute.
+        /// Freezes of up to a minute between `proceed` and `start`.
         std::uint64_t freezeBeforeStart = 0;
     };
 
@@ -68,7 +71,7 @@
         , m_nodes(nodes)
     {
         for (std::size_t i = 0; i < nodes; ++i) {
-            // Clocks differ by up to 1 % in speed, and by any offset.
+            // Clocks deviate by up to 1 % in speed and have arbitrary offsets.
             m_nodes[i].clockRate = 0.99 + 0.02 * m_random.unit();
             m_nodes[i].offset = Duration(m_random.below(1'000'000'000));
             startNode(i);
@@ -138,7 +141,7 @@
     std::function<void(const ClaimBatch &batch)> onAppend;
     std::function<void(CallId call)> onProceed;
 
-    /// What the history breaks; empty if nothing.
+    /// Violations of the protocol's guarantees in the history so far.
     std::vector<std::string> violations() const
     {
         std::vector<std::string> found;
@@ -184,7 +187,8 @@
 
     static std::string nameOf(std::size_t index) { return "daemon-" + std::to_string(index); }
 
-    /// Runs the action in that process: later if it is frozen, never if it has crashed.
+    /// Runs the action in that node's process: after a freeze if it is frozen, not at all if it
+    /// crashes before.
     void onNode(std::size_t index, Duration delay, std::function<void()> action)
     {
         const std::uint64_t run = m_nodes[index].run;
@@ -252,7 +256,7 @@
         call.holder = holder;
     }
 
-    /// The daemon's step that sends the call, and the upstream's work.
+    /// The step of the daemon that sends the call, and the call's run at the upstream.
     void execute(std::size_t index, CallId call)
     {
         IOnceCoordinator &coordinator = *m_nodes[index].coordinator;
@@ -366,7 +370,7 @@
             });
             return;
         }
-        // The replica answers with what it knows after half of the way.
+        // The replica reads its records when the request arrives, before the answer's way back.
         m_time.scheduleAt(m_time.now() + randomDuration(300, 2000), [this, index, read] {
             ClaimPage page = makePage(index, read);
             onNode(index, randomDuration(300, 2000), [this, index, page = std::move(page)] {
@@ -404,7 +408,7 @@
         }
     }
 
-    /// Two executions of a key within its lifetime: a payment that is charged twice.
+    /// Reports keys that ran twice within their lifetime, such as a payment that is charged twice.
     void checkAtMostOnce(std::vector<std::string> &found) const
     {
         constexpr double CLOCK_TOLERANCE = 0.98;
@@ -431,16 +435,16 @@
             const std::string name = "call " + std::to_string(id.value());
             const auto execution = ran.find(id);
             if (call.ends > 1) {
-                found.push_back(name + " ended twice");
+                found.push_back(name + " has more than one result");
             }
             if (call.ends == 0 && m_nodes[call.node].run == call.run) {
-                found.push_back(name + " has no end");
+                found.push_back(name + " has no result");
             }
             if (call.ends == 0) {
                 continue;
             }
             if (call.verdict.outcome == Outcome::NotRun && execution != ran.end()) {
-                found.push_back(name + " was called not run, and ran");
+                found.push_back(name + " was reported as not run, but ran");
             }
             if (call.verdict.outcome != Outcome::Answered) {
                 continue;
@@ -449,7 +453,7 @@
             const bool isOwnAnswer = other != m_calls.end() && other->second.key == call.key
                 && ran.count(other->first) != 0;
             if (!isOwnAnswer) {
-                found.push_back(name + " got the answer of another key");
+                found.push_back(name + " got the response of another key");
             }
         }
     }
--- a/src/coordination/once/tests/oncehistorytest.cpp
+++ b/src/coordination/once/tests/oncehistorytest.cpp
@@ -1,4 +1,4 @@
-// Random histories of several daemons over one log, checked afterwards.
+// Checks randomly generated histories of several daemons that share one log.
 #include "coordination/once/tests/mocks/oncesimulation.h"
 
 #include <CppUTest/TestHarness.h>
@@ -18,7 +18,7 @@
     return "key-" + std::to_string(number);
 }
 
-/// One step of a schedule in which anything may go wrong.
+/// Injects a random crash, freeze or change of log availability, or nothing.
 void injectFault(OnceSimulation &simulation)
 {
     SeededRandom &random = simulation.random();
@@ -70,7 +70,7 @@
     }
 }
 
-/// Ends all faults, and the window of what crashed daemons left behind.
+/// Ends all faults and waits until the claims of crashed daemons have expired.
 void endFaults(OnceSimulation &simulation)
 {
     simulation.setFaults({});
@@ -78,7 +78,8 @@
     simulation.run(60s + 2 * OnceSimulation::options().window());
 }
 
-/// Every daemon serves again: a new key runs at once, and the others name its holder.
+/// Every daemon serves again: a new key runs, a repetition gets the same response, and another
+/// daemon reports the key as busy.
 void checkAvailability(OnceSimulation &simulation, std::vector<std::string> &found)
 {
     for (std::size_t node = 0; node < NODES; ++node) {
@@ -119,7 +120,7 @@
     return found;
 }
 
-/// True when a history in which a key ran twice is found in one of the first seeds.
+/// True if the history of one of the first seeds contains a key that ran twice.
 bool isDefectDetected(ProtocolDefect defect)
 {
     std::size_t executions = 0;
@@ -139,9 +140,10 @@
 
 TEST_GROUP(OnceHistory){};
 
-// Callers repeat payments at several daemons at once, while append answers are lost, the log goes
-// down, reads are stale, processes freeze past every timeout and crash. Whatever the order: a key
-// runs once within its lifetime, what was called not run did not run, and all serve again after.
+// Callers repeat payments at several daemons at the same time, while append answers are lost, the
+// log fails, reads are stale, and processes crash or freeze past every timeout. In any order, a key
+// runs at most once within its lifetime, a request reported as not run did not run, and all daemons
+// serve again afterwards.
 TEST(OnceHistory, RandomFaultsKeepAtMostOnceExecution)
 {
     std::size_t executions = 0;
@@ -150,11 +152,11 @@
         const std::string text = found.empty() ? "" : found.front();
         CHECK_TRUE_TEXT(found.empty(), ("seed " + std::to_string(seed) + ": " + text).c_str());
     }
-    // Otherwise the schedules would be too harsh to show anything.
+    // With fewer executions the schedules would be too faulty to prove anything.
     CHECK(executions > SEEDS * 30);
 }
 
-// The checks are worth something only if they find a protocol that is broken.
+// The tests below show that the checks detect a protocol with a defect.
 TEST(OnceHistory, AssumingAppendOnUnknownIsDetected)
 {
     CHECK(isDefectDetected(ProtocolDefect::AssumeAppendedOnUnknown));
--- a/src/coordination/once/tests/oncetest.cpp
+++ b/src/coordination/once/tests/oncetest.cpp
@@ -48,7 +48,7 @@
     }
 };
 
-// A caller's client repeats a payment while the first attempt still runs on that daemon.
+// A caller repeats a payment while the first attempt still runs on that daemon.
 TEST(Once, AttemptsAtTheHolderShareOneResponse)
 {
     const CallId first = simulation.request(0, "a", 2s);
@@ -73,8 +73,8 @@
     CHECK(simulation.call(elsewhere).holder == DaemonId("daemon-0"));
 }
 
-// The daemon that ran a payment dies. Nobody knows the result any more, and nobody may say that it
-// was not run.
+// After the daemon that ran a payment crashes, its result is lost. Guards against reporting such a
+// payment as not run.
 TEST(Once, KeyOfACrashedHolderHasUnknownOutcome)
 {
     simulation.request(0, "a", 2s);
@@ -105,8 +105,8 @@
     CHECK(isVerdict(simulation.call(other), Outcome::NotRun, Reason::BadRequest));
 }
 
-// The upstream refuses a payment before it starts it. The caller tries again through another daemon
-// and must not find the key blocked.
+// Guards against a key that stays blocked after the upstream refused the payment without starting
+// it: the caller must be able to retry through another daemon.
 TEST(Once, KeyOfACallThatDidNotRunIsReleased)
 {
     OnceSimulation::Faults faults;
@@ -121,7 +121,7 @@
     CHECK(isAnswered(simulation.call(again)));
 }
 
-// While the log is down, a payment is refused at once and not after its caller's deadline.
+// Guards against payments that wait until the caller's deadline while the log is unavailable.
 TEST(Once, LogOutageRefusesWithoutDelayAndServiceResumes)
 {
     simulation.setOutage(true);
@@ -136,7 +136,7 @@
     CHECK(isAnswered(simulation.call(again)));
 }
 
-// Every append takes effect, and every failAppend to it is lost. Reading on settles it.
+// Every append takes effect, but all answers are lost. Reading the log resolves the claim.
 TEST(Once, LostAppendAnswersAreResolvedByReading)
 {
     OnceSimulation::Faults faults;
@@ -148,8 +148,8 @@
     CHECK_EQUAL(1, simulation.executionsOf("a"));
 }
 
-// The failAppend is lost, and so is the append, which arrives half a minute later. The caller was
-// told "not run"; the claim that turns up is released, and the key is free for the next attempt.
+// An append without an answer takes effect up to a minute later, after its caller got "not run".
+// Guards against a key that stays blocked by that claim, which must be released.
 TEST(Once, DelayedClaimOfARefusedCallIsReleased)
 {
     OnceSimulation::Faults faults;
@@ -166,8 +166,8 @@
     CHECK_EQUAL(1, simulation.executionsOf("a"));
 }
 
-// A daemon is stopped after its claim has won, and wakes up when the key has long passed on and run
-// elsewhere. It must not send the payment that it still holds in its hands.
+// A daemon is suspended after its claim was granted, and resumes after the claim has expired and
+// the key has run elsewhere. Guards against a second run by the resumed daemon.
 TEST(Once, HolderFrozenPastItsClaimDoesNotStart)
 {
     OnceSimulation::Faults faults;
@@ -221,7 +221,8 @@
     CHECK_FALSE(table->holder(RuleName("pay"), IdempotencyKey("k")).has_value());
 }
 
-// A second copy of a claim, sent since the first one's failAppend was lost, is no other claim.
+// A claim is sent again when the answer to its append was lost. Guards against a copy that blocks
+// the claim itself.
 TEST(ClaimTable, CopiesOfAClaimAreOneClaim)
 {
     const ClaimBatch a = claimOf("a", 1, 0);
--- a/src/coordination/once/tests/ticketregistrytest.cpp
+++ b/src/coordination/once/tests/ticketregistrytest.cpp
@@ -21,7 +21,7 @@
         return { CallId(++calls), ticket, RequestFingerprint(fingerprint), now + 1s };
     }
 
-    /// The refusal of a request that is refused at once.
+    /// The verdict of a request that is refused immediately.
     Verdict refusal(const TicketRequest &request)
     {
         const OnceActions actions = registry->request(now, request);
@@ -97,7 +97,8 @@
     CHECK(refusal(present(ticket, 2)).reason == Reason::BadRequest);
 }
 
-// The daemon restarted, or the ticket is too old: it may have been used, and nobody knows.
+// After a restart of the daemon, or once the ticket has expired, it is not known whether the ticket
+// was used. Guards against reporting its request as not run.
 TEST(TicketRegistry, TicketOfAnEarlierRunOrExpiredHasUnknownOutcome)
 {
     const std::string ticket = registry->issue(now);
@@ -114,7 +115,7 @@
     CHECK(refusal(present(ticket)).outcome == Outcome::Unknown);
 }
 
-// The process was frozen between taking the ticket and sending the booking.
+// Guards against a booking that is sent late because the process was suspended after the grant.
 TEST(TicketRegistry, NothingStartsAfterTheDeadline)
 {
     const TicketRequest request = present(registry->issue(now));
--- a/src/state/tests/accountstest.cpp
+++ b/src/state/tests/accountstest.cpp
@@ -43,7 +43,7 @@
     CHECK_FALSE(KeyIndex().find(old).has_value());
 }
 
-// Guards against an account that is served with another one's key.
+// Guards against a caller that is assigned to the wrong account because two accounts share a key.
 TEST(Accounts, KeySharedByTwoAccountsIsRejected)
 {
     const KeySalt salt = makeKeySalt();
@@ -64,7 +64,7 @@
     }
 }
 
-// Guards against rules that lose their order among the requests of equal accounts.
+// Guards against rule priorities being ignored among accounts of equal priority.
 TEST(Accounts, AccountPriorityOutranksRulePriority)
 {
     Rules rules;
--- a/src/state/tests/fingerprinttest.cpp
+++ b/src/state/tests/fingerprinttest.cpp
@@ -17,7 +17,7 @@
 
 TEST_GROUP(Fingerprint){};
 
-// Guards against a request that is new to each daemon because its own id or time left is.
+// Guards against fingerprints that differ between attempts because request id or deadline differ.
 TEST(Fingerprint, IgnoresHeadersAndHostCase)
 {
     HttpRequest other = makeRequest();
@@ -41,14 +41,14 @@
     CHECK(isOther([](HttpRequest &request) { request.headers.front().value = "other"; }));
 }
 
-// Guards against one account that gets the same request of another one barred.
+// Guards against the quarantine of one account's request applying to another account.
 TEST(Fingerprint, DependsOnTheAccount)
 {
     CHECK(fingerprintOf(AccountName("kitchen"), makeRequest())
           != fingerprintOf(NO_ACCOUNT, makeRequest()));
 }
 
-// Guards against two requests taken for one because text moved from one part to the next.
+// Guards against equal fingerprints of requests that only differ in where one field ends.
 TEST(Fingerprint, FieldBoundariesAreHashed)
 {
     const HttpRequest a{ "GET", "/ab", {}, "c" };
--- a/src/state/tests/mocks/recordingdecisionlog.h
+++ b/src/state/tests/mocks/recordingdecisionlog.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// Keeps the decisions for a test to look at.
+/// Records decisions for inspection by tests.
 class RecordingDecisionLog : public IDecisionLog
 {
 public:
--- a/src/state/tests/mocks/simulatedtime.h
+++ b/src/state/tests/mocks/simulatedtime.h
@@ -11,8 +11,8 @@
 
 namespace ivyspar {
 
-/// A clock that moves from event to event. Events of one moment run in the order in which they
-/// were scheduled.
+/// A simulated clock that advances from event to event. Events with the same time run in the order
+/// in which they were scheduled.
 class SimulatedTime
 {
 public:
@@ -23,7 +23,7 @@
 
     TimePoint now() const { return m_now; }
 
-    /// Now, if that moment is over.
+    /// Times in the past count as now.
     void scheduleAt(TimePoint at, std::function<void()> action)
     {
         m_events.push({ std::max(at, m_now), ++m_order, std::move(action) });
@@ -34,7 +34,7 @@
         scheduleAt(m_now + delay, std::move(action));
     }
 
-    /// `beforeEach` runs before each event, at its moment.
+    /// Runs the events of this time span; `beforeEach` runs before each of them, at its time.
     void run(Duration time, const std::function<void()> &beforeEach = {})
     {
         const TimePoint end = m_now + time;
