--- a/src/coordination/calls/internal/parentfinder.cpp
+++ b/src/coordination/calls/internal/parentfinder.cpp
@@ -114,20 +114,22 @@
 
 void ParentFinder::count(ConnectionTally &tally, bool hasMatch, bool isPossible)
 {
-    if (tally.strangers + tally.fits + tally.misfits >= MAX_TALLY) {
-        tally.strangers /= 2;
-        tally.fits /= 2;
-        tally.misfits /= 2;
-    }
-    std::uint32_t &counter = hasMatch ? tally.fits : isPossible ? tally.misfits : tally.strangers;
+    if (tally.unattributed + tally.matches + tally.mismatches >= MAX_TALLY) {
+        tally.unattributed /= 2;
+        tally.matches /= 2;
+        tally.mismatches /= 2;
+    }
+    std::uint32_t &counter = hasMatch ? tally.matches
+        : isPossible                  ? tally.mismatches
+                                      : tally.unattributed;
     ++counter;
 }
 
 bool ParentFinder::isFromServer(const ConnectionTally &tally, RuleStats &stats) const
 {
-    const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
+    const std::uint32_t requests = tally.unattributed + tally.matches + tally.mismatches;
     const bool isServer = isServerConnection(tally);
-    if (tally.strangers > 0 || requests >= m_options.minRequestsToLearn) {
+    if (tally.unattributed > 0 || requests >= m_options.minRequestsToLearn) {
         const double vote = isServer ? 1 : 0;
         stats.share =
             stats.isKnown ? stats.share + m_options.learnWeight * (vote - stats.share) : vote;
@@ -141,14 +143,14 @@
 
 bool ParentFinder::hasInheritedDeadlines(const ConnectionTally &tally) const
 {
-    const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
-    return tally.fits > m_options.minMatchShare * requests;
+    const std::uint32_t requests = tally.unattributed + tally.matches + tally.mismatches;
+    return tally.matches > m_options.minMatchShare * requests;
 }
 
 bool ParentFinder::isServerConnection(const ConnectionTally &tally) const
 {
-    const std::uint32_t requests = tally.strangers + tally.fits + tally.misfits;
-    return tally.strangers <= m_options.maxImpossibleShare * requests;
+    const std::uint32_t requests = tally.unattributed + tally.matches + tally.mismatches;
+    return tally.unattributed <= m_options.maxImpossibleShare * requests;
 }
 
 bool ParentFinder::hasPossibleParent(TimePoint deadline) const
--- a/src/state/tests/mocks/recordingdecisionlog.h
+++ b/src/state/tests/mocks/recordingdecisionlog.h
@@ -6,12 +6,12 @@
 
 namespace ivyspar {
 
-/// Keeps the decisions for a test to look at.
+/// Records decisions for inspection by tests.
 class RecordingDecisionLog : public IDecisionLog
 {
 public:
     bool isEnabled() const override { return true; }
-    bool leavesOut(DecisionKind /*kind*/, Importance /*importance*/, RootId /*root*/) override
+    bool wouldDrop(DecisionKind /*kind*/, Importance /*importance*/, RootId /*root*/) override
     {
         return false;
     }
