--- a/src/coordination/once/internal/outcomecache.cpp
+++ b/src/coordination/once/internal/outcomecache.cpp
@@ -4,6 +4,7 @@
 
 namespace {
 
+/// Estimated size of an outcome without its headers and body.
 constexpr std::size_t OUTCOME_OVERHEAD_BYTES = 128;
 
 std::size_t sizeOf(const StoredOutcome &outcome)
--- a/src/state/internal/idvalue.cpp
+++ b/src/state/internal/idvalue.cpp
@@ -14,6 +14,7 @@
 
 double toUnitInterval(std::uint64_t id)
 {
+    // Fibonacci hashing: the factor is 2^64 divided by the golden ratio.
     const std::uint64_t mixed = id * 0x9E3779B97F4A7C15ULL;
     return static_cast<double>(mixed >> 11) * 0x1.0p-53;
 }
