--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -34,18 +34,18 @@
 /// One request from its arrival to the end of its last attempt, which may come after its answer.
 struct EntryService::Run : boost::intrusive_ref_counter<Run, boost::thread_unsafe_counter>
 {
-    Run(EntryService &service, Incoming terms, EntryCallOptions callTerms)
-        : incoming(std::move(terms))
-        , call(service.m_policies, incoming.ledger->ledger, watch(service, std::move(callTerms)))
+    Run(EntryService &service, Incoming request, EntryCallOptions options)
+        : incoming(std::move(request))
+        , call(service.m_policies, incoming.budget->budget, watch(service, std::move(options)))
         , done(service.m_loop)
     {
     }
 
-    EntryCallOptions watch(const EntryService &service, EntryCallOptions terms)
+    EntryCallOptions watch(const EntryService &service, EntryCallOptions options)
     {
-        terms.standing = [this, &service] { return service.standingOf(incoming); };
-        terms.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
-        return terms;
+        options.standing = [this, &service] { return service.standingOf(incoming); };
+        options.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
+        return options;
     }
 
     Incoming incoming;
@@ -151,8 +151,8 @@
     if (isOfCaller && !m_guard.takes(lag, incoming.rule.priority, m_highest)) {
         return Refusal(overrunOf(incoming, lag));
     }
-    if (!incoming.ledger) {
-        incoming.ledger = new CallLedger(incoming.rule.attempts);
+    if (!incoming.budget) {
+        incoming.budget = new CallBudget(incoming.rule.attempts);
     }
     if (isOfCaller) {
         if (const auto verdict = takeUnit(exchange, incoming)) {
@@ -207,12 +207,12 @@
         // Nothing ties this call to a request's budget: one attempt, or a hop that drops the header
         // would start a fresh budget at each level and attempts would multiply with depth.
         incoming.isSingleAttempt = true;
-        incoming.ledger = new CallLedger(AttemptCount(1));
+        incoming.budget = new CallBudget(AttemptCount(1));
         return;
     }
     inherit(*context, incoming);
     if (m_options.hasSharedBudget) {
-        incoming.ledger = context->ledger;
+        incoming.budget = context->budget;
     }
 }
 
@@ -418,17 +418,17 @@
 
 HttpResponse EntryService::runRequest(IHttpExchange &exchange, Incoming incoming)
 {
-    EntryCallOptions terms;
-    terms.rule = incoming.rule;
-    terms.rank = rankOf(incoming);
-    terms.deadline = incoming.deadline;
-    terms.isSingleAttempt = incoming.isSingleAttempt;
+    EntryCallOptions options;
+    options.rule = incoming.rule;
+    options.rank = rankOf(incoming);
+    options.deadline = incoming.deadline;
+    options.isSingleAttempt = incoming.isSingleAttempt;
     if (incoming.once && !incoming.once->ticket.empty()) {
         if (const auto owner = readTicketOwner(incoming.once->ticket)) {
-            terms.pinned = owner->daemon;
+            options.pinned = owner->daemon;
         }
     }
-    const RunPtr run = new Run(*this, std::move(incoming), std::move(terms));
+    const RunPtr run = new Run(*this, std::move(incoming), std::move(options));
 
     run->startedAt = m_loop.now();
     exchange.onDisconnect([this, run] { perform(run, run->call.onCallerGone(m_loop.now())); });
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -81,7 +81,7 @@
         TimePoint deadline;
         /// As the caller named it, whatever the rule allows.
         TimePoint callerDeadline;
-        CallLedgerPtr ledger;
+        CallBudgetPtr budget;
         /// Where the cost of this request is booked; null at depth 0.
         CallTreePtr tree;
         DemandShare letIn = WHOLE_DEMAND;
--- a/src/app/internal/gate/callledger.h
+++ b/src/app/internal/gate/callbudget.h
@@ -8,15 +8,15 @@
 
 namespace ivyspar {
 
-/// The ledger of one call, shared by the calls below it that are in flight.
-struct CallLedger : boost::intrusive_ref_counter<CallLedger, boost::thread_unsafe_counter>
+/// The attempt budget of one call, shared by its inner calls that are in flight.
+struct CallBudget : boost::intrusive_ref_counter<CallBudget, boost::thread_unsafe_counter>
 {
-    explicit CallLedger(AttemptCount granted)
-        : ledger(granted)
+    explicit CallBudget(AttemptCount granted)
+        : budget(granted)
     {
     }
 
-    AttemptBudget ledger;
+    AttemptBudget budget;
 };
 /// What the calls below one call cost, summed up while it runs.
 struct CallTree : boost::intrusive_ref_counter<CallTree, boost::thread_unsafe_counter>
@@ -28,6 +28,6 @@
 };
 using CallTreePtr = boost::intrusive_ptr<CallTree>;
 
-using CallLedgerPtr = boost::intrusive_ptr<CallLedger>;
+using CallBudgetPtr = boost::intrusive_ptr<CallBudget>;
 
 } // namespace ivyspar
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -140,7 +140,7 @@
     const CallId id = newCallId();
     Call &call = m_calls[id];
     call.reply = std::move(reply);
-    call.ledger = new CallLedger(message.granted);
+    call.budget = new CallBudget(message.granted);
     call.tree = new CallTree;
     call.tree->rule = message.rule;
     call.arrivedAt = now;
@@ -308,7 +308,7 @@
     context.priority = priorityOf(call.message.rank);
     context.depth = call.message.depth;
     context.deadline = call.deadline;
-    context.ledger = call.ledger;
+    context.budget = call.budget;
     context.tree = call.tree;
     context.letIn = call.message.letIn;
     context.isRepeat = call.message.isRepeat;
@@ -583,7 +583,7 @@
         m_once.notRun(id);
     }
     answer.stream = call.message.stream;
-    answer.unspent = call.ledger->ledger.close();
+    answer.unspent = call.budget->budget.close();
     answer.load = load(call.message.service);
     answer.usage = std::move(call.tree->usage);
     call.tree->isClosed = true;
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -109,7 +109,7 @@
     {
         CallMessage message;
         Reply reply;
-        CallLedgerPtr ledger;
+        CallBudgetPtr budget;
         CallTreePtr tree;
         TimePoint arrivedAt;
         TimePoint deadline;
--- a/src/app/internal/gate/igateservice.h
+++ b/src/app/internal/gate/igateservice.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "app/internal/gate/callledger.h"
+#include "app/internal/gate/callbudget.h"
 #include "coordination/calls/iparentfinder.h"
 #include "protocol/messages.h"
 #include "state/connectiontally.h"
@@ -19,7 +19,7 @@
     Priority priority;
     Depth depth;
     TimePoint deadline;
-    CallLedgerPtr ledger;
+    CallBudgetPtr budget;
     CallTreePtr tree;
     DemandShare letIn;
     bool isRepeat = false;
@@ -32,7 +32,7 @@
 {
     /// An upstream of this host made it.
     bool isInner = false;
-    /// The call during which it was made, if that is known. Its ledger is not shared: a wrong guess
+    /// The call during which it was made, if that is known. Its budget is not shared: a wrong guess
     /// would spend the budget of another request.
     std::optional<CallContext> parent;
 };
