--- a/src/app/internal/gate/crashwatch.h
+++ b/src/app/internal/gate/crashdetector.h
@@ -9,23 +9,23 @@
 
 namespace ivyspar {
 
-enum class ServerEnd {
-    None, ///< The server works on.
-    Ended,
-    FoundOut, ///< It has ended, and this check was the one that found it out.
+enum class ServerState {
+    Running, ///< The server accepts connections.
+    Ended, ///< The end of this run was detected before.
+    EndDetected, ///< This check was the first to find that the run has ended.
 };
 
 /// Tells servers that have ended from those that broke off an answer and work on: a server that has
 /// ended accepts no connection any more. Traffic thread only.
-class CrashWatch
+class CrashDetector
 {
 public:
     /// All outlive the watch.
-    CrashWatch(IEventLoop &loop, IHttpClient &client, IRandom &random);
+    CrashDetector(IEventLoop &loop, IHttpClient &client, IRandom &random);
 
     /// The server has ended a connection in the middle of an exchange, now. Suspends the calling
     /// fiber until it is known whether that was its own end.
-    ServerEnd check(const Announcement &server);
+    ServerState check(const Announcement &server);
     /// That this run of the server has ended was found out before.
     bool isKnownEnded(const Announcement &server) const;
     /// A name of the server's run, unique over all hosts: its own, or a random one.
@@ -34,7 +34,7 @@
     void onAnnounced(const Announcement &server);
 
 private:
-    struct Seen
+    struct KnownRun
     {
         UpstreamId instance;
         UpstreamId run;
@@ -43,12 +43,12 @@
         TimePoint acceptedAt;
     };
 
-    Seen &seenOf(const Announcement &server);
+    KnownRun &knownRunOf(const Announcement &server);
 
     IEventLoop &m_loop;
     IHttpClient &m_client;
     IRandom &m_random;
-    std::unordered_map<ServiceName, Seen> m_seen;
+    std::unordered_map<ServiceName, KnownRun> m_runs;
 };
 
 } // namespace ivyspar
--- a/src/app/internal/gate/crashreporter.cpp
+++ b/src/app/internal/gate/crashreporter.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// A caller may leave, and the server crash under its request all the same, within this time.
-constexpr Duration ABANDONED_TIME = std::chrono::seconds(1);
-constexpr std::size_t MOST_ABANDONED = 64;
+constexpr Duration ABANDONED_RUN_RETENTION = std::chrono::seconds(1);
+constexpr std::size_t MAX_ABANDONED_RUNS = 64;
 
 bool isAbandoned(const Verdict &verdict)
 {
@@ -23,13 +23,13 @@
     : m_loop(loop)
     , m_quarantine(quarantine)
     , m_recorder(recorder)
-    , m_watch(loop, client, random)
+    , m_detector(loop, client, random)
 {
 }
 
 void CrashReporter::onAnnounced(const Announcement &server)
 {
-    m_watch.onAnnounced(server);
+    m_detector.onAnnounced(server);
     m_quarantine.noteServer(kindOf(server));
 }
 
@@ -41,51 +41,51 @@
     if (!isCut || isEndPlanned) {
         return false;
     }
-    const ServerEnd end = m_watch.check(server);
-    if (end == ServerEnd::FoundOut) {
+    const ServerState end = m_detector.check(server);
+    if (end == ServerState::EndDetected) {
         m_recorder.recordCrash(server);
-        tellAbandoned(server);
+        reportAbandoned(server);
     }
-    return end != ServerEnd::None;
+    return end != ServerState::Running;
 }
 
 void CrashReporter::onEnd(const Announcement &server, const AccountName &account,
                           const HttpRequest &request, const RunEnd &end, const SuspectRun &run)
 {
     if (end.verdict.reason == Reason::ServerCrashed) {
-        tell(server, fingerprintOf(account, request), run);
+        reportCrash(server, fingerprintOf(account, request), run);
     } else if (isAbandoned(end.verdict)) {
-        remember(server, fingerprintOf(account, request));
+        rememberAbandoned(server, fingerprintOf(account, request));
     } else if (end.verdict.outcome == Outcome::Answered && m_quarantine.hasSuspects()) {
         m_quarantine.noteCompletion(fingerprintOf(account, request), kindOf(server));
     }
 }
 
-void CrashReporter::remember(const Announcement &server, Fingerprint fingerprint)
+void CrashReporter::rememberAbandoned(const Announcement &server, Fingerprint fingerprint)
 {
-    if (m_abandoned.size() >= MOST_ABANDONED) {
+    if (m_abandoned.size() >= MAX_ABANDONED_RUNS) {
         m_abandoned.pop_front();
     }
-    m_abandoned.push_back({ m_watch.runOf(server), std::move(fingerprint), m_loop.now() });
+    m_abandoned.push_back({ m_detector.runOf(server), std::move(fingerprint), m_loop.now() });
 }
 
-void CrashReporter::tellAbandoned(const Announcement &server)
+void CrashReporter::reportAbandoned(const Announcement &server)
 {
-    const UpstreamId run = m_watch.runOf(server);
-    for (const Abandoned &abandoned : m_abandoned) {
-        if (abandoned.run == run && m_loop.now() - abandoned.at < ABANDONED_TIME) {
-            tell(server, abandoned.fingerprint, {});
+    const UpstreamId run = m_detector.runOf(server);
+    for (const AbandonedRun &abandoned : m_abandoned) {
+        if (abandoned.run == run && m_loop.now() - abandoned.at < ABANDONED_RUN_RETENTION) {
+            reportCrash(server, abandoned.fingerprint, {});
         }
     }
     m_abandoned.clear();
 }
 
-void CrashReporter::tell(const Announcement &server, const Fingerprint &fingerprint,
-                         const SuspectRun &run)
+void CrashReporter::reportCrash(const Announcement &server, const Fingerprint &fingerprint,
+                                const SuspectRun &run)
 {
     m_quarantine.noteCrash(
         fingerprint,
-        Crash{ m_watch.runOf(server), kindOf(server), m_loop.now(), run.isAlone, run.isTrial });
+        Crash{ m_detector.runOf(server), kindOf(server), m_loop.now(), run.isAlone, run.isTrial });
 }
 
 } // namespace ivyspar
--- a/src/app/internal/gate/crashreporter.h
+++ b/src/app/internal/gate/crashreporter.h
@@ -2,7 +2,7 @@
 
 #include <deque>
 
-#include "app/internal/gate/crashwatch.h"
+#include "app/internal/gate/crashdetector.h"
 #include "app/internal/gate/gaterecorder.h"
 #include "app/internal/gate/runend.h"
 #include "app/internal/gate/suspectgate.h"
@@ -30,22 +30,23 @@
 
 private:
     /// A run that was given up, and may go on at its server.
-    struct Abandoned
+    struct AbandonedRun
     {
         UpstreamId run;
         Fingerprint fingerprint;
         TimePoint at;
     };
 
-    void remember(const Announcement &server, Fingerprint fingerprint);
-    void tellAbandoned(const Announcement &server);
-    void tell(const Announcement &server, const Fingerprint &fingerprint, const SuspectRun &run);
+    void rememberAbandoned(const Announcement &server, Fingerprint fingerprint);
+    void reportAbandoned(const Announcement &server);
+    void reportCrash(const Announcement &server, const Fingerprint &fingerprint,
+                     const SuspectRun &run);
 
     IEventLoop &m_loop;
     IQuarantine &m_quarantine;
     GateRecorder &m_recorder;
-    CrashWatch m_watch;
-    std::deque<Abandoned> m_abandoned;
+    CrashDetector m_detector;
+    std::deque<AbandonedRun> m_abandoned;
 };
 
 } // namespace ivyspar
--- /dev/null
+++ b/src/app/tests/crashdetectortest.cpp
@@ -0,0 +1,66 @@
+#include "app/internal/gate/crashdetector.h"
+
+#include "app/tests/mocks/inlineeventloop.h"
+#include "state/internal/seededrandom.h"
+#include "transport/tests/mocks/mockhttpclient.h"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace ivyspar;
+using namespace std::chrono_literals;
+
+TEST_GROUP(CrashDetector)
+{
+    InlineEventLoop m_loop;
+    MockHttpClient m_client;
+    SeededRandom m_random{ 1 };
+    CrashDetector m_detector{ m_loop, m_client, m_random };
+
+    static Announcement server(const std::string &instance = "i-1")
+    {
+        return Announcement{ { ServiceName("catalogo"), 10, 10, false },
+                             { "127.0.0.1", 9000 },
+                             UpstreamId(instance) };
+    }
+};
+
+// Guards against a broken answer of a server that works on being taken for its end.
+TEST(CrashDetector, AServerThatAcceptsConnectionsHasNotEnded)
+{
+    CHECK(m_detector.check(server()) == ServerState::Running);
+    CHECK_FALSE(m_detector.isKnownEnded(server()));
+}
+
+TEST(CrashDetector, AServerThatRefusesConnectionsHasEnded)
+{
+    m_client.isUp = false;
+    CHECK(m_detector.check(server()) == ServerState::EndDetected);
+    CHECK(m_detector.check(server()) == ServerState::Ended);
+    CHECK_EQUAL(1, m_client.probed.size());
+}
+
+// Guards against a run that is judged by the end of the run before it.
+TEST(CrashDetector, TheNextRunIsAskedAnew)
+{
+    m_client.isUp = false;
+    CHECK(m_detector.check(server()) == ServerState::EndDetected);
+    m_client.isUp = true;
+    CHECK(m_detector.check(server("i-2")) == ServerState::Running);
+}
+
+TEST(CrashDetector, AServerWithoutNameIsBackWhenItAnnouncesItself)
+{
+    m_client.isUp = false;
+    CHECK(m_detector.check(server("")) == ServerState::EndDetected);
+    m_detector.onAnnounced(server(""));
+    CHECK_FALSE(m_detector.isKnownEnded(server("")));
+}
+
+// Guards against a crash right after a reset connection that is judged by the earlier answer.
+TEST(CrashDetector, AnEarlierConnectionProvesNothing)
+{
+    CHECK(m_detector.check(server()) == ServerState::Running);
+    m_loop.advance(1ms);
+    m_client.isUp = false;
+    CHECK(m_detector.check(server()) == ServerState::EndDetected);
+}
