--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -536,8 +536,8 @@
         end.verdict.reason = Reason::ServerCrashed;
     }
     m_crashes.onEnd(server, account, request, end, m_suspects.runOf(id));
-    if (end.isServerDoubted) {
-        tellDoubt(server.instance);
+    if (end.isServerMissing) {
+        reportServerMissing(server.instance);
     }
     return end;
 }
@@ -548,10 +548,10 @@
     return !upstream || upstream->isEndPlanned;
 }
 
-void GateService::tellDoubt(const UpstreamId &instance)
+void GateService::reportServerMissing(const UpstreamId &instance)
 {
-    if (m_onDoubt && !instance.value().empty()) {
-        m_onDoubt(instance);
+    if (m_onServerMissing && !instance.value().empty()) {
+        m_onServerMissing(instance);
     }
 }
 
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -54,7 +54,7 @@
 public:
     using GateMaker = std::function<std::unique_ptr<IGate>(const UpstreamInfo &)>;
     using OnUpstreams = std::function<void(std::vector<UpstreamInfo>)>;
-    using OnDoubt = std::function<void(const UpstreamId &)>;
+    using OnServerMissing = std::function<void(const UpstreamId &)>;
 
     GateService(IEventLoop &loop, IHttpClient &client, IRandom &random, IOnceService &once,
                 IQuarantine &quarantine, const IUpstreamDialect &dialect, GateMaker makeGate,
@@ -64,7 +64,10 @@
     /// Runs whenever the announced upstreams, or what they announced, changed.
     void setOnUpstreams(OnUpstreams onUpstreams) { m_onUpstreams = std::move(onUpstreams); }
     /// Runs when a call met no server, or another run than the one that was announced.
-    void setOnDoubt(OnDoubt onDoubt) { m_onDoubt = std::move(onDoubt); }
+    void setOnServerMissing(OnServerMissing onServerMissing)
+    {
+        m_onServerMissing = std::move(onServerMissing);
+    }
     void announce(const Announcement &announcement);
     /// That run of the service's server takes no more calls: those that wait are refused, those
     /// that run go on.
@@ -132,7 +135,7 @@
     bool isEndPlanned(const ServiceName &service);
     void noteSend(const ServiceName &service, const RunEnd &end);
     bool mayRepeat(const ServiceName &service, const Announcement &server, CallId id);
-    void tellDoubt(const UpstreamId &instance);
+    void reportServerMissing(const UpstreamId &instance);
     void endCall(CallId id, AnswerMessage answer);
     void refuseCall(CallId id, const Verdict &verdict);
     GatedCall stateOf(const Call &call) const;
@@ -165,7 +168,7 @@
     SuspectGate m_suspects;
     ProcessorLoad m_processor;
     OnUpstreams m_onUpstreams;
-    OnDoubt m_onDoubt;
+    OnServerMissing m_onServerMissing;
     std::unordered_map<ServiceName, Upstream> m_upstreams;
     std::unordered_map<CallId, Call> m_calls;
     std::unique_ptr<IParentFinder> m_parents;
--- a/src/app/internal/gate/runend.cpp
+++ b/src/app/internal/gate/runend.cpp
@@ -56,7 +56,7 @@
     case UpstreamAnswer::OtherInstance:
         end = notRun(Reason::NoServer);
         end.result = CallResult::Failure;
-        end.isServerDoubted = true;
+        end.isServerMissing = true;
         return end;
     case UpstreamAnswer::Broken:
         end.verdict = Verdict{ Outcome::Unknown, Reason::BrokenAnswer, Duration::zero() };
@@ -79,7 +79,7 @@
     end.verdict.outcome = isProven ? Outcome::NotRun : Outcome::Unknown;
     end.verdict.reason = reasonOf(failure.cause);
     end.result = resultOf(failure.cause);
-    end.isServerDoubted = failure.cause == HttpFailureCause::Connect;
+    end.isServerMissing = failure.cause == HttpFailureCause::Connect;
     return end;
 }
 
--- a/src/app/internal/gate/runend.h
+++ b/src/app/internal/gate/runend.h
@@ -15,7 +15,7 @@
     CallResult result = CallResult::Success;
     HttpResponse response;
     /// No server was met, or another run than the one that was announced.
-    bool isServerDoubted = false;
+    bool isServerMissing = false;
 };
 
 /// The call was not begun, and no server is to blame.
--- a/src/app/internal/gate/upstreamwatch.cpp
+++ b/src/app/internal/gate/upstreammonitor.cpp
@@ -1,4 +1,4 @@
-#include "app/internal/gate/upstreamwatch.h"
+#include "app/internal/gate/upstreammonitor.h"
 
 #include <utility>
 
@@ -26,8 +26,9 @@
 
 } // namespace
 
-UpstreamWatch::UpstreamWatch(IEventLoop &loop, IHttpClient &client, const IUpstreamDialect &dialect,
-                             GateService &gates, Observers observers)
+UpstreamMonitor::UpstreamMonitor(IEventLoop &loop, IHttpClient &client,
+                                 const IUpstreamDialect &dialect, GateService &gates,
+                                 Observers observers)
     : m_loop(loop)
     , m_client(client)
     , m_dialect(dialect)
@@ -36,33 +37,33 @@
     , m_register(makeUpstreamRegister(UpstreamRegisterOptions()))
     , m_timer(loop, [this] { perform(m_register->tick(m_loop.now())); })
 {
-    m_gates.setOnDoubt([this](const UpstreamId &instance) {
+    m_gates.setOnServerMissing([this](const UpstreamId &instance) {
         perform(m_register->onDoubt(m_loop.now(), instance));
     });
 }
 
-void UpstreamWatch::setConfiguration(const ConfigurationPtr &configuration)
+void UpstreamMonitor::setConfiguration(const ConfigurationPtr &configuration)
 {
     m_configuration = configuration;
 }
 
-void UpstreamWatch::take(const UpstreamReport &report)
+void UpstreamMonitor::onReport(const UpstreamReport &report)
 {
     if (report.instance.value().empty()) {
         // Such a server is told from others by its service alone, and its word is taken.
-        serve(report);
+        announce(report);
         return;
     }
     perform(m_register->onReport(m_loop.now(), report));
 }
 
-void UpstreamWatch::perform(const UpstreamActions &actions)
+void UpstreamMonitor::perform(const UpstreamActions &actions)
 {
     for (const UpstreamAction &action : actions) {
         record(action);
         switch (action.verb) {
         case UpstreamVerb::Serve:
-            serve(action.report);
+            announce(action.report);
             break;
         case UpstreamVerb::Stop:
             m_gates.withdraw(action.report.service, action.report.instance, action.isPlanned);
@@ -75,7 +76,7 @@
     m_timer.wakeAt(m_register->nextTick());
 }
 
-void UpstreamWatch::serve(const UpstreamReport &report)
+void UpstreamMonitor::announce(const UpstreamReport &report)
 {
     Announcement announcement;
     announcement.info.service = report.service;
@@ -89,13 +90,13 @@
     m_gates.announce(announcement);
 }
 
-void UpstreamWatch::check(const UpstreamReport &report)
+void UpstreamMonitor::check(const UpstreamReport &report)
 {
-    const UpstreamHealth health = askHealth(report);
+    const UpstreamHealth health = fetchHealth(report);
     perform(m_register->onHealth(m_loop.now(), report.instance, health));
 }
 
-UpstreamHealth UpstreamWatch::askHealth(const UpstreamReport &report)
+UpstreamHealth UpstreamMonitor::fetchHealth(const UpstreamReport &report)
 {
     UpstreamHealth health;
     health.isSilent = true;
@@ -115,7 +116,7 @@
     return health;
 }
 
-void UpstreamWatch::record(const UpstreamAction &action)
+void UpstreamMonitor::record(const UpstreamAction &action)
 {
     if (!m_observers.decisions.isEnabled()) {
         return;
--- a/src/app/internal/gate/upstreamwatch.h
+++ b/src/app/internal/gate/upstreammonitor.h
@@ -15,21 +15,21 @@
 
 /// Takes the reports of the servers on this host, checks their health when the register asks for
 /// it, and tells the gates which of them take calls. Traffic thread only.
-class UpstreamWatch
+class UpstreamMonitor
 {
 public:
     /// All references outlive the watch.
-    UpstreamWatch(IEventLoop &loop, IHttpClient &client, const IUpstreamDialect &dialect,
-                  GateService &gates, Observers observers);
+    UpstreamMonitor(IEventLoop &loop, IHttpClient &client, const IUpstreamDialect &dialect,
+                    GateService &gates, Observers observers);
 
     void setConfiguration(const ConfigurationPtr &configuration);
-    void take(const UpstreamReport &report);
+    void onReport(const UpstreamReport &report);
 
 private:
     void perform(const UpstreamActions &actions);
-    void serve(const UpstreamReport &report);
+    void announce(const UpstreamReport &report);
     void check(const UpstreamReport &report);
-    UpstreamHealth askHealth(const UpstreamReport &report);
+    UpstreamHealth fetchHealth(const UpstreamReport &report);
     void record(const UpstreamAction &action);
 
     IEventLoop &m_loop;
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -140,8 +140,8 @@
     m_gates = std::make_unique<GateService>(loop, *m_client, *m_random, *m_once, *m_quarantine,
                                             *m_upstreamDialect, makeLocalGate, observers,
                                             makeGateServiceOptions(settings));
-    m_watch =
-        std::make_unique<UpstreamWatch>(loop, *m_client, *m_upstreamDialect, *m_gates, observers);
+    m_upstreamMonitor =
+        std::make_unique<UpstreamMonitor>(loop, *m_client, *m_upstreamDialect, *m_gates, observers);
     m_once->setListener(m_gates.get());
     m_gates->setOnUpstreams(m_events.onUpstreams);
     makePeers(self, observers);
@@ -231,7 +231,7 @@
 {
     m_accounts->setConfiguration(configuration);
     m_entry->setConfiguration(configuration);
-    m_watch->setConfiguration(configuration);
+    m_upstreamMonitor->setConfiguration(configuration);
     m_callerServer->setLimits(makeCallerLimits(configuration->limits));
 }
 
@@ -344,7 +344,7 @@
     if (!report) {
         return m_reportDialect->acknowledge(tl::unexpected<Error>(report.error()));
     }
-    m_watch->take(*report);
+    m_upstreamMonitor->onReport(*report);
     return m_reportDialect->acknowledge({});
 }
 
--- a/src/app/internal/trafficnode.h
+++ b/src/app/internal/trafficnode.h
@@ -9,7 +9,7 @@
 #include "app/internal/entry/peercalls.h"
 #include "app/internal/gate/gateservice.h"
 #include "app/internal/gate/onceservice.h"
-#include "app/internal/gate/upstreamwatch.h"
+#include "app/internal/gate/upstreammonitor.h"
 #include "app/internal/quarantine/quarantineservice.h"
 #include "app/iplatform.h"
 #include "app/readyfile.h"
@@ -112,7 +112,7 @@
     std::unique_ptr<QuarantineService> m_quarantine;
     std::unique_ptr<AccountService> m_accounts;
     std::unique_ptr<GateService> m_gates;
-    std::unique_ptr<UpstreamWatch> m_watch;
+    std::unique_ptr<UpstreamMonitor> m_upstreamMonitor;
     std::unique_ptr<PeerCalls> m_peerCalls;
     std::unique_ptr<EntryService> m_entry;
     std::unique_ptr<IHttpServer> m_callerServer;
