--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -76,7 +76,7 @@
     , m_recorder(observers)
     , m_options(options)
     , m_lag(loop)
-    , m_guard(options.mindsLag)
+    , m_guard(options.compensatesLoopLag)
 {
 }
 
@@ -117,7 +117,7 @@
     }
     const std::string context = read->context;
     const std::optional<AccountKey> key = read->key;
-    const Duration lag = m_options.mindsLag ? m_lag.now() : Duration::zero();
+    const Duration lag = m_options.compensatesLoopLag ? m_lag.now() : Duration::zero();
     m_observers.metrics.observe(Timing::ReadLag, lag);
     Incoming incoming = makeIncoming(std::move(*read));
     incoming.deadline -= lag;
@@ -392,7 +392,7 @@
 {
     const TreeUsage &usage = answer.message.usage;
     if (run.incoming.tree) {
-        m_gates.book(*run.incoming.tree, usage);
+        m_gates.recordUsage(*run.incoming.tree, usage);
         return;
     }
     if (m_options.hasRootAdmission && run.incoming.depth == Depth(0)) {
@@ -437,7 +437,7 @@
     const auto verdict = run->done.wait(std::max(left, Duration::zero()) + WAIT_MARGIN);
     exchange.onDisconnect({});
     if (m_options.infersParents && run->incoming.depth > Depth(0)) {
-        m_gates.noteInnerAnswer(run->incoming.rule.name);
+        m_gates.onInnerAnswer(run->incoming.rule.name);
     }
     run->verdict = verdict.value_or(Verdict{ Outcome::Unknown, Reason::Timeout, Duration::zero() });
     if (run->verdict.outcome == Outcome::NotRun) {
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -36,7 +36,7 @@
     bool hasRootAdmission = false;
     RootAdmissionOptions admission;
     /// What arrives is taken for as old as the loop is late, and refused when it is too late.
-    bool mindsLag = false;
+    bool compensatesLoopLag = false;
     /// Calls of upstreams arrive together with requests of callers and name no context.
     bool infersParents = false;
 };
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -16,7 +16,7 @@
 
 /// Times that a call is sent to a server that turns it away: where that happens to half of them,
 /// fewer than 2 in 100 calls are left over.
-constexpr int MOST_SENDS = 6;
+constexpr int MAX_SENDS = 6;
 
 bool isTurnedAway(const Verdict &verdict)
 {
@@ -74,10 +74,10 @@
     const bool isOtherRun = upstream.announcement.instance != announcement.instance;
     upstream.announcement = announcement;
     m_crashes.onAnnounced(announcement);
-    upstream.heardAt = now;
+    upstream.announcedAt = now;
     if (isNew) {
         upstream.gate = m_makeGate(announcement.info);
-        upstream.repeats = makeLocalRetryBudget(m_options.repeats);
+        upstream.retryBudget = makeLocalRetryBudget(m_options.retryBudget);
         upstream.tickTimer =
             std::make_unique<WakeTimer>(m_loop, [this, service] { tick(service); });
     }
@@ -136,7 +136,7 @@
 CallId GateService::handle(CallMessage message, CallSource source, Reply reply)
 {
     const TimePoint now = m_loop.now();
-    const Duration unread = noteArrival(now, message, source);
+    const Duration readLag = recordArrival(now, message, source);
     const CallId id = newCallId();
     Call &call = m_calls[id];
     call.reply = std::move(reply);
@@ -144,7 +144,7 @@
     call.tree = new CallTree;
     call.tree->rule = message.rule;
     call.arrivedAt = now;
-    call.deadline = now + message.remaining - unread;
+    call.deadline = now + message.remaining - readLag;
     call.message = std::move(message);
 
     const ServiceName service = call.message.service;
@@ -178,9 +178,9 @@
 }
 
 /// Returns how long the call may have lain unread here. The entry has minded that of its own calls.
-Duration GateService::noteArrival(TimePoint now, const CallMessage &message, CallSource source)
+Duration GateService::recordArrival(TimePoint now, const CallMessage &message, CallSource source)
 {
-    if (!m_options.mindsLag) {
+    if (!m_options.compensatesLoopLag) {
         return Duration::zero();
     }
     const Duration lag = m_lag.now();
@@ -205,7 +205,7 @@
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::NoServer, Duration::zero() });
         return;
     }
-    if (!passesQuarantine(id, *upstream)) {
+    if (!admitSuspect(id, *upstream)) {
         return;
     }
     perform(
@@ -214,17 +214,17 @@
             m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.letIn }));
 }
 
-bool GateService::passesQuarantine(CallId id, const Upstream &upstream)
+bool GateService::admitSuspect(CallId id, const Upstream &upstream)
 {
-    const SuspectRuling ruling =
+    const SuspectDecision decision =
         m_suspects.admit(id, m_calls.at(id).message, upstream.announcement);
-    if (ruling.pass == SuspectPass::Refuse) {
-        refuseCall(id, ruling.verdict);
+    if (decision.action == SuspectAction::Refuse) {
+        refuseCall(id, decision.verdict);
     }
-    return ruling.pass == SuspectPass::Go;
+    return decision.action == SuspectAction::Admit;
 }
 
-void GateService::letNextSuspectIn(const ServiceName &service, CallId ended)
+void GateService::admitNextSuspect(const ServiceName &service, CallId ended)
 {
     if (!m_suspects.leave(ended)) {
         return;
@@ -250,7 +250,7 @@
         return;
     }
     found->second.isClaiming = false;
-    found->second.isHolding = true;
+    found->second.holdsClaim = true;
     enterGate(id);
 }
 
@@ -317,12 +317,12 @@
 }
 
 InferredContext GateService::inferContext(ConnectionTally &tally, const RuleName &rule,
-                                          TimePoint deadline, RequestSender maker)
+                                          TimePoint deadline, RequestSender sender)
 {
-    if (maker == RequestSender::Server && !m_parents->isServerBusy(m_loop.now())) {
+    if (sender == RequestSender::Server && !m_parents->isServerBusy(m_loop.now())) {
         return {};
     }
-    const ParentMatch match = m_parents->find(m_loop.now(), tally, rule, deadline, maker);
+    const ParentMatch match = m_parents->find(m_loop.now(), tally, rule, deadline, sender);
     InferredContext inferred;
     inferred.isInner = match.isInner;
     const auto found = match.parent ? m_calls.find(*match.parent) : m_calls.end();
@@ -334,14 +334,14 @@
     return inferred;
 }
 
-void GateService::noteInnerAnswer(const RuleName &rule)
+void GateService::onInnerAnswer(const RuleName &rule)
 {
     m_parents->onInnerAnswer(m_loop.now(), rule);
 }
 
 /// A guessed parent often ends before the call does. Its cost would be lost, and all rules would
 /// look cheaper than they are.
-void GateService::book(CallTree &tree, const TreeUsage &usage)
+void GateService::recordUsage(CallTree &tree, const TreeUsage &usage)
 {
     if (!tree.isClosed) {
         addUsage(tree.usage, usage);
@@ -361,7 +361,7 @@
     if (found != m_upstreams.end()) {
         report = found->second.gate->load(m_loop.now());
         report.draining = report.draining || found->second.endsTooSoon;
-        if (m_options.mindsLag) {
+        if (m_options.compensatesLoopLag) {
             report.demand = std::max(report.demand, m_processor.load());
         }
     }
@@ -428,13 +428,13 @@
         // It was withdrawn after the gate had let the call through.
         end = notRun(Reason::Draining);
     } else if (startedAt >= found->second.deadline
-               || (found->second.isHolding && !m_once.start(id))) {
+               || (found->second.holdsClaim && !m_once.start(id))) {
         // The process was paused past the deadline, or past the time in which the key is its own.
         end = notRun(Reason::DeadlineExceeded);
-    } else if (const auto ruling = m_suspects.start(id, found->second.message, server);
-               ruling.pass == SuspectPass::Refuse) {
-        end = notRun(ruling.verdict.reason);
-        end.verdict = ruling.verdict;
+    } else if (const auto decision = m_suspects.start(id, found->second.message, server);
+               decision.action == SuspectAction::Refuse) {
+        end = notRun(decision.verdict.reason);
+        end.verdict = decision.verdict;
     } else {
         end = sendToServer(service, server, id);
     }
@@ -457,9 +457,9 @@
 {
     m_observers.metrics.observe(Timing::Upstream, serviceTime);
     const auto found = m_calls.find(id);
-    if (found != m_calls.end() && found->second.isHolding
+    if (found != m_calls.end() && found->second.holdsClaim
         && end.verdict.outcome != Outcome::NotRun) {
-        found->second.isHolding = false;
+        found->second.holdsClaim = false;
         m_once.finished(id, end.verdict, end.response);
     }
     AnswerMessage answer;
@@ -477,20 +477,20 @@
 RunEnd GateService::sendToServer(const ServiceName &service, const Announcement &server, CallId id)
 {
     const Call &call = m_calls.at(id);
-    findUpstream(service)->repeats->onArrival(m_loop.now(), call.message.isRepeat);
+    findUpstream(service)->retryBudget->onArrival(m_loop.now(), call.message.isRepeat);
     RunEnd end = exchange(server, id, call);
-    noteSend(service, end);
-    for (int sends = 1; sends < MOST_SENDS; ++sends) {
-        if (!isTurnedAway(end.verdict) || !mayRepeat(service, server, id)) {
+    recordSend(service, end);
+    for (int sends = 1; sends < MAX_SENDS; ++sends) {
+        if (!isTurnedAway(end.verdict) || !maySendAgain(service, server, id)) {
             break;
         }
         end = exchange(server, id, m_calls.at(id));
-        noteSend(service, end);
+        recordSend(service, end);
     }
     return end;
 }
 
-void GateService::noteSend(const ServiceName &service, const RunEnd &end)
+void GateService::recordSend(const ServiceName &service, const RunEnd &end)
 {
     Upstream *upstream = findUpstream(service);
     if (!upstream || end.result == CallResult::Cancelled || end.result == CallResult::TimedOut) {
@@ -501,7 +501,7 @@
     upstream->loss.add(isBroken || isTurnedAway(end.verdict));
 }
 
-bool GateService::mayRepeat(const ServiceName &service, const Announcement &server, CallId id)
+bool GateService::maySendAgain(const ServiceName &service, const Announcement &server, CallId id)
 {
     const auto found = m_calls.find(id);
     Upstream *upstream = findUpstream(service);
@@ -514,7 +514,7 @@
     if (call.isCancelled || now >= call.deadline || !isSameRun) {
         return false;
     }
-    return upstream->repeats->tryTake(now, priorityOf(call.message.rank));
+    return upstream->retryBudget->tryTake(now, priorityOf(call.message.rank));
 }
 
 RunEnd GateService::exchange(const Announcement &server, CallId id, const Call &call)
@@ -577,7 +577,7 @@
     }
     const Call call = std::move(found->second);
     m_calls.erase(found);
-    if (call.isHolding) {
+    if (call.holdsClaim) {
         // Whatever ended it before its run gives the key back, or the caller's next attempt could
         // never run.
         m_once.notRun(id);
@@ -593,7 +593,7 @@
                              upstream ? upstream->loss.share() : LossShare() } });
     const ServiceName service = call.message.service;
     call.reply(std::move(answer));
-    letNextSuspectIn(service, id);
+    admitNextSuspect(service, id);
 }
 
 GatedCall GateService::stateOf(const Call &call) const
@@ -621,7 +621,7 @@
 bool GateService::isGone(const Upstream &upstream) const
 {
     const bool isSilent = m_options.heartbeatTimeout > Duration::zero()
-        && m_loop.now() - upstream.heardAt > m_options.heartbeatTimeout;
+        && m_loop.now() - upstream.announcedAt > m_options.heartbeatTimeout;
     if (!isSilent && !upstream.isWithdrawn) {
         return false;
     }
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -43,9 +43,9 @@
     /// Passes deadlines and cancels on to the upstream.
     bool cancelUpstream = true;
     /// For calls that a server of this host turns away.
-    LocalRetryBudgetOptions repeats;
+    LocalRetryBudgetOptions retryBudget;
     /// A daemon that is behind tells a full service.
-    bool mindsLag = false;
+    bool compensatesLoopLag = false;
 };
 
 /// Runs calls on the upstreams of this host. Traffic thread only.
@@ -84,9 +84,9 @@
     void cancel(CallId call) override;
     std::optional<CallContext> findContext(const std::string &token) const override;
     InferredContext inferContext(ConnectionTally &tally, const RuleName &rule, TimePoint deadline,
-                                 RequestSender maker) override;
-    void noteInnerAnswer(const RuleName &rule) override;
-    void book(CallTree &tree, const TreeUsage &usage) override;
+                                 RequestSender sender) override;
+    void onInnerAnswer(const RuleName &rule) override;
+    void recordUsage(CallTree &tree, const TreeUsage &usage) override;
     LoadReport load(const ServiceName &service) const override;
 
     void onOnceProceed(CallId call) override;
@@ -98,7 +98,7 @@
     {
         Announcement announcement;
         std::unique_ptr<IGate> gate;
-        TimePoint heardAt;
+        TimePoint announcedAt;
         std::unique_ptr<WakeTimer> tickTimer;
         bool isWithdrawn = false;
         /// The server has said that it ends.
@@ -106,7 +106,7 @@
         /// The daemon ends before calls of this service may: entries are told to go elsewhere.
         bool endsTooSoon = false;
         LossEstimate loss;
-        std::unique_ptr<ILocalRetryBudget> repeats;
+        std::unique_ptr<ILocalRetryBudget> retryBudget;
     };
     struct Call
     {
@@ -121,7 +121,7 @@
         /// Waits for its key or ticket, before the gate.
         bool isClaiming = false;
         /// Holds its key or ticket: the end of its run is told to the once service.
-        bool isHolding = false;
+        bool holdsClaim = false;
     };
     Upstream *findUpstream(const ServiceName &service);
     CallContext makeContext(const Call &call) const;
@@ -133,18 +133,18 @@
     RunEnd sendToServer(const ServiceName &service, const Announcement &server, CallId id);
     RunEnd exchange(const Announcement &server, CallId id, const Call &call);
     bool isEndPlanned(const ServiceName &service);
-    void noteSend(const ServiceName &service, const RunEnd &end);
-    bool mayRepeat(const ServiceName &service, const Announcement &server, CallId id);
+    void recordSend(const ServiceName &service, const RunEnd &end);
+    bool maySendAgain(const ServiceName &service, const Announcement &server, CallId id);
     void reportServerMissing(const UpstreamId &instance);
     void endCall(CallId id, AnswerMessage answer);
     void refuseCall(CallId id, const Verdict &verdict);
     GatedCall stateOf(const Call &call) const;
-    Duration noteArrival(TimePoint now, const CallMessage &message, CallSource source);
+    Duration recordArrival(TimePoint now, const CallMessage &message, CallSource source);
     void enterGate(CallId id);
     /// False: the call was refused, or waits until no other suspect runs.
-    bool passesQuarantine(CallId id, const Upstream &upstream);
+    bool admitSuspect(CallId id, const Upstream &upstream);
     /// The call has ended: if it was a suspect, those that wait have their turn.
-    void letNextSuspectIn(const ServiceName &service, CallId ended);
+    void admitNextSuspect(const ServiceName &service, CallId ended);
     void endRun(CallId id, RunEnd end, Duration serviceTime);
     void armTick(const ServiceName &service);
     void tick(const ServiceName &service);
--- a/src/app/internal/gate/igateservice.h
+++ b/src/app/internal/gate/igateservice.h
@@ -55,12 +55,12 @@
     virtual std::optional<CallContext> findContext(const std::string &token) const = 0;
     /// For a request of that rule that arrived now, without a token, over the tally's connection.
     virtual InferredContext inferContext(ConnectionTally &tally, const RuleName &rule,
-                                         TimePoint deadline, RequestSender maker) = 0;
+                                         TimePoint deadline, RequestSender sender) = 0;
     /// A request that `inferContext` found to be inner was answered.
-    virtual void noteInnerAnswer(const RuleName &rule) = 0;
+    virtual void onInnerAnswer(const RuleName &rule) = 0;
     /// Books the cost of an inner call to its parent's tree, or to that of another call of the
     /// parent's rule when the parent has ended.
-    virtual void book(CallTree &tree, const TreeUsage &usage) = 0;
+    virtual void recordUsage(CallTree &tree, const TreeUsage &usage) = 0;
     virtual LoadReport load(const ServiceName &service) const = 0;
 };
 
--- a/src/app/internal/gate/suspectgate.cpp
+++ b/src/app/internal/gate/suspectgate.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-SuspectRuling refuse(const Standing &standing)
+SuspectDecision refuse(const Standing &standing)
 {
     const bool isFinal = standing.suspicion == Suspicion::Quarantined;
     const Reason reason = isFinal ? Reason::Quarantined : Reason::Suspected;
-    return { SuspectPass::Refuse, Verdict{ Outcome::NotRun, reason, standing.retryAfter } };
+    return { SuspectAction::Refuse, Verdict{ Outcome::NotRun, reason, standing.retryAfter } };
 }
 
 } // namespace
@@ -20,7 +20,7 @@
 {
 }
 
-SuspectRuling SuspectGate::admit(CallId call, CallMessage &message, const Announcement &server)
+SuspectDecision SuspectGate::admit(CallId call, CallMessage &message, const Announcement &server)
 {
     const Standing standing = standingOf(message, server);
     if (standing.suspicion == Suspicion::None) {
@@ -38,10 +38,10 @@
     }
     isolation.wait(call, message.fingerprint);
     m_suspects[call] = Suspect{ message.service, true, standing.isTrial };
-    return { SuspectPass::Wait, {} };
+    return { SuspectAction::Wait, {} };
 }
 
-SuspectRuling SuspectGate::start(CallId call, CallMessage &message, const Announcement &server)
+SuspectDecision SuspectGate::start(CallId call, CallMessage &message, const Announcement &server)
 {
     const Standing standing = standingOf(message, server);
     if (standing.suspicion == Suspicion::None) {
@@ -57,7 +57,8 @@
                                                   : refuse(standing);
 }
 
-SuspectRuling SuspectGate::begin(CallId call, const CallMessage &message, const Standing &standing)
+SuspectDecision SuspectGate::begin(CallId call, const CallMessage &message,
+                                   const Standing &standing)
 {
     m_isolations[message.service].begin(call);
     m_suspects[call] = Suspect{ message.service, false, standing.isTrial };
--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -12,15 +12,15 @@
 
 namespace ivyspar {
 
-enum class SuspectPass {
-    Go,
+enum class SuspectAction {
+    Admit,
     Wait, ///< Until no other suspect runs.
     Refuse,
 };
 
-struct SuspectRuling
+struct SuspectDecision
 {
-    SuspectPass pass = SuspectPass::Go;
+    SuspectAction action = SuspectAction::Admit;
     /// Of a refusal.
     Verdict verdict;
 };
@@ -43,10 +43,10 @@
     explicit SuspectGate(IQuarantine &quarantine);
 
     /// The call has arrived. Its fingerprint is filled in if anything is suspected.
-    SuspectRuling admit(CallId call, CallMessage &message, const Announcement &server);
+    SuspectDecision admit(CallId call, CallMessage &message, const Announcement &server);
     /// The call is about to be sent to the server; it may have become a suspect since it arrived.
     /// Never to wait.
-    SuspectRuling start(CallId call, CallMessage &message, const Announcement &server);
+    SuspectDecision start(CallId call, CallMessage &message, const Announcement &server);
     /// It waits here for its turn.
     bool isWaiting(CallId call) const;
     /// How it runs here.
@@ -67,7 +67,7 @@
     };
 
     Standing standingOf(CallMessage &message, const Announcement &server) const;
-    SuspectRuling begin(CallId call, const CallMessage &message, const Standing &standing);
+    SuspectDecision begin(CallId call, const CallMessage &message, const Standing &standing);
 
     IQuarantine &m_quarantine;
     std::unordered_map<ServiceName, Isolation> m_isolations;
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -43,8 +43,8 @@
     GateServiceOptions options;
     options.heartbeatTimeout = settings.heartbeatTimeout;
     options.cancelUpstream = !settings.ablations.cancel;
-    options.repeats = makeRepeatBudgetOptions(settings);
-    options.mindsLag = mindsLag(settings);
+    options.retryBudget = makeRepeatBudgetOptions(settings);
+    options.compensatesLoopLag = mindsLag(settings);
     return options;
 }
 
@@ -56,7 +56,7 @@
     options.hasRootAdmission = settings.hasRootAdmission;
     options.infersParents = settings.infersParents;
     options.admission = makeRootAdmissionOptions(settings);
-    options.mindsLag = mindsLag(settings);
+    options.compensatesLoopLag = mindsLag(settings);
     return options;
 }
 
--- a/src/app/tests/gateservicetest.cpp
+++ b/src/app/tests/gateservicetest.cpp
@@ -131,7 +131,7 @@
     void setup() override
     {
         GateServiceOptions options;
-        options.mindsLag = true;
+        options.compensatesLoopLag = true;
         m_gates = std::make_unique<GateService>(m_loop, m_client, m_random, m_once, m_quarantine,
                                                 *m_dialect, makeDefaultGate,
                                                 m_observers.observers(), options);
--- a/src/app/tests/mocks/fakegateservice.h
+++ b/src/app/tests/mocks/fakegateservice.h
@@ -28,12 +28,15 @@
         return std::nullopt;
     }
     InferredContext inferContext(ConnectionTally & /*tally*/, const RuleName & /*rule*/,
-                                 TimePoint /*deadline*/, RequestSender /*maker*/) override
+                                 TimePoint /*deadline*/, RequestSender /*sender*/) override
     {
         return {};
     }
-    void noteInnerAnswer(const RuleName & /*rule*/) override { }
-    void book(CallTree &tree, const TreeUsage &usage) override { addUsage(tree.usage, usage); }
+    void onInnerAnswer(const RuleName & /*rule*/) override { }
+    void recordUsage(CallTree &tree, const TreeUsage &usage) override
+    {
+        addUsage(tree.usage, usage);
+    }
     LoadReport load(const ServiceName & /*service*/) const override { return {}; }
 
     void answer(CallId id, AnswerMessage message)
--- a/src/app/tests/turnedawaytest.cpp
+++ b/src/app/tests/turnedawaytest.cpp
@@ -66,8 +66,8 @@
 {
     GateServiceOptions options;
     options.heartbeatTimeout = Duration::zero();
-    options.repeats.isEnabled = isOn;
-    options.repeats.ratio = 0.2;
+    options.retryBudget.isEnabled = isOn;
+    options.retryBudget.ratio = 0.2;
     return options;
 }
 
