--- a/src/app/internal/entry/entryrecorder.cpp
+++ b/src/app/internal/entry/entryrecorder.cpp
@@ -13,7 +13,7 @@
 {
     Decision decision;
     decision.root = facts.root;
-    decision.call = facts.own == facts.root ? RootId() : facts.own;
+    decision.call = facts.ownId == facts.root ? RootId() : facts.ownId;
     decision.service = facts.service;
     decision.rule = facts.rule;
     decision.rank = facts.rank;
@@ -80,9 +80,9 @@
 void EntryRecorder::writeEnd(const RequestFacts &facts, const RequestEnd &end)
 {
     const bool isAnswered = end.verdict.outcome == Outcome::Answered;
-    const bool isWhole = isAnswered && !isServerError(end.status);
+    const bool isSuccess = isAnswered && !isServerError(end.status);
     const DecisionKind kind = isAnswered ? DecisionKind::Answer : DecisionKind::Refuse;
-    const Importance importance = isWhole ? Importance::Routine : Importance::Essential;
+    const Importance importance = isSuccess ? Importance::Routine : Importance::Essential;
     if (m_observers.decisions.leavesOut(kind, importance, facts.root)) {
         return;
     }
--- a/src/app/internal/entry/entryrecorder.h
+++ b/src/app/internal/entry/entryrecorder.h
@@ -18,7 +18,7 @@
 {
     RootId root;
     /// As it came: for a call of an upstream another one than `root`.
-    RootId own;
+    RootId ownId;
     const ServiceName &service;
     const RuleName &rule;
     Rank rank;
--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -19,7 +19,7 @@
 constexpr Duration WAIT_MARGIN = std::chrono::seconds(10);
 
 /// The server answered, and not with an error: all its calls were made.
-bool isWhole(const Verdict &verdict, const HttpResponse &response)
+bool isSuccess(const Verdict &verdict, const HttpResponse &response)
 {
     return verdict.outcome == Outcome::Answered && !isServerError(response.status);
 }
@@ -32,16 +32,18 @@
 } // namespace
 
 /// One request from its arrival to the end of its last attempt, which may come after its answer.
-struct EntryService::Run : boost::intrusive_ref_counter<Run, boost::thread_unsafe_counter>
+struct EntryService::ActiveRequest
+    : boost::intrusive_ref_counter<ActiveRequest, boost::thread_unsafe_counter>
 {
-    Run(EntryService &service, Incoming request, EntryCallOptions options)
+    ActiveRequest(EntryService &service, Incoming request, EntryCallOptions options)
         : incoming(std::move(request))
-        , call(service.m_policies, incoming.budget->budget, watch(service, std::move(options)))
+        , call(service.m_policies, incoming.budget->budget,
+               withSuspectChecks(service, std::move(options)))
         , done(service.m_loop)
     {
     }
 
-    EntryCallOptions watch(const EntryService &service, EntryCallOptions options)
+    EntryCallOptions withSuspectChecks(const EntryService &service, EntryCallOptions options)
     {
         options.standing = [this, &service] { return service.standingOf(incoming); };
         options.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
@@ -99,7 +101,7 @@
     if (!incoming) {
         return refuse(incoming.error(), isFromUpstream);
     }
-    const std::size_t callers = isCallers(*incoming, isFromUpstream) ? 1 : 0;
+    const std::size_t callers = isFromCaller(*incoming, isFromUpstream) ? 1 : 0;
     ++m_requestCount;
     m_callerCount += callers;
     HttpResponse response = runRequest(exchange, std::move(*incoming));
@@ -125,9 +127,9 @@
         applyContext(context, incoming);
     } else if (m_options.infersParents && !key) {
         // Callers show a key where one is needed; calls of servers never have one.
-        const bool isServers = m_accounts.needsKey(incoming.rule);
-        inferContext(exchange.tally(), isServers ? RequestSender::Server : RequestSender::Unknown,
-                     incoming);
+        const bool isFromServer = m_accounts.needsKey(incoming.rule);
+        inferContext(exchange.tally(),
+                     isFromServer ? RequestSender::Server : RequestSender::Unknown, incoming);
     } else if (m_options.hasSharedBudget && incoming.callerAttempt > incoming.rule.callerAttempts) {
         // Past the bound the answer is final: without it a client that retries for ever would make
         // the number of attempts for one tap unbounded.
@@ -135,11 +137,11 @@
     }
     // Only now it is known whose request it is. Calls of the server beside go on: refused, they
     // would fail the requests that it was given before.
-    if (m_isDraining && isCallers(incoming, isFromUpstream)) {
+    if (m_isDraining && isFromCaller(incoming, isFromUpstream)) {
         return Refusal(reject(EarlyRefusal{ incoming.root, notRun(Reason::ShuttingDown) }));
     }
-    const bool isOfCaller = isCallers(incoming, isFromUpstream);
-    if (isOfCaller) {
+    const bool isCallerRequest = isFromCaller(incoming, isFromUpstream);
+    if (isCallerRequest) {
         if (const auto verdict = identify(key, incoming)) {
             return Refusal(rejectAccount(incoming, *verdict));
         }
@@ -148,25 +150,25 @@
     if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
         return Refusal(rejectSuspect(incoming, standing));
     }
-    if (isOfCaller && !m_guard.takes(lag, incoming.rule.priority, m_highest)) {
-        return Refusal(overrunOf(incoming, lag));
+    if (isCallerRequest && !m_guard.takes(lag, incoming.rule.priority, m_highest)) {
+        return Refusal(rejectOverload(incoming, lag));
     }
     if (!incoming.budget) {
         incoming.budget = new CallBudget(incoming.rule.attempts);
     }
-    if (isOfCaller) {
-        if (const auto verdict = takeUnit(exchange, incoming)) {
+    if (isCallerRequest) {
+        if (const auto verdict = takeQuotaUnit(exchange, incoming)) {
             return Refusal(rejectAccount(incoming, *verdict));
         }
     }
-    if (!letIn(incoming)) {
-        giveUnitBack(incoming);
-        return Refusal(rejectionOf(incoming));
+    if (!admit(incoming)) {
+        returnQuotaUnit(incoming);
+        return Refusal(rejectBelowFloor(incoming));
     }
     return incoming;
 }
 
-bool EntryService::isCallers(const Incoming &incoming, bool isFromUpstream)
+bool EntryService::isFromCaller(const Incoming &incoming, bool isFromUpstream)
 {
     return !isFromUpstream && incoming.depth == Depth(0);
 }
@@ -175,7 +177,7 @@
 {
     Incoming incoming;
     incoming.root = request.root == RootId() ? RootId(m_policies.random.next()) : request.root;
-    incoming.own = incoming.root;
+    incoming.ownId = incoming.root;
     incoming.rule = *request.rule;
     if (!incoming.rule.split.empty()) {
         incoming.rule.service = m_split->choose(incoming.rule, m_policies.random);
@@ -216,10 +218,10 @@
     }
 }
 
-void EntryService::inferContext(ConnectionTally &tally, RequestSender maker, Incoming &incoming)
+void EntryService::inferContext(ConnectionTally &tally, RequestSender sender, Incoming &incoming)
 {
     const InferredContext inferred =
-        m_gates.inferContext(tally, incoming.rule.name, incoming.callerDeadline, maker);
+        m_gates.inferContext(tally, incoming.rule.name, incoming.callerDeadline, sender);
     if (!inferred.isInner) {
         return;
     }
@@ -258,31 +260,31 @@
 
 /// Before the load is looked at: what lies beyond an account's limit is no demand that others would
 /// have to make room for.
-std::optional<Verdict> EntryService::takeUnit(IHttpExchange &exchange, Incoming &incoming)
+std::optional<Verdict> EntryService::takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming)
 {
     if (incoming.account.value().empty()) {
         return std::nullopt;
     }
-    bool isGone = false;
-    exchange.onDisconnect([&isGone] { isGone = true; });
+    bool isDisconnected = false;
+    exchange.onDisconnect([&isDisconnected] { isDisconnected = true; });
     std::optional<Verdict> verdict = m_accounts.take(incoming.account);
     exchange.onDisconnect({});
-    incoming.hasUnit = !verdict;
-    if (isGone) {
-        giveUnitBack(incoming);
+    incoming.holdsQuotaUnit = !verdict;
+    if (isDisconnected) {
+        returnQuotaUnit(incoming);
         return notRun(Reason::Cancelled);
     }
     return verdict;
 }
 
-void EntryService::giveUnitBack(Incoming &incoming)
+void EntryService::returnQuotaUnit(Incoming &incoming)
 {
-    if (std::exchange(incoming.hasUnit, false)) {
+    if (std::exchange(incoming.holdsQuotaUnit, false)) {
         m_accounts.giveBack(incoming.account);
     }
 }
 
-bool EntryService::letIn(Incoming &incoming)
+bool EntryService::admit(Incoming &incoming)
 {
     if (!m_options.hasRootAdmission || incoming.depth > Depth(0)) {
         return true;
@@ -292,7 +294,7 @@
     if (!m_admission->admit(now, target)) {
         return false;
     }
-    incoming.isLetIn = true;
+    incoming.isAdmitted = true;
     incoming.letIn = m_admission->letIn(now, target);
     return true;
 }
@@ -309,18 +311,18 @@
     return rejection;
 }
 
-Duration EntryService::returnOf(const Incoming &incoming)
+Duration EntryService::retryAfterOf(const Incoming &incoming)
 {
-    const Duration wanted =
+    const Duration delay =
         m_policies.retries.retryAfter(m_loop.now(), incoming.rule.service, m_policies.random);
-    return boundRetryAfter(wanted, incoming.rule.objective, m_policies.random);
+    return boundRetryAfter(delay, incoming.rule.objective, m_policies.random);
 }
 
-Rejection EntryService::rejectionOf(const Incoming &incoming)
+Rejection EntryService::rejectBelowFloor(const Incoming &incoming)
 {
     const TimePoint now = m_loop.now();
     const ServiceName &service = incoming.rule.service;
-    const Verdict verdict{ Outcome::NotRun, Reason::BelowFloor, returnOf(incoming) };
+    const Verdict verdict{ Outcome::NotRun, Reason::BelowFloor, retryAfterOf(incoming) };
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = service;
     rejection.rule = incoming.rule.name;
@@ -375,10 +377,10 @@
     return rejection;
 }
 
-Rejection EntryService::overrunOf(const Incoming &incoming, Duration lag)
+Rejection EntryService::rejectOverload(const Incoming &incoming, Duration lag)
 {
     const ServiceName &service = incoming.rule.service;
-    const Verdict verdict{ Outcome::NotRun, Reason::QueueFull, returnOf(incoming) };
+    const Verdict verdict{ Outcome::NotRun, Reason::QueueFull, retryAfterOf(incoming) };
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = service;
     rejection.rule = incoming.rule.name;
@@ -388,25 +390,26 @@
 
 /// The cost goes up to the call during which this one was made, and at last to the entry of the
 /// caller's request, which learns from it.
-void EntryService::bookUsage(const Run &run, const AttemptAnswer &answer)
+void EntryService::recordUsage(const ActiveRequest &active, const AttemptAnswer &answer)
 {
     const TreeUsage &usage = answer.message.usage;
-    if (run.incoming.tree) {
-        m_gates.recordUsage(*run.incoming.tree, usage);
+    if (active.incoming.tree) {
+        m_gates.recordUsage(*active.incoming.tree, usage);
         return;
     }
-    if (m_options.hasRootAdmission && run.incoming.depth == Depth(0)) {
-        m_admission->onEnd(m_loop.now(), targetOf(run.incoming), usage,
-                           isWhole(answer.message.verdict, answer.message.response));
+    if (m_options.hasRootAdmission && active.incoming.depth == Depth(0)) {
+        m_admission->onEnd(m_loop.now(), targetOf(active.incoming), usage,
+                           isSuccess(answer.message.verdict, answer.message.response));
     }
 }
 
-void EntryService::tellEnd(const Run &run)
+void EntryService::reportEnd(const ActiveRequest &active)
 {
-    if (!run.incoming.isLetIn) {
+    if (!active.incoming.isAdmitted) {
         return;
     }
-    m_admission->onFinish(targetOf(run.incoming), rootEndOf(run.verdict, run.response.status));
+    m_admission->onFinish(targetOf(active.incoming),
+                          rootEndOf(active.verdict, active.response.status));
 }
 
 Rank EntryService::rankOf(const Incoming &incoming) const
@@ -428,48 +431,52 @@
             options.pinned = owner->daemon;
         }
     }
-    const RunPtr run = new Run(*this, std::move(incoming), std::move(options));
+    const ActiveRequestPtr active =
+        new ActiveRequest(*this, std::move(incoming), std::move(options));
 
-    run->startedAt = m_loop.now();
-    exchange.onDisconnect([this, run] { perform(run, run->call.onCallerGone(m_loop.now())); });
-    perform(run, run->call.start(m_loop.now()));
-    const auto left = std::chrono::duration_cast<Duration>(run->incoming.deadline - m_loop.now());
-    const auto verdict = run->done.wait(std::max(left, Duration::zero()) + WAIT_MARGIN);
+    active->startedAt = m_loop.now();
+    exchange.onDisconnect(
+        [this, active] { perform(active, active->call.onCallerGone(m_loop.now())); });
+    perform(active, active->call.start(m_loop.now()));
+    const auto left =
+        std::chrono::duration_cast<Duration>(active->incoming.deadline - m_loop.now());
+    const auto verdict = active->done.wait(std::max(left, Duration::zero()) + WAIT_MARGIN);
     exchange.onDisconnect({});
-    if (m_options.infersParents && run->incoming.depth > Depth(0)) {
-        m_gates.onInnerAnswer(run->incoming.rule.name);
+    if (m_options.infersParents && active->incoming.depth > Depth(0)) {
+        m_gates.onInnerAnswer(active->incoming.rule.name);
     }
-    run->verdict = verdict.value_or(Verdict{ Outcome::Unknown, Reason::Timeout, Duration::zero() });
-    if (run->verdict.outcome == Outcome::NotRun) {
-        giveUnitBack(run->incoming);
+    active->verdict =
+        verdict.value_or(Verdict{ Outcome::Unknown, Reason::Timeout, Duration::zero() });
+    if (active->verdict.outcome == Outcome::NotRun) {
+        returnQuotaUnit(active->incoming);
     }
-    tellEnd(*run);
-    m_recorder.recordEnd(factsOf(run->incoming), endOf(*run));
-    return compose(*run);
+    reportEnd(*active);
+    m_recorder.recordEnd(factsOf(active->incoming), endOf(*active));
+    return compose(*active);
 }
 
-void EntryService::perform(const RunPtr &run, const EntryActions &actions)
+void EntryService::perform(const ActiveRequestPtr &active, const EntryActions &actions)
 {
     for (const EntryAction &action : actions) {
         switch (action.type) {
         case EntryActionType::Send:
-            sendAttempt(run, action);
+            sendAttempt(active, action);
             break;
         case EntryActionType::Cancel:
-            m_recorder.recordCancel(factsOf(run->incoming), action);
-            m_sender.cancel(run->streams.at(action.attempt.value()));
+            m_recorder.recordCancel(factsOf(active->incoming), action);
+            m_sender.cancel(active->streams.at(action.attempt.value()));
             break;
         case EntryActionType::Finish:
-            run->done.set(action.verdict);
+            active->done.set(action.verdict);
             break;
         }
     }
-    armTimer(run);
+    armTimer(active);
 }
 
-void EntryService::sendAttempt(const RunPtr &run, const EntryAction &action)
+void EntryService::sendAttempt(const ActiveRequestPtr &active, const EntryAction &action)
 {
-    const Incoming &incoming = run->incoming;
+    const Incoming &incoming = active->incoming;
     CallMessage call;
     call.root = incoming.root;
     call.service = incoming.service;
@@ -488,15 +495,16 @@
 
     m_recorder.recordAttempt(factsOf(incoming), action, call.remaining);
     const std::size_t index = action.attempt.value();
-    run->streams.resize(std::max(run->streams.size(), index + 1));
+    active->streams.resize(std::max(active->streams.size(), index + 1));
     const AttemptIndex attempt = action.attempt;
-    run->streams[index] =
-        m_sender.send(action.target, std::move(call), [this, run, attempt](AttemptAnswer answer) {
-            onAnswer(run, attempt, std::move(answer));
-        });
+    active->streams[index] = m_sender.send(action.target, std::move(call),
+                                           [this, active, attempt](AttemptAnswer answer) {
+                                               onAnswer(active, attempt, std::move(answer));
+                                           });
 }
 
-void EntryService::onAnswer(const RunPtr &run, AttemptIndex attempt, AttemptAnswer answer)
+void EntryService::onAnswer(const ActiveRequestPtr &active, AttemptIndex attempt,
+                            AttemptAnswer answer)
 {
     AttemptResult end;
     end.verdict = answer.message.verdict;
@@ -507,49 +515,49 @@
     end.holder = answer.message.holder;
     end.hasReachedUpstream =
         end.verdict.outcome != Outcome::NotRun || answer.message.serviceTime > Duration::zero();
-    bookUsage(*run, answer);
-    const bool isWanted = !run->call.isFinished();
-    const EntryActions actions = run->call.onEnd(m_loop.now(), attempt, end);
+    recordUsage(*active, answer);
+    const bool isWanted = !active->call.isFinished();
+    const EntryActions actions = active->call.onEnd(m_loop.now(), attempt, end);
     if (isWanted && end.verdict.outcome == Outcome::Answered) {
-        run->response = std::move(answer.message.response);
-        run->serviceTime = answer.message.serviceTime;
+        active->response = std::move(answer.message.response);
+        active->serviceTime = answer.message.serviceTime;
     }
-    perform(run, actions);
+    perform(active, actions);
 }
 
 RequestFacts EntryService::factsOf(const Incoming &incoming) const
 {
-    return RequestFacts{ incoming.root,    incoming.own,      incoming.service, incoming.rule.name,
+    return RequestFacts{ incoming.root,    incoming.ownId,    incoming.service, incoming.rule.name,
                          rankOf(incoming), incoming.priority, incoming.depth };
 }
 
-RequestEnd EntryService::endOf(const Run &run) const
+RequestEnd EntryService::endOf(const ActiveRequest &active) const
 {
     RequestEnd end;
-    end.verdict = run.verdict;
-    end.status = run.response.status;
-    end.attempts = run.call.attempts();
-    end.took = std::chrono::duration_cast<Duration>(m_loop.now() - run.startedAt);
-    end.served = run.serviceTime;
+    end.verdict = active.verdict;
+    end.status = active.response.status;
+    end.attempts = active.call.attempts();
+    end.took = std::chrono::duration_cast<Duration>(m_loop.now() - active.startedAt);
+    end.served = active.serviceTime;
     return end;
 }
 
-void EntryService::armTimer(const RunPtr &run)
+void EntryService::armTimer(const ActiveRequestPtr &active)
 {
-    const TimePoint next = run->call.nextTimer();
-    if (next == run->timerAt) {
+    const TimePoint next = active->call.nextTimer();
+    if (next == active->timerAt) {
         return;
     }
-    m_loop.cancelTimer(run->timer);
-    run->timerAt = next;
+    m_loop.cancelTimer(active->timer);
+    active->timerAt = next;
     if (next == TimePoint::max()) {
         return;
     }
     const auto delay =
         std::max(std::chrono::duration_cast<Duration>(next - m_loop.now()), Duration::zero());
-    run->timer = m_loop.callLater(delay, [this, run] {
-        run->timerAt = TimePoint::max();
-        perform(run, run->call.onTimer(m_loop.now()));
+    active->timer = m_loop.callLater(delay, [this, active] {
+        active->timerAt = TimePoint::max();
+        perform(active, active->call.onTimer(m_loop.now()));
     });
 }
 
@@ -566,13 +574,13 @@
     return m_dialect.makeRefusal(refusal.root, refusal.verdict, 0);
 }
 
-HttpResponse EntryService::compose(const Run &run) const
+HttpResponse EntryService::compose(const ActiveRequest &active) const
 {
-    if (run.verdict.outcome != Outcome::Answered) {
-        return m_dialect.makeRefusal(run.incoming.root, run.verdict, run.call.attempts());
+    if (active.verdict.outcome != Outcome::Answered) {
+        return m_dialect.makeRefusal(active.incoming.root, active.verdict, active.call.attempts());
     }
-    HttpResponse response = run.response;
-    m_dialect.completeAnswer(run.incoming.root, run.call.attempts(), response);
+    HttpResponse response = active.response;
+    m_dialect.completeAnswer(active.incoming.root, active.call.attempts(), response);
     return response;
 }
 
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -74,7 +74,7 @@
         HttpRequest request;
         RootId root;
         /// As it came: for a call of an upstream another one than `root`.
-        RootId own;
+        RootId ownId;
         RuleSpec rule;
         Priority priority;
         Depth depth;
@@ -90,57 +90,57 @@
         std::optional<OnceTerms> once;
         bool isSingleAttempt = false;
         /// Root admission let it in and waits for its end.
-        bool isLetIn = false;
+        bool isAdmitted = false;
         std::uint32_t callerAttempt = 1;
         /// Empty if the caller has none or it is not known.
         AccountName account;
         /// It took a unit of the account's limit.
-        bool hasUnit = false;
+        bool holdsQuotaUnit = false;
         /// Empty until it is asked for.
         Fingerprint fingerprint;
     };
-    struct Run;
-    using RunPtr = boost::intrusive_ptr<Run>;
+    struct ActiveRequest;
+    using ActiveRequestPtr = boost::intrusive_ptr<ActiveRequest>;
     using Refusal = tl::unexpected<Rejection>;
 
     tl::expected<Incoming, Rejection> readRequest(IHttpExchange &exchange, bool isFromUpstream);
-    static bool isCallers(const Incoming &incoming, bool isFromUpstream);
+    static bool isFromCaller(const Incoming &incoming, bool isFromUpstream);
     Incoming makeIncoming(CallerRequest request);
     void applyContext(const std::string &token, Incoming &incoming);
     HttpResponse serve(IHttpExchange &exchange, bool isFromUpstream);
-    void inferContext(ConnectionTally &tally, RequestSender maker, Incoming &incoming);
+    void inferContext(ConnectionTally &tally, RequestSender sender, Incoming &incoming);
     /// Who the caller is, and with which priority. A verdict if it may not come in.
     std::optional<Verdict> identify(const std::optional<AccountKey> &key, Incoming &incoming);
     /// Takes a unit of the account's limit. A verdict if the request is not to go on.
-    std::optional<Verdict> takeUnit(IHttpExchange &exchange, Incoming &incoming);
-    void giveUnitBack(Incoming &incoming);
+    std::optional<Verdict> takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming);
+    void returnQuotaUnit(Incoming &incoming);
     void inherit(const CallContext &context, Incoming &incoming);
-    bool letIn(Incoming &incoming);
+    bool admit(Incoming &incoming);
     /// When a caller that is refused is to come back.
-    Duration returnOf(const Incoming &incoming);
+    Duration retryAfterOf(const Incoming &incoming);
     static Rejection rejectAccount(const Incoming &incoming, const Verdict &verdict);
-    Rejection overrunOf(const Incoming &incoming, Duration lag);
+    Rejection rejectOverload(const Incoming &incoming, Duration lag);
     static RootTarget targetOf(const Incoming &incoming);
     static Rejection reject(const EarlyRefusal &refusal);
-    Rejection rejectionOf(const Incoming &incoming);
+    Rejection rejectBelowFloor(const Incoming &incoming);
     /// Whether the request may have crashed servers.
     Standing standingOf(Incoming &incoming) const;
     const Fingerprint &fingerprintOf(Incoming &incoming) const;
     Rejection rejectSuspect(const Incoming &incoming, const Standing &standing) const;
-    void bookUsage(const Run &run, const AttemptAnswer &answer);
+    void recordUsage(const ActiveRequest &active, const AttemptAnswer &answer);
     /// Tells root admission that a request which it let in is over.
-    void tellEnd(const Run &run);
+    void reportEnd(const ActiveRequest &active);
     Rank rankOf(const Incoming &incoming) const;
     HttpResponse runRequest(IHttpExchange &exchange, Incoming incoming);
-    void perform(const RunPtr &run, const EntryActions &actions);
-    void sendAttempt(const RunPtr &run, const EntryAction &action);
-    void onAnswer(const RunPtr &run, AttemptIndex attempt, AttemptAnswer answer);
-    void armTimer(const RunPtr &run);
+    void perform(const ActiveRequestPtr &active, const EntryActions &actions);
+    void sendAttempt(const ActiveRequestPtr &active, const EntryAction &action);
+    void onAnswer(const ActiveRequestPtr &active, AttemptIndex attempt, AttemptAnswer answer);
+    void armTimer(const ActiveRequestPtr &active);
     RequestFacts factsOf(const Incoming &incoming) const;
-    RequestEnd endOf(const Run &run) const;
+    RequestEnd endOf(const ActiveRequest &active) const;
     /// Answers, counts and logs a request that is not routed.
     HttpResponse refuse(Rejection rejection, bool isFromUpstream);
-    HttpResponse compose(const Run &run) const;
+    HttpResponse compose(const ActiveRequest &active) const;
 
     IEventLoop &m_loop;
     const IRequestDialect &m_dialect;
--- a/src/app/internal/entry/peercalls.cpp
+++ b/src/app/internal/entry/peercalls.cpp
@@ -59,7 +59,7 @@
     }
     const auto endpoint = m_endpoints.find(target);
     if (endpoint == m_endpoints.end()) {
-        endWithout(stream, Outcome::NotRun, Reason::ConnectFailed);
+        endWithoutAnswer(stream, Outcome::NotRun, Reason::ConnectFailed);
         return stream;
     }
     sendRemote(stream, endpoint->second, m_codec.encode(PeerMessage(std::move(call))));
@@ -154,7 +154,7 @@
     const Route route = std::move(found->second);
     m_routes.erase(found);
     for (const auto &[stream, frame] : route.waiting) {
-        endWithout(stream, Outcome::NotRun, Reason::ConnectFailed);
+        endWithoutAnswer(stream, Outcome::NotRun, Reason::ConnectFailed);
     }
     recordLink(route.target, "lost", "connect-failed");
     if (m_onUnreachable && !route.target.value().empty()) {
@@ -178,7 +178,7 @@
     }
     if (!isControl && found->second.isCancelled) {
         // Cancelled while the link was being opened: nothing left this host.
-        endWithout(stream, Outcome::NotRun, Reason::Cancelled);
+        endWithoutAnswer(stream, Outcome::NotRun, Reason::Cancelled);
         return;
     }
     const Ret sent = sendFrame(link, std::move(frame));
@@ -191,7 +191,7 @@
         return;
     }
     if (!sent) {
-        endWithout(stream, Outcome::NotRun, Reason::ConnectFailed);
+        endWithoutAnswer(stream, Outcome::NotRun, Reason::ConnectFailed);
         return;
     }
     found->second.link = link;
@@ -256,22 +256,22 @@
 {
     m_observers.metrics.add(Counter::PeerLinksLost);
     const DaemonId lost = forgetRoute(link);
-    std::vector<StreamId> cut;
+    std::vector<StreamId> lostAttempts;
     for (const auto &[stream, attempt] : m_attempts) {
         if (attempt.isSent && !attempt.isLocal && attempt.link == link) {
-            cut.push_back(stream);
+            lostAttempts.push_back(stream);
         }
     }
-    for (const StreamId stream : cut) {
-        endWithout(stream, Outcome::Unknown, Reason::LinkLost);
+    for (const StreamId stream : lostAttempts) {
+        endWithoutAnswer(stream, Outcome::Unknown, Reason::LinkLost);
     }
     // Calls that came over this link have nobody left to hear their answer.
-    std::vector<CallId> orphans;
+    std::vector<CallId> inboundCalls;
     const auto first = m_inbound.lower_bound(InboundKey(link, StreamId(0)));
     for (auto it = first; it != m_inbound.end() && it->first.first == link; ++it) {
-        orphans.push_back(it->second);
+        inboundCalls.push_back(it->second);
     }
-    for (const CallId call : orphans) {
+    for (const CallId call : inboundCalls) {
         m_gates.cancel(call);
     }
     recordLink(lost, "lost", "link-lost");
@@ -291,7 +291,7 @@
     onAnswer(std::move(answer));
 }
 
-void PeerCalls::endWithout(StreamId stream, Outcome outcome, Reason reason)
+void PeerCalls::endWithoutAnswer(StreamId stream, Outcome outcome, Reason reason)
 {
     AttemptAnswer answer;
     answer.message.stream = stream;
--- a/src/app/internal/entry/peercalls.h
+++ b/src/app/internal/entry/peercalls.h
@@ -92,7 +92,7 @@
     Ret sendFrame(LinkId link, std::string frame);
     void transmit(StreamId stream, LinkId link, std::string frame);
     void end(StreamId stream, AttemptAnswer answer);
-    void endWithout(StreamId stream, Outcome outcome, Reason reason);
+    void endWithoutAnswer(StreamId stream, Outcome outcome, Reason reason);
     void receive(LinkId link, HelloMessage &message);
     void receive(LinkId link, CallMessage &message);
     void receive(LinkId link, AnswerMessage &message);
--- a/src/app/internal/gate/gaterecorder.cpp
+++ b/src/app/internal/gate/gaterecorder.cpp
@@ -52,8 +52,8 @@
                              const Verdict &verdict, std::uint16_t status, Duration served)
 {
     const bool isAnswered = verdict.outcome == Outcome::Answered;
-    const bool isWhole = isAnswered && !isServerError(status);
-    const Importance importance = isWhole ? Importance::Routine : Importance::Essential;
+    const bool isSuccess = isAnswered && !isServerError(status);
+    const Importance importance = isSuccess ? Importance::Routine : Importance::Essential;
     if (leavesOut(DecisionKind::Run, importance, message.root)) {
         return;
     }
