--- a/src/app/tests/crashdetectortest.cpp
+++ b/src/app/tests/crashdetectortest.cpp
@@ -25,13 +25,13 @@
 };
 
 // Guards against a broken answer of a server that works on being taken for its end.
-TEST(CrashDetector, AServerThatAcceptsConnectionsHasNotEnded)
+TEST(CrashDetector, ServerThatAcceptsConnectionsIsRunning)
 {
     CHECK(m_detector.check(server()) == ServerState::Running);
     CHECK_FALSE(m_detector.isKnownEnded(server()));
 }
 
-TEST(CrashDetector, AServerThatRefusesConnectionsHasEnded)
+TEST(CrashDetector, ServerThatRefusesConnectionsHasEnded)
 {
     m_client.isUp = false;
     CHECK(m_detector.check(server()) == ServerState::EndDetected);
@@ -40,7 +40,7 @@
 }
 
 // Guards against a run that is judged by the end of the run before it.
-TEST(CrashDetector, TheNextRunIsAskedAnew)
+TEST(CrashDetector, NextRunIsCheckedAgain)
 {
     m_client.isUp = false;
     CHECK(m_detector.check(server()) == ServerState::EndDetected);
@@ -48,7 +48,7 @@
     CHECK(m_detector.check(server("i-2")) == ServerState::Running);
 }
 
-TEST(CrashDetector, AServerWithoutNameIsBackWhenItAnnouncesItself)
+TEST(CrashDetector, AnnouncementClearsEndOfUnnamedRun)
 {
     m_client.isUp = false;
     CHECK(m_detector.check(server("")) == ServerState::EndDetected);
@@ -57,7 +57,7 @@
 }
 
 // Guards against a crash right after a reset connection that is judged by the earlier answer.
-TEST(CrashDetector, AnEarlierConnectionProvesNothing)
+TEST(CrashDetector, EarlierConnectionIsNoEvidence)
 {
     CHECK(m_detector.check(server()) == ServerState::Running);
     m_loop.advance(1ms);
--- a/src/app/tests/gateservicetest.cpp
+++ b/src/app/tests/gateservicetest.cpp
@@ -77,7 +77,7 @@
 // 1. A server is stopped, and started again with the same capacity on another port.
 // 2. It may be sent as many requests at a time as it announces. With the limit that an unknown
 //    endpoint has, callers would be refused although the server is idle.
-TEST(GateService, AServerThatMovedKeepsItsConnections)
+TEST(GateService, ServerOnNewPortKeepsItsConnectionLimit)
 {
     const UpstreamInfo info{ ServiceName("cassa"), 300, 2000, false };
     const Endpoint before{ "127.0.0.1", 9000 };
@@ -92,7 +92,7 @@
 // by
 //    then is taken: refusing all would take the server out of its service for seconds.
 // 2. One that may last longer would be cut. Its entry hears at once that it was not run.
-TEST(GateService, ALeavingDaemonTakesTheCallsThatEndInTime)
+TEST(GateService, DaemonBeforeItsEndAcceptsOnlyCallsThatEndInTime)
 {
     const ServiceName service("cassa");
     m_gates->announce(Announcement{ { service, 300, 2000, false }, { "127.0.0.1", 9000 }, {} });
@@ -116,7 +116,7 @@
     CHECK(verdicts.front().reason == Reason::Draining);
 }
 
-TEST_GROUP(LateGateService)
+TEST_GROUP(GateServiceUnderLag)
 {
     LateEventLoop m_loop;
     LimitRecorder m_client;
@@ -150,7 +150,7 @@
 };
 
 // Guards against calls that lay unread past their deadline and are run for callers that have left.
-TEST(LateGateService, ACallThatLayUnreadPastItsDeadlineIsNotRun)
+TEST(GateServiceUnderLag, CallReadAfterItsDeadlineIsNotRun)
 {
     m_loop.setLateness(std::chrono::milliseconds(800));
     for (int i = 0; i < 10; ++i) {
@@ -166,7 +166,7 @@
 }
 
 // Guards against a deadline that is shortened twice, by the entry and by the gate of one daemon.
-TEST(LateGateService, ACallOfThisDaemonKeepsItsTime)
+TEST(GateServiceUnderLag, LagIsNotSubtractedAgainFromLocalCalls)
 {
     m_loop.setLateness(std::chrono::milliseconds(800));
     for (int i = 0; i < 10; ++i) {
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -85,13 +85,13 @@
         return tl::unexpected<HttpFailure>(failure);
     }
     /// The server ends its connections in the middle of the next answer.
-    void breakOff(bool isServerUp)
+    void cutNextAnswer(bool isServerUp)
     {
         m_client.isUp = isServerUp;
         m_client.results.push_back(makeCut());
     }
     /// The server is withdrawn and ends while it runs a call.
-    void endWhileItRuns(bool isPlanned)
+    void endServerDuringCall(bool isPlanned)
     {
         m_client.answer = [this, isPlanned](const MockHttpClient::Call &) {
             m_gates->withdraw(SERVICE, INSTANCE, isPlanned);
@@ -102,9 +102,9 @@
     }
 };
 
-TEST(GateSuspects, WhatWasUnderWayWhenTheServerCrashedIsTold)
+TEST(GateSuspects, CrashIsReportedWithTheRunningRequest)
 {
-    breakOff(false);
+    cutNextAnswer(false);
     call("/a");
     CHECK(m_verdicts.back().outcome == Outcome::Unknown);
     CHECK(m_verdicts.back().reason == Reason::ServerCrashed);
@@ -116,9 +116,9 @@
 }
 
 // Guards against innocent requests that are suspected for a reset connection or a broken answer.
-TEST(GateSuspects, ABrokenAnswerOfAServerThatWorksOnIsNoCrash)
+TEST(GateSuspects, BrokenAnswerOfRunningServerIsNoCrash)
 {
-    breakOff(true);
+    cutNextAnswer(true);
     call("/a");
     CHECK(m_verdicts.back().reason == Reason::BrokenAnswer);
     m_client.isUp = false;
@@ -129,22 +129,22 @@
 }
 
 // Guards against innocent requests that are suspected as their server was replaced.
-TEST(GateSuspects, ThePlannedEndOfAServerIsNoCrash)
+TEST(GateSuspects, PlannedEndOfServerIsNoCrash)
 {
-    endWhileItRuns(true);
+    endServerDuringCall(true);
     CHECK(m_verdicts.back().reason == Reason::BrokenAnswer);
     CHECK(m_quarantine.crashes.empty());
 }
 
 // A server that is found silent a moment after its crash has not said that it leaves.
-TEST(GateSuspects, AWithdrawnServerMayHaveCrashed)
+TEST(GateSuspects, ServerWithdrawnForSilenceMayHaveCrashed)
 {
-    endWhileItRuns(false);
+    endServerDuringCall(false);
     CHECK(m_verdicts.back().reason == Reason::ServerCrashed);
     LONGS_EQUAL(1, m_quarantine.crashes.size());
 }
 
-TEST(GateSuspects, OneInQuarantineReachesNoServer)
+TEST(GateSuspects, QuarantinedRequestReachesNoServer)
 {
     m_quarantine.set(fingerprintOfPath("/bad"), Suspicion::Quarantined);
     call("/bad");
@@ -157,7 +157,7 @@
     CHECK(m_quarantine.completions.back() == fingerprintOfPath("/good"));
 }
 
-TEST(GateSuspects, OneThatIsHeldHearsWhenToComeBack)
+TEST(GateSuspects, HeldRequestIsRefusedWithRetryAfter)
 {
     Standing held;
     held.suspicion = Suspicion::Held;
@@ -191,7 +191,7 @@
 }
 
 // Guards against a request in demand that waits in line after it was cleared.
-TEST(GateSuspects, OneThatIsClearedWaitsNoLonger)
+TEST(GateSuspects, ClearedRequestIsAdmittedAtOnce)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
     m_quarantine.set(fingerprintOfPath("/b"), Suspicion::Suspect);
@@ -210,7 +210,7 @@
     CHECK(order == expected);
 }
 
-TEST(GateSuspects, OneThatWaitsAndIsQuarantinedIsRefusedAtOnce)
+TEST(GateSuspects, WaitingRequestIsRefusedOnceQuarantined)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
     m_client.answer = [&](const MockHttpClient::Call &) -> HttpResult {
@@ -227,7 +227,7 @@
     LONGS_EQUAL(1, m_client.calls.size());
 }
 
-TEST(GateSuspects, OneThatWaitsMayLeave)
+TEST(GateSuspects, WaitingRequestCanBeCancelled)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
     m_client.answer = [&](const MockHttpClient::Call &) -> HttpResult {
@@ -244,35 +244,35 @@
 }
 
 // Guards against a request that crashes servers and is not counted as its callers leave early.
-TEST(GateSuspects, WhatWasGivenUpBeforeTheCrashIsToldToo)
+TEST(GateSuspects, RequestAbandonedShortlyBeforeCrashIsReported)
 {
     m_client.failNext(HttpFailureStage::MaybeSent, HttpFailureCause::Cancelled);
     call("/left");
     m_loop.advance(100ms);
-    breakOff(false);
+    cutNextAnswer(false);
     call("/a");
     LONGS_EQUAL(2, m_quarantine.crashes.size());
     CHECK(m_quarantine.crashes[0].first == fingerprintOfPath("/left"));
     CHECK(m_quarantine.crashes[0].second.run == m_quarantine.crashes[1].second.run);
 }
 
-TEST(GateSuspects, WhatWasGivenUpLongBeforeIsNot)
+TEST(GateSuspects, RequestAbandonedLongBeforeCrashIsNotReported)
 {
     m_client.failNext(HttpFailureStage::MaybeSent, HttpFailureCause::Cancelled);
     call("/left");
     m_loop.advance(1s);
-    breakOff(false);
+    cutNextAnswer(false);
     call("/a");
     LONGS_EQUAL(1, m_quarantine.crashes.size());
 }
 
-TEST(GateSuspects, TheCrashOfATrialIsToldAsSuch)
+TEST(GateSuspects, CrashOfTrialIsReportedAsTrial)
 {
     Standing trial;
     trial.suspicion = Suspicion::Suspect;
     trial.isTrial = true;
     m_quarantine.standings[fingerprintOfPath("/bad")] = trial;
-    breakOff(false);
+    cutNextAnswer(false);
     call("/bad");
     CHECK(m_quarantine.crashes.at(0).second.isAlone);
     CHECK(m_quarantine.crashes.at(0).second.isTrial);
--- a/src/app/tests/peercallstest.cpp
+++ b/src/app/tests/peercallstest.cpp
@@ -101,7 +101,7 @@
 
 // A link to a daemon of which nothing but the endpoint was known is compressed once it is known to
 // lead to another failure domain; one that such a daemon opens, when it says who it is.
-TEST(PeerCalls, LinksAreCompressedWhenTheOtherEndIsKnownToBeFar)
+TEST(PeerCalls, LinksAreCompressedOnceTheOtherDomainIsKnown)
 {
     calls->setMembers({});
     calls->sendControl(DaemonId(), PEER_ENDPOINT, "who are you");
@@ -168,7 +168,7 @@
 
 // A link refuses a frame, as it does when it was lost before its opening was reported. That call
 // was not run, and the next one opens a new link instead of failing on the old one for ever.
-TEST(PeerCalls, LinkThatRefusesIsReplaced)
+TEST(PeerCalls, LinkThatRejectsAFrameIsReplaced)
 {
     send(PEER, "1");
     const LinkId before = link();
@@ -186,7 +186,7 @@
 
 // A peer sends bytes that are no frame. Its link is closed and what was open on it is unknown; it
 // is not left waiting for an answer that may have been in those bytes.
-TEST(PeerCalls, GarbageEndsTheLink)
+TEST(PeerCalls, MalformedFrameClosesTheLink)
 {
     send(PEER, "1");
     network.receive(link(), "garbage");
--- a/src/app/tests/turnedawaytest.cpp
+++ b/src/app/tests/refusedcallstest.cpp
@@ -44,7 +44,7 @@
     void setConnectionLimit(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
     void warm(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
 
-    void shed() { m_isShedding = true; }
+    void startShedding() { m_isShedding = true; }
     int arrivals() const { return m_arrivals; }
     void setOnArrival(std::function<void()> onArrival) { m_onArrival = std::move(onArrival); }
 
@@ -62,18 +62,18 @@
     return makeGate(options);
 }
 
-GateServiceOptions makeOptions(bool isOn)
+GateServiceOptions makeOptions(bool isEnabled)
 {
     GateServiceOptions options;
     options.heartbeatTimeout = Duration::zero();
-    options.retryBudget.isEnabled = isOn;
+    options.retryBudget.isEnabled = isEnabled;
     options.retryBudget.ratio = 0.2;
     return options;
 }
 
 } // namespace
 
-TEST_GROUP(TurnedAway)
+TEST_GROUP(RefusedCalls)
 {
     InlineEventLoop m_loop;
     SheddingServer m_server;
@@ -85,11 +85,11 @@
     std::unique_ptr<GateService> m_gates;
     AnswerMessage m_answer;
 
-    void start(bool isOn)
+    void start(bool isEnabled)
     {
         m_gates = std::make_unique<GateService>(m_loop, m_server, m_random, m_once, m_quarantine,
                                                 *m_dialect, makeOpenGate, m_observers.observers(),
-                                                makeOptions(isOn));
+                                                makeOptions(isEnabled));
         m_gates->announce(Announcement{ { SERVICE, 49, 400, false }, { "127.0.0.1", 9000 }, {} });
     }
 
@@ -107,15 +107,15 @@
     }
 
     /// Requests with four calls each, 50 a second; the share of them that is whole.
-    double playTrees(Duration time)
+    double successShare(Duration time)
     {
-        int whole = 0;
+        int succeeded = 0;
         int trees = 0;
         for (Duration passed{ 0 }; passed < time; passed += 20ms, m_loop.advance(20ms)) {
             ++trees;
-            whole += call() && call() && call() && call() ? 1 : 0;
+            succeeded += call() && call() && call() && call() ? 1 : 0;
         }
-        return static_cast<double>(whole) / trees;
+        return static_cast<double>(succeeded) / trees;
     }
 };
 
@@ -123,29 +123,29 @@
 // 2. Of the requests with four calls there, nine in a hundred would end whole, after three services
 //    had worked for each of them. The gate beside the server sends the calls again, as the server
 //    said that it had not begun them, and callers get their answers.
-TEST(TurnedAway, RequestsThatNeedSeveralCallsAreMended)
+TEST(RefusedCalls, RefusedCallsAreSentAgain)
 {
     start(true);
     for (int i = 0; i < 10000; ++i, m_loop.advance(1ms)) {
         call();
     }
-    m_server.shed();
-    CHECK(playTrees(6s) > 0.9);
+    m_server.startShedding();
+    CHECK(successShare(6s) > 0.9);
 }
 
-TEST(TurnedAway, SwitchedOffFewOfThemAreWhole)
+TEST(RefusedCalls, WithoutRetryBudgetMostRequestsFail)
 {
     start(false);
-    playTrees(10s);
-    m_server.shed();
-    CHECK(playTrees(6s) < 0.2);
+    successShare(10s);
+    m_server.startShedding();
+    CHECK(successShare(6s) < 0.2);
 }
 
 // Callers of a service that only sheds must not meet a storm of repeats: a fifth of the calls.
-TEST(TurnedAway, RepeatsStayWithinTheirBound)
+TEST(RefusedCalls, RepeatsStayWithinTheBudget)
 {
     start(true);
-    m_server.shed();
+    m_server.startShedding();
     const int before = m_server.arrivals();
     int calls = 0;
     for (; calls < 20000; ++calls, m_loop.advance(1ms)) {
@@ -154,14 +154,14 @@
     CHECK(m_server.arrivals() - before <= 1.2 * calls);
 }
 
-TEST(TurnedAway, WhatIsLostIsToldWithTheAnswer)
+TEST(RefusedCalls, LossShareIsReportedWithTheAnswer)
 {
     start(true);
     for (int i = 0; i < 1000; ++i, m_loop.advance(1ms)) {
         call();
     }
     CHECK(m_answer.usage.at(0).loss == LossShare(0));
-    m_server.shed();
+    m_server.startShedding();
     for (int i = 0; i < 1000; ++i, m_loop.advance(1ms)) {
         call();
     }
@@ -169,13 +169,13 @@
 }
 
 // The server takes longer to turn the call away than its caller waits. Nothing more is sent for it.
-TEST(TurnedAway, ACallThatIsOverIsNotSentAgain)
+TEST(RefusedCalls, CallPastItsDeadlineIsNotSentAgain)
 {
     start(true);
     for (int i = 0; i < 1000; ++i, m_loop.advance(1ms)) {
         call();
     }
-    m_server.shed();
+    m_server.startShedding();
     m_server.setOnArrival([this] { m_loop.advance(800ms); });
     for (int i = 0; i < 10; ++i) {
         const int before = m_server.arrivals();
