--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -150,7 +150,7 @@
     if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
         return Refusal(rejectSuspect(incoming, standing));
     }
-    if (isCallerRequest && !m_guard.takes(lag, incoming.rule.priority, m_highest)) {
+    if (isCallerRequest && !m_guard.takes(lag, incoming.rule.priority, m_highestPriority)) {
         return Refusal(rejectOverload(incoming, lag));
     }
     if (!incoming.budget) {
@@ -196,9 +196,9 @@
 {
     m_configuration = std::move(configuration);
     m_split->reset();
-    m_highest = Priority();
+    m_highestPriority = Priority();
     for (const RuleSpec &rule : m_configuration->rules.rules) {
-        m_highest = std::max(m_highest, rule.priority);
+        m_highestPriority = std::max(m_highestPriority, rule.priority);
     }
 }
 
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -158,7 +158,7 @@
     ProcessorGuard m_guard;
     ConfigurationPtr m_configuration;
     /// Priority of the most important rule.
-    Priority m_highest;
+    Priority m_highestPriority;
     RequestOrigin m_origin;
     std::size_t m_requestCount = 0;
     std::size_t m_callerCount = 0;
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -18,7 +18,7 @@
 /// fewer than 2 in 100 calls are left over.
 constexpr int MAX_SENDS = 6;
 
-bool isTurnedAway(const Verdict &verdict)
+bool isUpstreamRefusal(const Verdict &verdict)
 {
     return verdict.outcome == Outcome::NotRun && verdict.reason == Reason::UpstreamRefused;
 }
@@ -161,7 +161,7 @@
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::NoServer, Duration::zero() });
         return id;
     }
-    if (call.deadline > m_end) {
+    if (call.deadline > m_endsAt) {
         // Without the mark the refusal's own load would call the server back into use, and each
         // call would come here first.
         upstream->endsTooSoon = true;
@@ -226,7 +226,7 @@
 
 void GateService::admitNextSuspect(const ServiceName &service, CallId ended)
 {
-    if (!m_suspects.leave(ended)) {
+    if (!m_suspects.onCallEnd(ended)) {
         return;
     }
     while (const auto next = m_suspects.takeNext(service)) {
@@ -481,7 +481,7 @@
     RunEnd end = exchange(server, id, call);
     recordSend(service, end);
     for (int sends = 1; sends < MAX_SENDS; ++sends) {
-        if (!isTurnedAway(end.verdict) || !maySendAgain(service, server, id)) {
+        if (!isUpstreamRefusal(end.verdict) || !maySendAgain(service, server, id)) {
             break;
         }
         end = exchange(server, id, m_calls.at(id));
@@ -498,7 +498,7 @@
     }
     const bool isBroken =
         end.verdict.reason == Reason::BrokenAnswer || end.verdict.reason == Reason::ServerCrashed;
-    upstream->loss.add(isBroken || isTurnedAway(end.verdict));
+    upstream->loss.add(isBroken || isUpstreamRefusal(end.verdict));
 }
 
 bool GateService::maySendAgain(const ServiceName &service, const Announcement &server, CallId id)
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -74,7 +74,7 @@
     /// `isPlanned`: the server itself has said that it ends.
     void withdraw(const ServiceName &service, const UpstreamId &instance, bool isPlanned);
     /// The daemon ends at `end`: calls that may last longer are refused from now on.
-    void startLeaving(TimePoint end) { m_end = end; }
+    void startLeaving(TimePoint end) { m_endsAt = end; }
     /// Refuses new calls of all services from now on.
     void startDraining();
     std::size_t callCount() const { return m_calls.size(); }
@@ -174,7 +174,7 @@
     std::unique_ptr<IParentFinder> m_parents;
     TimerId m_sweepTimer;
     bool m_isDraining = false;
-    TimePoint m_end = TimePoint::max();
+    TimePoint m_endsAt = TimePoint::max();
 };
 
 } // namespace ivyspar
--- a/src/app/internal/gate/suspectgate.cpp
+++ b/src/app/internal/gate/suspectgate.cpp
@@ -89,7 +89,7 @@
     return found == m_suspects.end() ? SuspectRun{} : SuspectRun{ true, found->second.isTrial };
 }
 
-bool SuspectGate::leave(CallId call)
+bool SuspectGate::onCallEnd(CallId call)
 {
     const auto found = m_suspects.find(call);
     if (found == m_suspects.end()) {
--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -52,7 +52,7 @@
     /// How it runs here.
     SuspectRun runOf(CallId call) const;
     /// The call has ended. True if it was a suspect: another one may have its turn.
-    bool leave(CallId call);
+    bool onCallEnd(CallId call);
     /// The call that is to be admitted next; nothing if none waits, or a suspect runs.
     std::optional<CallId> takeNext(const ServiceName &service);
     /// All that wait with this fingerprint; they are to be admitted anew.
