--- a/src/app/internal/gate/announcement.h
+++ b/src/app/internal/gate/announcement.h
@@ -7,12 +7,12 @@
 
 namespace ivyspar {
 
-/// A server of this host that takes calls.
+/// A server on this host that accepts calls, as it was last announced.
 struct Announcement
 {
     UpstreamInfo info;
     Endpoint endpoint;
-    /// The run of the server; empty if servers do not name their runs.
+    /// Id of the server's run; empty if servers do not report one.
     UpstreamId instance;
 };
 
--- a/src/app/internal/gate/callbudget.h
+++ b/src/app/internal/gate/callbudget.h
@@ -18,12 +18,13 @@
 
     AttemptBudget budget;
 };
-/// What the calls below one call cost, summed up while it runs.
+
+/// Usage of the inner calls of one call, summed up while it runs.
 struct CallTree : boost::intrusive_ref_counter<CallTree, boost::thread_unsafe_counter>
 {
     RuleName rule;
     TreeUsage usage;
-    /// The call has ended and its usage was told.
+    /// The call has ended and its usage was reported with the answer.
     bool isClosed = false;
 };
 using CallTreePtr = boost::intrusive_ptr<CallTree>;
--- a/src/app/internal/gate/crashdetector.cpp
+++ b/src/app/internal/gate/crashdetector.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A process that ends may close its connections before it closes its listener.
+/// Time between the end of a connection and the check of the listener: a process that ends may
+/// close its connections before its listener.
 constexpr Duration LISTENER_CLOSE_DELAY = std::chrono::milliseconds(5);
 
 } // namespace
--- a/src/app/internal/gate/crashdetector.h
+++ b/src/app/internal/gate/crashdetector.h
@@ -15,22 +15,24 @@
     EndDetected, ///< This check was the first to find that the run has ended.
 };
 
-/// Tells servers that have ended from those that broke off an answer and work on: a server that has
-/// ended accepts no connection any more. Traffic thread only.
+/// Distinguishes servers that have ended from those that cut off an answer and continue to run: a
+/// server that has ended accepts no connections. Traffic thread only.
 class CrashDetector
 {
 public:
-    /// All outlive the watch.
+    /// All references outlive the detector.
     CrashDetector(IEventLoop &loop, IHttpClient &client, IRandom &random);
 
-    /// The server has ended a connection in the middle of an exchange, now. Suspends the calling
-    /// fiber until it is known whether that was its own end.
+    /// To be called as soon as the server has closed a connection during an exchange. Suspends the
+    /// calling fiber until it is known whether the server has ended.
     ServerState check(const Announcement &server);
-    /// That this run of the server has ended was found out before.
+    /// Returns whether an earlier check found that this run of the server has ended.
     bool isKnownEnded(const Announcement &server) const;
-    /// A name of the server's run, unique over all hosts: its own, or a random one.
+    /// Returns an id of the server's run that is unique across all hosts: the one that the server
+    /// reported, or a random one.
     UpstreamId runOf(const Announcement &server);
-    /// The server has announced itself: one whose runs have no names is back.
+    /// Called when the server has announced itself. If it reports no run id, the end of its earlier
+    /// run is forgotten, as this may be a new one.
     void onAnnounced(const Announcement &server);
 
 private:
@@ -39,7 +41,7 @@
         UpstreamId instance;
         UpstreamId run;
         bool hasEnded = false;
-        /// When the server was last asked for a connection and gave one.
+        /// Start of the last connection attempt that the server accepted.
         TimePoint acceptedAt;
     };
 
--- a/src/app/internal/gate/crashreporter.cpp
+++ b/src/app/internal/gate/crashreporter.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// A caller may leave, and the server crash under its request all the same, within this time.
+/// A run that ended here by a cancel or timeout counts as running at its server for this time: the
+/// request may still crash the server.
 constexpr Duration ABANDONED_RUN_RETENTION = std::chrono::seconds(1);
 constexpr std::size_t MAX_ABANDONED_RUNS = 64;
 
--- a/src/app/internal/gate/crashreporter.h
+++ b/src/app/internal/gate/crashreporter.h
@@ -10,26 +10,26 @@
 
 namespace ivyspar {
 
-/// Finds out which runs ended because their server crashed, and tells the quarantine what was under
-/// way there and what has completed. Traffic thread only.
+/// Detects runs that ended because their server crashed, and reports to the quarantine which
+/// requests were running there and which have completed. Traffic thread only.
 class CrashReporter
 {
 public:
-    /// All outlive the reporter.
+    /// All references outlive the reporter.
     CrashReporter(IEventLoop &loop, IHttpClient &client, IRandom &random, IQuarantine &quarantine,
                   GateRecorder &recorder);
 
-    /// The server has announced itself.
+    /// Called when the server has announced itself.
     void onAnnounced(const Announcement &server);
-    /// Whether the exchange ended with its server. Suspends the calling fiber until that is known.
-    /// `isEndPlanned`: the server has said that it ends.
+    /// Returns whether the exchange failed because its server crashed. Suspends the calling fiber
+    /// until that is known. `isEndPlanned`: the server has announced its shutdown.
     bool hasCrashed(const Announcement &server, const HttpResult &result, bool isEndPlanned);
-    /// A run of that request of the account ended so.
+    /// Called with the end of a run of the request that the account sent.
     void onEnd(const Announcement &server, const AccountName &account, const HttpRequest &request,
                const RunEnd &end, const SuspectRun &run);
 
 private:
-    /// A run that was given up, and may go on at its server.
+    /// A run that was cancelled or timed out here and may continue at its server.
     struct AbandonedRun
     {
         UpstreamId run;
--- a/src/app/internal/gate/gaterecorder.h
+++ b/src/app/internal/gate/gaterecorder.h
@@ -12,7 +12,7 @@
 
 namespace ivyspar {
 
-/// A call at its gate, as the log describes it.
+/// State of a call at its gate, as it is written to the decision log.
 struct GatedCall
 {
     const CallMessage &message;
@@ -21,7 +21,7 @@
     LoadReport load;
 };
 
-/// Writes what a gate decides to the decision log. Traffic thread only.
+/// Writes the decisions of a gate to the decision log. Traffic thread only.
 class GateRecorder
 {
 public:
@@ -30,17 +30,18 @@
     {
     }
 
-    /// Whether nothing need be worked out that is only said in such a line.
+    /// Returns whether the log would drop such a line, so that its values need not be computed.
     bool leavesOut(DecisionKind kind, Importance importance, RootId root)
     {
         return m_observers.decisions.leavesOut(kind, importance, root);
     }
     void recordAdmitted(const GatedCall &call);
     void recordRefused(const GatedCall &call, Reason reason);
-    /// A run of that server ended; `status` counts if it was answered.
+    /// Records the end of a run at that server; `status` is the HTTP status, used only if the
+    /// server answered.
     void recordRun(const CallMessage &message, const UpstreamId &instance, const Verdict &verdict,
                    std::uint16_t status, Duration served);
-    /// The server has ended without a word.
+    /// Counts and logs a server that ended without announcing its shutdown.
     void recordCrash(const Announcement &server);
 
 private:
--- a/src/app/internal/gate/igateservice.h
+++ b/src/app/internal/gate/igateservice.h
@@ -12,7 +12,7 @@
 
 namespace ivyspar {
 
-/// What a call that runs on this host hands to the calls that its upstream makes.
+/// What a call that runs on this host passes on to its inner calls.
 struct CallContext
 {
     RootId root;
@@ -23,21 +23,21 @@
     CallTreePtr tree;
     DemandShare letIn;
     bool isRepeat = false;
-    /// Whose request the call works for; empty if it has no account or it is not known.
+    /// The account whose request the call serves; empty if there is none or it is not known.
     AccountName account;
 };
 
-/// What a request that names no context was found to be.
+/// What was inferred about a request that carries no context token.
 struct InferredContext
 {
-    /// An upstream of this host made it.
+    /// It was sent by an upstream of this host.
     bool isInner = false;
-    /// The call during which it was made, if that is known. Its budget is not shared: a wrong guess
-    /// would spend the budget of another request.
+    /// The call during which it was made, if that could be inferred. The receiver must not use its
+    /// attempt budget: a wrong guess would spend the budget of another request.
     std::optional<CallContext> parent;
 };
 
-/// Where a call came from. One from a link may have lain unread.
+/// Where a call came from. A call from a link may have waited in the socket before it was read.
 enum class CallSource { ThisDaemon, Link };
 
 /// Runs calls on the upstreams of this host, through their gates.
@@ -50,17 +50,22 @@
 
     /// `reply` runs exactly once, possibly before this function returns.
     virtual CallId handle(CallMessage call, CallSource source, Reply reply) = 0;
+    /// Cancels the call if it is known here; its `reply` still runs.
     virtual void cancel(CallId call) = 0;
-    /// The running call to which an upstream's context token belongs.
+    /// Returns the context of the running call that the token, which an upstream sent, identifies;
+    /// nothing if no such call is running.
     virtual std::optional<CallContext> findContext(const std::string &token) const = 0;
-    /// For a request of that rule that arrived now, without a token, over the tally's connection.
+    /// Infers the context of a request of that rule that arrived now, without a token, over the
+    /// connection of the tally.
     virtual InferredContext inferContext(ConnectionTally &tally, const RuleName &rule,
                                          TimePoint deadline, RequestSender sender) = 0;
-    /// A request that `inferContext` found to be inner was answered.
+    /// Called when a request that `inferContext` found to be an inner call was answered.
     virtual void onInnerAnswer(const RuleName &rule) = 0;
-    /// Books the cost of an inner call to its parent's tree, or to that of another call of the
-    /// parent's rule when the parent has ended.
+    /// Adds the usage of an inner call to its parent's tree, or to that of another running call of
+    /// the parent's rule if the parent has ended.
     virtual void recordUsage(CallTree &tree, const TreeUsage &usage) = 0;
+    /// Returns the load of the service's gate on this host. A service without a gate here is
+    /// reported as draining.
     virtual LoadReport load(const ServiceName &service) const = 0;
 };
 
--- a/src/app/internal/gate/ionceservice.h
+++ b/src/app/internal/gate/ionceservice.h
@@ -11,15 +11,15 @@
 
 namespace ivyspar {
 
-/// What the gate hears of its calls that run at most once.
+/// Receives the decisions of the once service about calls that run at most once.
 class IOnceListener
 {
 public:
     virtual ~IOnceListener() = default;
 
-    /// The call holds its key or ticket and may go through the gate.
+    /// The call has claimed its key or ticket and may enter the gate.
     virtual void onOnceProceed(CallId call) = 0;
-    /// The call ends here: with a stored answer, or with a verdict.
+    /// The call ends without a run here: with a stored answer, or with a verdict.
     virtual void onOnceReply(const OnceReply &reply) = 0;
 };
 
@@ -30,13 +30,17 @@
     virtual ~IOnceService() = default;
 
     virtual void setListener(IOnceListener *listener) = 0;
-    /// Exactly one of the listener's functions follows for the call, unless it is cancelled first;
-    /// possibly before this function returns.
+    /// Claims the key or ticket of the call. Calls exactly one of the listener's functions for it,
+    /// possibly before this function returns, unless the call is cancelled first. A claim that is
+    /// not settled by `deadline` is refused.
     virtual void request(CallId call, const CallMessage &message, TimePoint deadline) = 0;
-    /// In the step in which the call is sent to the upstream. False: it must not be sent.
+    /// To be called right before the call is sent to the upstream. If false, it must not be sent.
     virtual bool start(CallId call) = 0;
+    /// The call that holds its claim was run, or may have been.
     virtual void finished(CallId call, const Verdict &verdict, const HttpResponse &response) = 0;
+    /// The call that holds its claim was not run: the claim is released.
     virtual void notRun(CallId call) = 0;
+    /// Cancels a call that still waits for its claim.
     virtual void cancel(CallId call) = 0;
     virtual std::string issueTicket() = 0;
     virtual void setMembers(const std::vector<Member> &members) = 0;
--- a/src/app/internal/gate/noonceservice.h
+++ b/src/app/internal/gate/noonceservice.h
@@ -4,12 +4,12 @@
 
 namespace ivyspar {
 
-/// For daemons whose callers give neither keys nor tickets.
+/// Used by daemons whose callers send neither idempotency keys nor tickets.
 class NoOnceService : public IOnceService
 {
 public:
     void setListener(IOnceListener *listener) override { m_listener = listener; }
-    /// Without a place to claim a key, a call that needs one is not run.
+    /// Refuses the call: without a log the key cannot be claimed.
     void request(CallId call, const CallMessage & /*message*/, TimePoint /*deadline*/) override
     {
         OnceReply reply;
--- a/src/app/internal/gate/onceservice.cpp
+++ b/src/app/internal/gate/onceservice.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A read never waits at the log: what it is for waits here.
+/// Reads of the log do not wait for new records; the calls that need them wait in this process.
 constexpr Duration NO_WAIT{ 0 };
 
 AppendFailure failureOf(const Error &error)
--- a/src/app/internal/gate/onceservice.h
+++ b/src/app/internal/gate/onceservice.h
@@ -15,10 +15,11 @@
 
 namespace ivyspar {
 
-/// Name of the stream that holds the claims of idempotency keys.
+/// Name of the log stream that holds the claims of idempotency keys.
 constexpr char CLAIM_STREAM[] = "claims";
 
-/// Carries the claims to and from the platform's log and keeps the time of the coordinator.
+/// Appends claims to the platform's log, reads them back, and runs the timers of the coordinator
+/// and the ticket office.
 class OnceService : public IOnceService
 {
 public:
@@ -37,7 +38,8 @@
 
 private:
     bool isTicketed(CallId call) const { return m_ticketed.count(call) > 0; }
-    /// Does what a coordinator or office asks, and wakes it with `timer` when it wants to be.
+    /// Executes the actions that the coordinator or the ticket office returned, and sets `timer` to
+    /// its next tick.
     void perform(OnceActions actions, WakeTimer &timer);
     void performKeys(OnceActions actions) { perform(std::move(actions), m_keyTimer); }
     void performTickets(OnceActions actions) { perform(std::move(actions), m_ticketTimer); }
--- a/src/app/internal/gate/runend.h
+++ b/src/app/internal/gate/runend.h
@@ -8,21 +8,21 @@
 
 namespace ivyspar {
 
-/// How one send of a call to the server of this host ended.
+/// Result of sending a call once to the server on this host.
 struct RunEnd
 {
     Verdict verdict;
     CallResult result = CallResult::Success;
     HttpResponse response;
-    /// No server was met, or another run than the one that was announced.
+    /// No connection could be opened, or another run than the announced one answered.
     bool isServerMissing = false;
 };
 
-/// The call was not begun, and no server is to blame.
+/// Returns the result of a call that was not started, through no fault of the server.
 RunEnd notRun(Reason reason);
-/// Reads what the server answered.
+/// Derives the result from the server's response.
 RunEnd judgeAnswer(const IUpstreamDialect &dialect, HttpResponse response);
-/// Reads why there was no whole answer: *not run* only if nothing was sent.
+/// Derives the result from a failed exchange: *not run* only if nothing was sent.
 RunEnd judgeFailure(const HttpFailure &failure);
 
 } // namespace ivyspar
--- a/src/app/internal/gate/suspectgate.cpp
+++ b/src/app/internal/gate/suspectgate.cpp
@@ -65,7 +65,7 @@
     return {};
 }
 
-/// Nothing is hashed while nothing is suspected.
+/// Computes no fingerprint while there are no suspects.
 Standing SuspectGate::standingOf(CallMessage &message, const Announcement &server) const
 {
     if (!m_quarantine.hasSuspects()) {
--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -21,41 +21,43 @@
 struct SuspectDecision
 {
     SuspectAction action = SuspectAction::Admit;
-    /// Of a refusal.
+    /// Set if the action is `Refuse`.
     Verdict verdict;
 };
 
-/// How a call runs, as far as its server's crash would tell of it.
+/// Conditions under which a call runs that matter if its server crashes.
 struct SuspectRun
 {
-    /// Alone among suspects.
+    /// No other suspect runs at the server.
     bool isAlone = false;
-    /// It is in quarantine, and run to see whether that is still needed.
+    /// It is in quarantine and runs as a trial, to find out whether that is still needed.
     bool isTrial = false;
 };
 
-/// Decides at a gate about calls that may have crashed servers: those in quarantine are refused,
-/// and of the others one at a time runs. Traffic thread only.
+/// Admits suspects, i.e. calls that may have crashed servers, at a gate: quarantined ones are
+/// refused, and the others run one at a time. Traffic thread only.
 class SuspectGate
 {
 public:
-    /// `quarantine` outlives the object.
+    /// `quarantine` outlives the gate.
     explicit SuspectGate(IQuarantine &quarantine);
 
-    /// The call has arrived. Its fingerprint is filled in if anything is suspected.
+    /// Called when the call arrives. Fills in its fingerprint if there are any suspects.
     SuspectDecision admit(CallId call, CallMessage &message, const Announcement &server);
-    /// The call is about to be sent to the server; it may have become a suspect since it arrived.
-    /// Never to wait.
+    /// Called right before the call is sent to the server, as it may have become a suspect since it
+    /// arrived. Never returns `Wait`.
     SuspectDecision start(CallId call, CallMessage &message, const Announcement &server);
-    /// It waits here for its turn.
+    /// Returns whether the call waits until no other suspect runs.
     bool isWaiting(CallId call) const;
-    /// How it runs here.
+    /// Returns how the call runs here; defaults for a call that is not a suspect.
     SuspectRun runOf(CallId call) const;
-    /// The call has ended. True if it was a suspect: another one may have its turn.
+    /// Called when the call has ended. Returns whether it was a suspect, so that the next one may
+    /// be admitted.
     bool onCallEnd(CallId call);
-    /// The call that is to be admitted next; nothing if none waits, or a suspect runs.
+    /// Removes and returns the next waiting call, which is to be admitted again; nothing if none
+    /// waits or a suspect runs.
     std::optional<CallId> takeNext(const ServiceName &service);
-    /// All that wait with this fingerprint; they are to be admitted anew.
+    /// Removes and returns all waiting calls with this fingerprint, which are to be admitted again.
     std::vector<CallId> takeWaiting(const Fingerprint &fingerprint);
 
 private:
--- a/src/app/internal/gate/upstreammonitor.cpp
+++ b/src/app/internal/gate/upstreammonitor.cpp
@@ -50,7 +50,8 @@
 void UpstreamMonitor::onReport(const UpstreamReport &report)
 {
     if (report.instance.value().empty()) {
-        // Such a server is told from others by its service alone, and its word is taken.
+        // A server without a run id is identified by its service alone, and its report is used
+        // without a health check.
         announce(report);
         return;
     }
--- a/src/app/internal/gate/upstreammonitor.h
+++ b/src/app/internal/gate/upstreammonitor.h
@@ -13,12 +13,12 @@
 
 namespace ivyspar {
 
-/// Takes the reports of the servers on this host, checks their health when the register asks for
-/// it, and tells the gates which of them take calls. Traffic thread only.
+/// Receives the reports of the servers on this host, checks their health when the register requests
+/// it, and tells the gate service which of them accept calls. Traffic thread only.
 class UpstreamMonitor
 {
 public:
-    /// All references outlive the watch.
+    /// All references outlive the monitor.
     UpstreamMonitor(IEventLoop &loop, IHttpClient &client, const IUpstreamDialect &dialect,
                     GateService &gates, Observers observers);
 
