--- a/src/app/internal/entry/entryrecorder.h
+++ b/src/app/internal/entry/entryrecorder.h
@@ -13,11 +13,12 @@
 
 namespace ivyspar {
 
-/// What the log says of a request in each line; refers to the request.
+/// The facts about a request that each of its log lines contains; holds references into the
+/// request.
 struct RequestFacts
 {
     RootId root;
-    /// As it came: for a call of an upstream another one than `root`.
+    /// Id of this request; differs from `root` for a call that an upstream makes.
     RootId ownId;
     const ServiceName &service;
     const RuleName &rule;
@@ -26,34 +27,34 @@
     Depth depth;
 };
 
-/// How a request that was routed ended.
+/// Result of a request that was routed.
 struct RequestEnd
 {
     Verdict verdict;
-    /// HTTP status of an answer.
+    /// HTTP status of the answer; not used if there is none.
     std::uint16_t status = 0;
     std::uint32_t attempts = 0;
     Duration took{ 0 };
-    /// Of that, the time that the upstream took.
+    /// Part of `took` that was spent at the upstream.
     Duration served{ 0 };
 };
 
-/// A request that is refused before it is routed, and what that was based on.
+/// The refusal of a request before it is routed, and the inputs of that decision.
 struct Rejection
 {
     EarlyRefusal refusal;
     ServiceName service;
     RuleName rule;
     std::vector<DecisionInput> inputs;
-    /// The service that had no room.
+    /// The service that lacked capacity.
     std::string choice;
-    /// Of a request that may have crashed servers.
+    /// Set for a request that may have crashed servers.
     Fingerprint fingerprint;
-    /// Of a request that was refused for its account's sake; empty if it is not known.
+    /// Set if the request was refused because of its account; empty if that is not known.
     AccountName account;
 };
 
-/// Writes what an entry decides to the decision log and counts it. Traffic thread only.
+/// Writes the decisions of an entry to the decision log and counts them. Traffic thread only.
 class EntryRecorder
 {
 public:
--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -15,10 +15,11 @@
 
 namespace {
 
-/// Waiting ends by the call's own deadline; this only bounds a broken invariant.
+/// The wait for the result ends by the call's own deadline; this margin only bounds it if an
+/// invariant is broken.
 constexpr Duration WAIT_MARGIN = std::chrono::seconds(10);
 
-/// The server answered, and not with an error: all its calls were made.
+/// The server answered without an error, so it has made all its inner calls.
 bool isSuccess(const Verdict &verdict, const HttpResponse &response)
 {
     return verdict.outcome == Outcome::Answered && !isServerError(response.status);
@@ -31,7 +32,7 @@
 
 } // namespace
 
-/// One request from its arrival to the end of its last attempt, which may come after its answer.
+/// A request from its arrival to the end of its last attempt, which may come after its answer.
 struct EntryService::ActiveRequest
     : boost::intrusive_ref_counter<ActiveRequest, boost::thread_unsafe_counter>
 {
@@ -126,17 +127,17 @@
     if (isFromUpstream) {
         applyContext(context, incoming);
     } else if (m_options.infersParents && !key) {
-        // Callers show a key where one is needed; calls of servers never have one.
+        // Where a key is required, callers send one; calls of servers never have one.
         const bool isFromServer = m_accounts.needsKey(incoming.rule);
         inferContext(exchange.tally(),
                      isFromServer ? RequestSender::Server : RequestSender::Unknown, incoming);
     } else if (m_options.hasSharedBudget && incoming.callerAttempt > incoming.rule.callerAttempts) {
-        // Past the bound the answer is final: without it a client that retries for ever would make
-        // the number of attempts for one tap unbounded.
+        // Beyond this number the refusal is final: a client that retries forever would otherwise
+        // make the number of attempts for one user action unbounded.
         return Refusal(reject(EarlyRefusal{ incoming.root, notRun(Reason::CallerAttempts) }));
     }
-    // Only now it is known whose request it is. Calls of the server beside go on: refused, they
-    // would fail the requests that it was given before.
+    // Only now is it known whether a caller sent the request. Calls of the local server are still
+    // accepted while draining: refusing them would fail the requests that it is working on.
     if (m_isDraining && isFromCaller(incoming, isFromUpstream)) {
         return Refusal(reject(EarlyRefusal{ incoming.root, notRun(Reason::ShuttingDown) }));
     }
@@ -206,8 +207,8 @@
 {
     const auto context = token.empty() ? std::nullopt : m_gates.findContext(token);
     if (!context) {
-        // Nothing ties this call to a request's budget: one attempt, or a hop that drops the header
-        // would start a fresh budget at each level and attempts would multiply with depth.
+        // Without context the call has no request's budget to share. It gets one attempt: if a hop
+        // that drops the header started a new budget, attempts would multiply with depth.
         incoming.isSingleAttempt = true;
         incoming.budget = new CallBudget(AttemptCount(1));
         return;
@@ -258,8 +259,8 @@
     return std::nullopt;
 }
 
-/// Before the load is looked at: what lies beyond an account's limit is no demand that others would
-/// have to make room for.
+/// Called before root admission, as requests beyond an account's limit must not count as demand
+/// that displaces other requests.
 std::optional<Verdict> EntryService::takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming)
 {
     if (incoming.account.value().empty()) {
@@ -340,7 +341,7 @@
     return rejection;
 }
 
-/// Nothing is hashed while no request is suspected.
+/// Computes no fingerprint while there are no suspects.
 Standing EntryService::standingOf(Incoming &incoming) const
 {
     return m_quarantine.hasSuspects() ? m_quarantine.standing(fingerprintOf(incoming)) : Standing();
@@ -354,7 +355,7 @@
     return incoming.fingerprint;
 }
 
-/// One in quarantine is not told when to come back, as that would not help.
+/// For a quarantined request `standing.retryAfter` is zero, as a retry would not help.
 Rejection EntryService::rejectSuspect(const Incoming &incoming, const Standing &standing) const
 {
     const bool isFinal = standing.suspicion == Suspicion::Quarantined;
@@ -388,8 +389,8 @@
     return rejection;
 }
 
-/// The cost goes up to the call during which this one was made, and at last to the entry of the
-/// caller's request, which learns from it.
+/// Adds the usage to the call during which this one was made. At depth 0 root admission learns the
+/// cost of the rule's call tree from it.
 void EntryService::recordUsage(const ActiveRequest &active, const AttemptAnswer &answer)
 {
     const TreeUsage &usage = answer.message.usage;
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -27,21 +27,24 @@
 
 struct EntryOptions
 {
-    /// Requests that may be in work here at a time.
+    /// Maximum number of requests that are served here at a time.
     std::size_t maxRequests = 20000;
-    /// Off, for measurements: each call of an upstream starts a budget of its own.
+    /// If false, each call of an upstream starts an attempt budget of its own; for measurements
+    /// only.
     bool hasSharedBudget = true;
-    /// Requests are let in by what their whole call tree costs, and calls of requests that were let
-    /// in go before others.
+    /// Requests are admitted by the cost of their whole call tree, and inner calls of admitted
+    /// requests take precedence over new requests.
     bool hasRootAdmission = false;
     RootAdmissionOptions admission;
-    /// What arrives is taken for as old as the loop is late, and refused when it is too late.
+    /// The event loop's lag is subtracted from the time left of each request, and requests of
+    /// callers are refused if the lag is too high for the priority of their rule.
     bool compensatesLoopLag = false;
-    /// Calls of upstreams arrive together with requests of callers and name no context.
+    /// Calls of upstreams arrive together with requests of callers and carry no context token, so
+    /// their parents are inferred.
     bool infersParents = false;
 };
 
-/// Takes requests of callers, and calls of the upstreams on this host, and sees each to its answer.
+/// Handles requests of callers, and calls of the upstreams on this host, up to their answers.
 /// Traffic thread only.
 class EntryService
 {
@@ -52,12 +55,13 @@
 
     void setConfiguration(ConfigurationPtr configuration);
     void setMembers(const std::vector<Member> &members) { m_admission->setMembers(members); }
-    /// Whose server runs on this host, and so where requests that arrive here come from.
+    /// Sets the service whose server runs on this host, i.e. the origin of the calls that it makes.
     void setHostService(ServiceName service) { m_origin.hostService = std::move(service); }
-    /// Refuses new requests of callers from now on; calls of upstreams for running requests go on.
+    /// Refuses new requests of callers from now on; calls of upstreams are still accepted.
     void startDraining() { m_isDraining = true; }
+    /// Number of requests that are being served, including calls of upstreams.
     std::size_t requestCount() const { return m_requestCount; }
-    /// Of these, requests of callers.
+    /// Number of these that are requests of callers.
     std::size_t callerCount() const { return m_callerCount; }
 
     /// A caller's request. Runs in the connection's fiber.
@@ -66,37 +70,37 @@
     HttpResponse handleUpstream(IHttpExchange &exchange);
 
 private:
-    /// A request as it came in, checked.
+    /// A request that was read and checked.
     struct Incoming
     {
         ServiceName service;
-        /// What the upstream receives.
+        /// The request that is forwarded to the upstream.
         HttpRequest request;
         RootId root;
-        /// As it came: for a call of an upstream another one than `root`.
+        /// Id of this request; differs from `root` for a call that an upstream makes.
         RootId ownId;
         RuleSpec rule;
         Priority priority;
         Depth depth;
         TimePoint deadline;
-        /// As the caller named it, whatever the rule allows.
+        /// The deadline that the caller named, not limited by the rule.
         TimePoint callerDeadline;
         CallBudgetPtr budget;
-        /// Where the cost of this request is booked; null at depth 0.
+        /// Receives the usage of this request; null at depth 0.
         CallTreePtr tree;
         DemandShare letIn = WHOLE_DEMAND;
-        /// The call that makes it is a repeat.
+        /// The call during which it is made is a repeat.
         bool isRepeat = false;
         std::optional<OnceTerms> once;
         bool isSingleAttempt = false;
-        /// Root admission let it in and waits for its end.
+        /// Root admission admitted it and must be told its end.
         bool isAdmitted = false;
         std::uint32_t callerAttempt = 1;
-        /// Empty if the caller has none or it is not known.
+        /// Empty if the caller has no account or it is not known.
         AccountName account;
-        /// It took a unit of the account's limit.
+        /// It has taken a unit of the account's limit.
         bool holdsQuotaUnit = false;
-        /// Empty until it is asked for.
+        /// Empty until it is first needed.
         Fingerprint fingerprint;
     };
     struct ActiveRequest;
@@ -109,26 +113,26 @@
     void applyContext(const std::string &token, Incoming &incoming);
     HttpResponse serve(IHttpExchange &exchange, bool isFromUpstream);
     void inferContext(ConnectionTally &tally, RequestSender sender, Incoming &incoming);
-    /// Who the caller is, and with which priority. A verdict if it may not come in.
+    /// Determines the account and priority of the caller. Returns a verdict if it is refused.
     std::optional<Verdict> identify(const std::optional<AccountKey> &key, Incoming &incoming);
-    /// Takes a unit of the account's limit. A verdict if the request is not to go on.
+    /// Takes a unit of the account's limit. Returns a verdict if the request ends here.
     std::optional<Verdict> takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming);
     void returnQuotaUnit(Incoming &incoming);
     void inherit(const CallContext &context, Incoming &incoming);
     bool admit(Incoming &incoming);
-    /// When a caller that is refused is to come back.
+    /// Returns after which time a refused caller is to retry.
     Duration retryAfterOf(const Incoming &incoming);
     static Rejection rejectAccount(const Incoming &incoming, const Verdict &verdict);
     Rejection rejectOverload(const Incoming &incoming, Duration lag);
     static RootTarget targetOf(const Incoming &incoming);
     static Rejection reject(const EarlyRefusal &refusal);
     Rejection rejectBelowFloor(const Incoming &incoming);
-    /// Whether the request may have crashed servers.
+    /// Returns whether the request may have crashed servers.
     Standing standingOf(Incoming &incoming) const;
     const Fingerprint &fingerprintOf(Incoming &incoming) const;
     Rejection rejectSuspect(const Incoming &incoming, const Standing &standing) const;
     void recordUsage(const ActiveRequest &active, const AttemptAnswer &answer);
-    /// Tells root admission that a request which it let in is over.
+    /// Reports the end of a request to root admission, if that had admitted it.
     void reportEnd(const ActiveRequest &active);
     Rank rankOf(const Incoming &incoming) const;
     HttpResponse runRequest(IHttpExchange &exchange, Incoming incoming);
@@ -157,7 +161,7 @@
     LoopLag m_lag;
     ProcessorGuard m_guard;
     ConfigurationPtr m_configuration;
-    /// Priority of the most important rule.
+    /// Highest priority of all rules.
     Priority m_highestPriority;
     RequestOrigin m_origin;
     std::size_t m_requestCount = 0;
--- a/src/app/internal/entry/icallsender.h
+++ b/src/app/internal/entry/icallsender.h
@@ -7,7 +7,7 @@
 
 namespace ivyspar {
 
-/// The end of one attempt, as its entry sees it.
+/// Result of one attempt, as its entry receives it.
 struct AttemptAnswer
 {
     AnswerMessage message;
@@ -15,7 +15,7 @@
     bool isFromDaemon = false;
 };
 
-/// Carries attempts to the daemons of the chosen upstreams.
+/// Sends attempts to the daemons of the chosen upstreams.
 class ICallSender
 {
 public:
@@ -26,7 +26,7 @@
     /// Sends the attempt; `call.stream` is filled in. `onAnswer` runs exactly once, as a plain
     /// callback on the traffic thread, possibly before this function returns.
     virtual StreamId send(const DaemonId &target, CallMessage call, OnAnswer onAnswer) = 0;
-    /// Asks for the end of the attempt. Its answer still arrives.
+    /// Requests the cancellation of the attempt. Its `onAnswer` still runs.
     virtual void cancel(StreamId stream) = 0;
 };
 
--- a/src/app/internal/entry/peercalls.cpp
+++ b/src/app/internal/entry/peercalls.cpp
@@ -35,7 +35,8 @@
     }
 }
 
-/// Bytes between failure domains are dear, while in the own one the time matters more.
+/// Traffic between failure domains is costly, while within one the time for compression matters
+/// more.
 void PeerCalls::compressIfFar(LinkId link, const DomainName &domain)
 {
     if (domain != m_self.domain) {
@@ -177,14 +178,14 @@
         return;
     }
     if (!isControl && found->second.isCancelled) {
-        // Cancelled while the link was being opened: nothing left this host.
+        // Cancelled while the link was being opened: nothing was sent.
         endWithoutAnswer(stream, Outcome::NotRun, Reason::Cancelled);
         return;
     }
     const Ret sent = sendFrame(link, std::move(frame));
     if (!sent) {
-        // A new link can be lost before `connect` returns, and then nothing more is heard of it:
-        // kept as a route it would fail every later call to that daemon.
+        // A new link can be lost before `connect` returns, and its loss is then not reported again:
+        // if its route were kept, every later call to that daemon would fail.
         forgetRoute(link);
     }
     if (isControl) {
@@ -224,7 +225,8 @@
         m_gates.cancel(found->second.localCall);
         return;
     }
-    // If the frame cannot be sent the link is about to be reported lost, which ends the attempt.
+    // If the frame cannot be sent, the loss of the link is about to be reported and ends the
+    // attempt.
     (void)sendFrame(found->second.link, m_codec.encode(PeerMessage(CancelMessage{ stream })));
 }
 
@@ -244,8 +246,8 @@
     auto message = m_codec.decode(frame);
     if (!message) {
         m_observers.metrics.add(Counter::PeerFramesMalformed);
-        // A peer that sends what we cannot read may mean anything by it: with the link gone, each
-        // attempt on it ends as unknown instead of waiting for an answer that was misread.
+        // The malformed frame may have been an answer: closing the link ends each attempt on it as
+        // unknown instead of leaving it waiting.
         m_network.close(link);
         return;
     }
@@ -265,7 +267,7 @@
     for (const StreamId stream : lostAttempts) {
         endWithoutAnswer(stream, Outcome::Unknown, Reason::LinkLost);
     }
-    // Calls that came over this link have nobody left to hear their answer.
+    // The answers to calls that came over this link can no longer be delivered.
     std::vector<CallId> inboundCalls;
     const auto first = m_inbound.lower_bound(InboundKey(link, StreamId(0)));
     for (auto it = first; it != m_inbound.end() && it->first.first == link; ++it) {
@@ -327,7 +329,7 @@
 {
     m_inbound.erase(key);
     answer.stream = key.second;
-    // A lost link has told the entry already.
+    // If the link is lost, the entry has already been notified.
     (void)sendFrame(key.first, m_codec.encode(PeerMessage(std::move(answer))));
 }
 
--- a/src/app/internal/entry/peercalls.h
+++ b/src/app/internal/entry/peercalls.h
@@ -17,7 +17,7 @@
 
 namespace ivyspar {
 
-/// Who this daemon is.
+/// Identity of this daemon.
 struct DaemonIdentity
 {
     DaemonId id;
@@ -25,8 +25,8 @@
     DomainName domain;
 };
 
-/// Matches attempts and answers over the links between daemons, in both directions. Attempts to
-/// this daemon itself skip the link. Traffic thread only.
+/// Sends attempts and answers over the links between daemons, in both directions, and matches them
+/// by stream id. Attempts to this daemon itself bypass the links. Traffic thread only.
 class PeerCalls : public ICallSender, public IPeerHandler
 {
 public:
@@ -38,9 +38,9 @@
     ~PeerCalls() override;
 
     void setMembers(const std::vector<Member> &members);
-    /// Control frames that arrive.
+    /// Called with each control message that arrives.
     void setOnControl(OnControl onControl) { m_onControl = std::move(onControl); }
-    /// A daemon to which no link could be opened, or whose link was lost.
+    /// Called with a daemon to which no link could be opened, or whose link was lost.
     void setOnUnreachable(OnUnreachable onUnreachable)
     {
         m_onUnreachable = std::move(onUnreachable);
@@ -49,8 +49,8 @@
     StreamId send(const DaemonId &target, CallMessage call, OnAnswer onAnswer) override;
     void cancel(StreamId stream) override;
 
-    /// Sends to a daemon by its endpoint; lost without notice when it cannot be reached, but for
-    /// `onUnreachable` when `target` is named.
+    /// Sends a control message to the daemon at the endpoint. If that cannot be reached the message
+    /// is lost, which is only reported by `onUnreachable`, and only if `target` is not empty.
     void sendControl(const DaemonId &target, const Endpoint &endpoint, std::string payload);
 
     void onFrame(LinkId link, std::string frame) override;
@@ -69,7 +69,7 @@
         bool isCancelled = false;
         OnAnswer onAnswer;
     };
-    /// A link of ours that is open or being opened, with the frames that wait for it.
+    /// A link that this daemon opens or has opened, with the frames that wait for it.
     struct Route
     {
         LinkId link;
@@ -83,11 +83,12 @@
     void sendLocal(StreamId stream, CallMessage call);
     void sendRemote(StreamId stream, const Endpoint &endpoint, std::string frame);
     void openRoute(const Endpoint &endpoint);
-    /// Tells that the way to a peer is open or lost.
+    /// Logs that the link to a peer was opened or lost.
     void recordLink(const DaemonId &peer, const char *outcome, const char *reason);
     void flushRoute(const Endpoint &endpoint, LinkId link);
     void failRoute(const Endpoint &endpoint);
-    /// Returns the daemon at the link's other end; empty if no route uses the link.
+    /// Removes the route that uses the link, and returns the daemon at its other end; empty if
+    /// there is none.
     DaemonId forgetRoute(LinkId link);
     Ret sendFrame(LinkId link, std::string frame);
     void transmit(StreamId stream, LinkId link, std::string frame);
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-/// A claim that is not settled by then is refused while the entry can still pass on that it was not
-/// run; at the deadline itself the entry could only say "unknown".
+/// Share of the call's remaining time after which an unsettled claim is refused. The rest leaves
+/// the entry time to report that the call was not run; at the deadline it could only report
+/// "unknown".
 constexpr int CLAIM_SHARE_PERCENT = 90;
 
-/// Times that a call is sent to a server that turns it away: where that happens to half of them,
-/// fewer than 2 in 100 calls are left over.
+/// Maximum number of times that a call is sent to a server that refuses it: if half of all sends
+/// are refused, fewer than 2 in 100 calls fail.
 constexpr int MAX_SENDS = 6;
 
 bool isUpstreamRefusal(const Verdict &verdict)
@@ -84,9 +85,9 @@
     const bool isChanged = isNew || isOtherRun || before.slots != announcement.info.slots
         || before.connections != announcement.info.connections
         || before.draining != announcement.info.draining;
-    // A server that was started again on another port announces nothing else that is new. Without
-    // its own limit the new endpoint would get that of an unknown one, and requests beyond it would
-    // be refused while the server is idle.
+    // A server that was restarted on another port may differ in nothing but its endpoint. Without
+    // this call the new endpoint would have the default limit, and requests beyond it would be
+    // refused while the server is idle.
     if (isChanged || hasMoved) {
         m_client.setConnectionLimit(announcement.endpoint, announcement.info.connections);
     }
@@ -162,8 +163,8 @@
         return id;
     }
     if (call.deadline > m_endsAt) {
-        // Without the mark the refusal's own load would call the server back into use, and each
-        // call would come here first.
+        // If the load reported with the refusal did not say that the service is draining, the entry
+        // would use this daemon again, and each call would come here first.
         upstream->endsTooSoon = true;
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::Draining, Duration::zero() });
         return id;
@@ -177,7 +178,8 @@
     return id;
 }
 
-/// Returns how long the call may have lain unread here. The entry has minded that of its own calls.
+/// Returns how long the call may have waited here before it was read. Zero for calls of this
+/// daemon, as its entry has already subtracted the lag.
 Duration GateService::recordArrival(TimePoint now, const CallMessage &message, CallSource source)
 {
     if (!m_options.compensatesLoopLag) {
@@ -234,7 +236,7 @@
     }
 }
 
-/// Those that wait may be cleared now, or in quarantine.
+/// Waiting calls may have been cleared or quarantined, so they are admitted again.
 void GateService::onSuspectChanged(const Fingerprint &fingerprint)
 {
     for (const CallId id : m_suspects.takeWaiting(fingerprint)) {
@@ -285,7 +287,8 @@
         return;
     }
     call.isCancelled = true;
-    // A call that must run at most once goes on: its result is kept for the caller's next attempt.
+    // A call that must run at most once continues: its result is stored for the caller's next
+    // attempt.
     if (call.cancellation && m_options.cancelUpstream && !call.message.once) {
         call.cancellation->cancel();
     }
@@ -328,7 +331,7 @@
     const auto found = match.parent ? m_calls.find(*match.parent) : m_calls.end();
     if (found != m_calls.end()) {
         inferred.parent = makeContext(found->second);
-        // A guess must not put one account's name on another one's call.
+        // A wrong guess must not attribute the call to another account.
         inferred.parent->account = AccountName();
     }
     return inferred;
@@ -339,8 +342,8 @@
     m_parents->onInnerAnswer(m_loop.now(), rule);
 }
 
-/// A guessed parent often ends before the call does. Its cost would be lost, and all rules would
-/// look cheaper than they are.
+/// An inferred parent often ends before the call does. Without another tree the usage would be
+/// lost, and the usage of all rules would be underestimated.
 void GateService::recordUsage(CallTree &tree, const TreeUsage &usage)
 {
     if (!tree.isClosed) {
@@ -425,11 +428,11 @@
     const Announcement server = upstream->announcement;
     RunEnd end;
     if (upstream->isWithdrawn) {
-        // It was withdrawn after the gate had let the call through.
+        // The server was withdrawn after the gate had started the call.
         end = notRun(Reason::Draining);
     } else if (startedAt >= found->second.deadline
                || (found->second.holdsClaim && !m_once.start(id))) {
-        // The process was paused past the deadline, or past the time in which the key is its own.
+        // The process was paused until after the deadline, or until the claim of the key expired.
         end = notRun(Reason::DeadlineExceeded);
     } else if (const auto decision = m_suspects.start(id, found->second.message, server);
                decision.action == SuspectAction::Refuse) {
@@ -469,11 +472,12 @@
     endCall(id, std::move(answer));
 }
 
-/// 1. A server turns away by chance what it has room for, as it starts, or fails in part.
-/// 2. A request with eight calls there would end whole once in a hundred times, after all services
-///    above have worked for it.
-/// 3. Sent once more from here, the call costs a message on this host and no time of the entry. It
-///    is only done for what the server says it has not begun.
+/// 1. A server that is starting or partly failing may refuse calls at random although it has
+///    capacity.
+/// 2. A request with eight calls to such a server would succeed once in a hundred times, after all
+///    services above have done their work.
+/// 3. Sending the call again from here costs one message on this host and no round trip to the
+///    entry. This is done only for calls that the server reports as not started.
 RunEnd GateService::sendToServer(const ServiceName &service, const Announcement &server, CallId id)
 {
     const Call &call = m_calls.at(id);
@@ -524,7 +528,7 @@
     m_dialect.address(
         UpstreamSend{ toHex(id.value()), remaining, server.instance, call.message.account },
         request);
-    // The call may be gone when the exchange ends.
+    // The call may have been removed when the exchange ends.
     const HttpCancellationPtr cancellation = call.cancellation;
     const AccountName account = call.message.account;
     m_parents->onStart(id, call.message.rule, m_loop.now() + remaining);
@@ -578,7 +582,7 @@
     const Call call = std::move(found->second);
     m_calls.erase(found);
     if (call.holdsClaim) {
-        // Whatever ended it before its run gives the key back, or the caller's next attempt could
+        // The call ended before its run: release the claim, or the caller's next attempt could
         // never run.
         m_once.notRun(id);
     }
@@ -625,7 +629,7 @@
     if (!isSilent && !upstream.isWithdrawn) {
         return false;
     }
-    // Calls that run there keep their gate: its counts must outlive a missed heartbeat.
+    // The gate is kept while it has calls: its counts must survive a missed heartbeat.
     const LoadReport load = upstream.gate->load(m_loop.now());
     return load.inFlight == 0 && load.queued == 0;
 }
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -32,19 +32,20 @@
 
 struct GateServiceOptions
 {
-    /// An upstream that has not announced itself for this long is gone. Zero: it stays until it is
-    /// withdrawn.
+    /// An upstream that has not announced itself for this long is removed once it is idle. Zero: it
+    /// stays until it is withdrawn.
     Duration heartbeatTimeout = std::chrono::seconds(3);
-    /// How often upstreams that are gone and idle are dropped, when they are not dropped for
-    /// silence.
+    /// Interval at which withdrawn, idle upstreams are removed if `heartbeatTimeout` is zero;
+    /// otherwise half of that is used.
     Duration sweepInterval = std::chrono::seconds(1);
-    /// Calls that may be here at a time, waiting or running.
+    /// Maximum number of calls that wait or run here at a time.
     std::size_t maxCalls = 20000;
-    /// Passes deadlines and cancels on to the upstream.
+    /// Aborts the exchange with the upstream when a call is cancelled.
     bool cancelUpstream = true;
-    /// For calls that a server of this host turns away.
+    /// Limits repeats of calls that a server of this host refused before starting them.
     LocalRetryBudgetOptions retryBudget;
-    /// A daemon that is behind tells a full service.
+    /// The event loop's lag is subtracted from the time left of calls that come over a link, and
+    /// counts as load in load reports.
     bool compensatesLoopLag = false;
 };
 
@@ -61,19 +62,20 @@
                 Observers observers, GateServiceOptions options);
     ~GateService() override;
 
-    /// Runs whenever the announced upstreams, or what they announced, changed.
+    /// Called whenever the set of upstreams, or what they announced, has changed.
     void setOnUpstreams(OnUpstreams onUpstreams) { m_onUpstreams = std::move(onUpstreams); }
-    /// Runs when a call met no server, or another run than the one that was announced.
+    /// Called when no connection to the server could be opened, or another run than the announced
+    /// one answered.
     void setOnServerMissing(OnServerMissing onServerMissing)
     {
         m_onServerMissing = std::move(onServerMissing);
     }
     void announce(const Announcement &announcement);
-    /// That run of the service's server takes no more calls: those that wait are refused, those
-    /// that run go on.
-    /// `isPlanned`: the server itself has said that it ends.
+    /// Stops sending calls to that run of the service's server: waiting calls are refused, running
+    /// ones continue. Ignored if another run is announced. `isPlanned`: the server itself has
+    /// announced its shutdown.
     void withdraw(const ServiceName &service, const UpstreamId &instance, bool isPlanned);
-    /// The daemon ends at `end`: calls that may last longer are refused from now on.
+    /// The daemon stops at `end`: calls with a later deadline are refused from now on.
     void startLeaving(TimePoint end) { m_endsAt = end; }
     /// Refuses new calls of all services from now on.
     void startDraining();
@@ -101,9 +103,10 @@
         TimePoint announcedAt;
         std::unique_ptr<WakeTimer> tickTimer;
         bool isWithdrawn = false;
-        /// The server has said that it ends.
+        /// The server has announced its shutdown.
         bool isEndPlanned = false;
-        /// The daemon ends before calls of this service may: entries are told to go elsewhere.
+        /// A call of this service was refused as the daemon stops before its deadline: load reports
+        /// say that the service is draining, so that entries choose other daemons.
         bool endsTooSoon = false;
         LossEstimate loss;
         std::unique_ptr<ILocalRetryBudget> retryBudget;
@@ -118,9 +121,9 @@
         TimePoint deadline;
         HttpCancellationPtr cancellation;
         bool isCancelled = false;
-        /// Waits for its key or ticket, before the gate.
+        /// Waits for the claim of its key or ticket, before it enters the gate.
         bool isClaiming = false;
-        /// Holds its key or ticket: the end of its run is told to the once service.
+        /// Holds the claim of its key or ticket: its end is reported to the once service.
         bool holdsClaim = false;
     };
     Upstream *findUpstream(const ServiceName &service);
@@ -129,7 +132,7 @@
     void perform(const ServiceName &service, const GateActions &actions);
     void startCall(const ServiceName &service, CallId id);
     void runCall(const ServiceName &service, CallId id);
-    /// Sends the call, and again while the server turns it away and repeats are left.
+    /// Sends the call, and again while the server refuses it and the retry budget allows it.
     RunEnd sendToServer(const ServiceName &service, const Announcement &server, CallId id);
     RunEnd exchange(const Announcement &server, CallId id, const Call &call);
     bool isEndPlanned(const ServiceName &service);
@@ -141,9 +144,9 @@
     GatedCall stateOf(const Call &call) const;
     Duration recordArrival(TimePoint now, const CallMessage &message, CallSource source);
     void enterGate(CallId id);
-    /// False: the call was refused, or waits until no other suspect runs.
+    /// Returns false if the call was refused or waits until no other suspect runs.
     bool admitSuspect(CallId id, const Upstream &upstream);
-    /// The call has ended: if it was a suspect, those that wait have their turn.
+    /// The call has ended: if it was a suspect, admits the next waiting one.
     void admitNextSuspect(const ServiceName &service, CallId ended);
     void endRun(CallId id, RunEnd end, Duration serviceTime);
     void armTick(const ServiceName &service);
--- a/src/app/tests/crashdetectortest.cpp
+++ b/src/app/tests/crashdetectortest.cpp
@@ -24,7 +24,7 @@
     }
 };
 
-// Guards against a broken answer of a server that works on being taken for its end.
+// Guards against treating a broken answer of a running server as its end.
 TEST(CrashDetector, ServerThatAcceptsConnectionsIsRunning)
 {
     CHECK(m_detector.check(server()) == ServerState::Running);
@@ -39,7 +39,7 @@
     CHECK_EQUAL(1, m_client.probed.size());
 }
 
-// Guards against a run that is judged by the end of the run before it.
+// Guards against treating a run as ended because the previous run has ended.
 TEST(CrashDetector, NextRunIsCheckedAgain)
 {
     m_client.isUp = false;
@@ -56,7 +56,7 @@
     CHECK_FALSE(m_detector.isKnownEnded(server("")));
 }
 
-// Guards against a crash right after a reset connection that is judged by the earlier answer.
+// Guards against missing a crash right after a reset connection because of the earlier check.
 TEST(CrashDetector, EarlierConnectionIsNoEvidence)
 {
     CHECK(m_detector.check(server()) == ServerState::Running);
--- a/src/app/tests/gateservicetest.cpp
+++ b/src/app/tests/gateservicetest.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Notes the limits that it is given; nothing can be reached.
+/// Records the connection limits that are set; every exchange fails to connect.
 class LimitRecorder : public IHttpClient
 {
 public:
@@ -74,9 +74,8 @@
         Observers{ m_log, m_decisions, *m_metrics }, GateServiceOptions{});
 };
 
-// 1. A server is stopped, and started again with the same capacity on another port.
-// 2. It may be sent as many requests at a time as it announces. With the limit that an unknown
-//    endpoint has, callers would be refused although the server is idle.
+// Guards against requests that are refused although the server is idle: a server that is restarted
+// with the same capacity on another port must not get the default limit of an unknown endpoint.
 TEST(GateService, ServerOnNewPortKeepsItsConnectionLimit)
 {
     const UpstreamInfo info{ ServiceName("cassa"), 300, 2000, false };
@@ -88,10 +87,9 @@
     CHECK_EQUAL(2000, m_client.limitOf(after));
 }
 
-// 1. A daemon is to stop, and its server works on. Until the daemon ends, a call that will be over
-// by
-//    then is taken: refusing all would take the server out of its service for seconds.
-// 2. One that may last longer would be cut. Its entry hears at once that it was not run.
+// 1. A daemon is about to stop while its server continues to run. It accepts calls that end before
+//    the daemon does: refusing all would make the server unavailable for seconds.
+// 2. A call with a later deadline would be cut off, so it is refused at once as not run.
 TEST(GateService, DaemonBeforeItsEndAcceptsOnlyCallsThatEndInTime)
 {
     const ServiceName service("cassa");
@@ -149,7 +147,7 @@
     }
 };
 
-// Guards against calls that lay unread past their deadline and are run for callers that have left.
+// Guards against calls that are read after their deadline and run although their callers have left.
 TEST(GateServiceUnderLag, CallReadAfterItsDeadlineIsNotRun)
 {
     m_loop.setLateness(std::chrono::milliseconds(800));
@@ -165,7 +163,7 @@
     CHECK_EQUAL(before + 1, m_client.exchanges());
 }
 
-// Guards against a deadline that is shortened twice, by the entry and by the gate of one daemon.
+// Guards against subtracting the lag twice, at the entry and at the gate of the same daemon.
 TEST(GateServiceUnderLag, LagIsNotSubtractedAgainFromLocalCalls)
 {
     m_loop.setLateness(std::chrono::milliseconds(800));
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -84,13 +84,13 @@
         failure.hasConnectionEnded = true;
         return tl::unexpected<HttpFailure>(failure);
     }
-    /// The server ends its connections in the middle of the next answer.
+    /// The server closes its connection during the next answer.
     void cutNextAnswer(bool isServerUp)
     {
         m_client.isUp = isServerUp;
         m_client.results.push_back(makeCut());
     }
-    /// The server is withdrawn and ends while it runs a call.
+    /// The server is withdrawn and ends during a call.
     void endServerDuringCall(bool isPlanned)
     {
         m_client.answer = [this, isPlanned](const MockHttpClient::Call &) {
@@ -115,7 +115,7 @@
     CHECK(m_quarantine.crashes[0].second.kind.version == UpstreamVersion("v1"));
 }
 
-// Guards against innocent requests that are suspected for a reset connection or a broken answer.
+// Guards against requests that become suspects because of a reset connection or a broken answer.
 TEST(GateSuspects, BrokenAnswerOfRunningServerIsNoCrash)
 {
     cutNextAnswer(true);
@@ -128,7 +128,7 @@
     CHECK(m_quarantine.crashes.empty());
 }
 
-// Guards against innocent requests that are suspected as their server was replaced.
+// Guards against requests that become suspects because their server was replaced.
 TEST(GateSuspects, PlannedEndOfServerIsNoCrash)
 {
     endServerDuringCall(true);
@@ -136,7 +136,8 @@
     CHECK(m_quarantine.crashes.empty());
 }
 
-// A server that is found silent a moment after its crash has not said that it leaves.
+// A server that stopped reporting because of a crash is withdrawn as well, without having announced
+// its shutdown.
 TEST(GateSuspects, ServerWithdrawnForSilenceMayHaveCrashed)
 {
     endServerDuringCall(false);
@@ -169,7 +170,7 @@
     CHECK(m_verdicts.back().retryAfter == 1500ms);
 }
 
-// Guards against two suspects that are both held responsible for the crash that one of them caused.
+// Guards against two suspects that are both blamed for a crash that one of them caused.
 TEST(GateSuspects, OneSuspectRunsAtATime)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
@@ -190,7 +191,7 @@
     LONGS_EQUAL(3, m_verdicts.size());
 }
 
-// Guards against a request in demand that waits in line after it was cleared.
+// Guards against a frequent request that still waits for its turn after it was cleared.
 TEST(GateSuspects, ClearedRequestIsAdmittedAtOnce)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
@@ -243,7 +244,7 @@
     LONGS_EQUAL(0, m_gates->callCount());
 }
 
-// Guards against a request that crashes servers and is not counted as its callers leave early.
+// Guards against a request whose crashes are not counted because its callers cancel early.
 TEST(GateSuspects, RequestAbandonedShortlyBeforeCrashIsReported)
 {
     m_client.failNext(HttpFailureStage::MaybeSent, HttpFailureCause::Cancelled);
--- a/src/app/tests/mocks/fakegateservice.h
+++ b/src/app/tests/mocks/fakegateservice.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// Keeps the calls until the test answers them.
+/// Holds the calls until the test answers them.
 class FakeGateService : public IGateService
 {
 public:
--- a/src/app/tests/peercallstest.cpp
+++ b/src/app/tests/peercallstest.cpp
@@ -80,7 +80,7 @@
     }
 };
 
-// Bytes between failure domains are dear; within the own one the time that compression takes is.
+// Traffic between failure domains is costly; within one the time for compression matters more.
 TEST(PeerCalls, OnlyLinksToOtherDomainsAreCompressed)
 {
     const Endpoint neighbour{ "127.0.0.1", 10 };
@@ -99,8 +99,9 @@
     CHECK_EQUAL(1, network.compressed.count(link()));
 }
 
-// A link to a daemon of which nothing but the endpoint was known is compressed once it is known to
-// lead to another failure domain; one that such a daemon opens, when it says who it is.
+// A link that was opened when only the peer's endpoint was known is compressed once the peer is
+// known to be in another failure domain. A link that a peer opens is compressed when its hello
+// names one.
 TEST(PeerCalls, LinksAreCompressedOnceTheOtherDomainIsKnown)
 {
     calls->setMembers({});
@@ -121,8 +122,8 @@
     CHECK_EQUAL(1, network.compressed.count(incoming));
 }
 
-// Two calls go out on one link and their answers come in the other order, then once more. Each
-// caller gets its own answer, once.
+// Two calls are sent on one link. Their answers arrive in reverse order, one of them twice. Each
+// call gets its own answer exactly once.
 TEST(PeerCalls, AnswersFindTheirCallsInAnyOrder)
 {
     const StreamId first = send(PEER, "1");
@@ -135,7 +136,7 @@
     CHECK(answers[1].message.stream == first && answers[1].message.response.body == "for 1");
 }
 
-// Another peer answers a call that it never got. It is not believed.
+// A peer answers a call that was sent to another peer. The answer is ignored.
 TEST(PeerCalls, AnswerOnAnotherLinkIsIgnored)
 {
     const StreamId stream = send(PEER, "1");
@@ -155,7 +156,7 @@
     CHECK(unreachable.at(0) == PEER);
 }
 
-// The link is lost after the call was sent: it may have run.
+// The link is lost after the call was sent, so the call may have run.
 TEST(PeerCalls, LostLinkIsUnknown)
 {
     send(PEER, "1");
@@ -166,8 +167,8 @@
     CHECK(unreachable.at(0) == PEER);
 }
 
-// A link refuses a frame, as it does when it was lost before its opening was reported. That call
-// was not run, and the next one opens a new link instead of failing on the old one for ever.
+// A link rejects a frame, as it does when it was lost before `connect` returned. The call ends as
+// not run, and the next one opens a new link instead of failing on the old one forever.
 TEST(PeerCalls, LinkThatRejectsAFrameIsReplaced)
 {
     send(PEER, "1");
@@ -184,8 +185,8 @@
     STRCMP_EQUAL("for 3", answers.at(1).message.response.body.c_str());
 }
 
-// A peer sends bytes that are no frame. Its link is closed and what was open on it is unknown; it
-// is not left waiting for an answer that may have been in those bytes.
+// A peer sends a malformed frame. Its link is closed and the open attempts on it end as unknown
+// instead of waiting for an answer that may have been in that frame.
 TEST(PeerCalls, MalformedFrameClosesTheLink)
 {
     send(PEER, "1");
@@ -195,7 +196,7 @@
     CHECK(answers[0].message.verdict.outcome == Outcome::Unknown);
 }
 
-// The entry of an incoming call goes away. Nobody can hear the answer, so the call is cancelled.
+// The link of an incoming call is lost. Its answer cannot be delivered, so the call is cancelled.
 TEST(PeerCalls, CallsOfALostLinkAreCancelled)
 {
     const LinkId incoming = incomingCall(StreamId(5));
--- a/src/app/tests/refusedcallstest.cpp
+++ b/src/app/tests/refusedcallstest.cpp
@@ -24,7 +24,7 @@
 const Priority IMPORTANT(90);
 constexpr double SHED_SHARE = 0.45;
 
-/// A server that turns away a part of its calls by chance, though it has room.
+/// A server that refuses a share of its calls at random although it has capacity.
 class SheddingServer : public IHttpClient
 {
 public:
@@ -93,7 +93,7 @@
         m_gates->announce(Announcement{ { SERVICE, 49, 400, false }, { "127.0.0.1", 9000 }, {} });
     }
 
-    /// Whether the call was answered by the server.
+    /// Returns whether the server answered the call.
     bool call()
     {
         CallMessage message;
@@ -106,7 +106,8 @@
         return m_answer.verdict.outcome == Outcome::Answered;
     }
 
-    /// Requests with four calls each, 50 a second; the share of them that is whole.
+    /// Sends 50 requests per second with four calls each; returns the share whose calls were all
+    /// answered.
     double successShare(Duration time)
     {
         int succeeded = 0;
@@ -119,10 +120,11 @@
     }
 };
 
-// 1. A service four hops down turns away 45 % of its calls for six seconds, though it has room.
-// 2. Of the requests with four calls there, nine in a hundred would end whole, after three services
-//    had worked for each of them. The gate beside the server sends the calls again, as the server
-//    said that it had not begun them, and callers get their answers.
+// 1. A service four hops down refuses 45 % of its calls for six seconds although it has capacity.
+// 2. Of the requests with four calls to it, only nine in a hundred would succeed, after three
+// services
+//    had done their work for each of them. The gate on the server's host sends these calls again,
+//    as the server reported them as not started, and callers get their answers.
 TEST(RefusedCalls, RefusedCallsAreSentAgain)
 {
     start(true);
@@ -141,7 +143,8 @@
     CHECK(successShare(6s) < 0.2);
 }
 
-// Callers of a service that only sheds must not meet a storm of repeats: a fifth of the calls.
+// Guards against a retry storm at a service that sheds load all the time: repeats stay below a
+// fifth of the calls.
 TEST(RefusedCalls, RepeatsStayWithinTheBudget)
 {
     start(true);
@@ -168,7 +171,7 @@
     DOUBLES_EQUAL(450, m_answer.usage.at(0).loss.value(), 200);
 }
 
-// The server takes longer to turn the call away than its caller waits. Nothing more is sent for it.
+// The server takes longer to refuse the call than its caller waits. The call is not sent again.
 TEST(RefusedCalls, CallPastItsDeadlineIsNotSentAgain)
 {
     start(true);
