--- a/src/app/tests/refusedcallstest.cpp
+++ b/src/app/tests/refusedcallstest.cpp
@@ -121,10 +121,9 @@
 };
 
 // 1. A service four hops down refuses 45 % of its calls for six seconds although it has capacity.
-// 2. Of the requests with four calls to it, only nine in a hundred would succeed, after three
-// services
-//    had done their work for each of them. The gate on the server's host sends these calls again,
-//    as the server reported them as not started, and callers get their answers.
+// 2. Of the requests with four calls to it, nine in a hundred would succeed, after three services
+//    had done their work for each of them. The gate on the server's host sends the refused calls
+//    again, as the server reported them as not started, and callers get their answers.
 TEST(RefusedCalls, RefusedCallsAreSentAgain)
 {
     start(true);
@@ -143,8 +142,8 @@
     CHECK(successShare(6s) < 0.2);
 }
 
-// Guards against a retry storm at a service that sheds load all the time: repeats stay below a
-// fifth of the calls.
+// Guards against a retry storm at a service that sheds load all the time: repeats are
+// limited to a fifth of the calls.
 TEST(RefusedCalls, RepeatsStayWithinTheBudget)
 {
     start(true);
