--- a/src/app/internal/entry/entryrecorder.cpp
+++ b/src/app/internal/entry/entryrecorder.cpp
@@ -64,23 +64,23 @@
     m_observers.decisions.write(std::move(decision));
 }
 
-void EntryRecorder::recordEnd(const RequestFacts &facts, const RequestEnd &end)
+void EntryRecorder::recordEnd(const RequestFacts &facts, const RequestResult &result)
 {
     if (facts.depth == Depth(0)) {
-        m_observers.metrics.countRequest(end.verdict, facts.priority);
-        m_observers.metrics.observe(Timing::Request, end.took);
+        m_observers.metrics.countRequest(result.verdict, facts.priority);
+        m_observers.metrics.observe(Timing::Request, result.took);
     }
-    if (end.verdict.outcome == Outcome::Answered) {
+    if (result.verdict.outcome == Outcome::Answered) {
         m_observers.metrics.observe(Timing::AddedByDaemons,
-                                    std::max(end.took - end.served, Duration::zero()));
+                                    std::max(result.took - result.served, Duration::zero()));
     }
-    writeEnd(facts, end);
+    writeEnd(facts, result);
 }
 
-void EntryRecorder::writeEnd(const RequestFacts &facts, const RequestEnd &end)
+void EntryRecorder::writeEnd(const RequestFacts &facts, const RequestResult &result)
 {
-    const bool isAnswered = end.verdict.outcome == Outcome::Answered;
-    const bool isSuccess = isAnswered && !isServerError(end.status);
+    const bool isAnswered = result.verdict.outcome == Outcome::Answered;
+    const bool isSuccess = isAnswered && !isServerError(result.status);
     const DecisionKind kind = isAnswered ? DecisionKind::Answer : DecisionKind::Refuse;
     const Importance importance = isSuccess ? Importance::Routine : Importance::Essential;
     if (m_observers.decisions.leavesOut(kind, importance, facts.root)) {
@@ -89,15 +89,15 @@
     Decision decision = makeDecision(facts);
     decision.kind = kind;
     decision.importance = importance;
-    decision.attempt = end.attempts;
-    decision.outcome = toText(end.verdict.outcome);
-    decision.reason = toText(end.verdict.reason);
-    decision.inputs = { { "took_ms", toMillis(end.took) } };
+    decision.attempt = result.attempts;
+    decision.outcome = toText(result.verdict.outcome);
+    decision.reason = toText(result.verdict.reason);
+    decision.inputs = { { "took_ms", toMillis(result.took) } };
     if (isAnswered) {
-        decision.inputs.push_back({ "status", static_cast<double>(end.status) });
-        decision.inputs.push_back({ "served_ms", toMillis(end.served) });
+        decision.inputs.push_back({ "status", static_cast<double>(result.status) });
+        decision.inputs.push_back({ "served_ms", toMillis(result.served) });
     } else {
-        decision.inputs.push_back({ "retry_after_ms", toMillis(end.verdict.retryAfter) });
+        decision.inputs.push_back({ "retry_after_ms", toMillis(result.verdict.retryAfter) });
     }
     m_observers.decisions.write(std::move(decision));
 }
--- a/src/app/internal/entry/entryrecorder.h
+++ b/src/app/internal/entry/entryrecorder.h
@@ -28,7 +28,7 @@
 };
 
 /// Result of a request that was routed.
-struct RequestEnd
+struct RequestResult
 {
     Verdict verdict;
     /// HTTP status of the answer; not used if there is none.
@@ -65,11 +65,11 @@
 
     void recordAttempt(const RequestFacts &facts, const EntryAction &action, Duration left);
     void recordCancel(const RequestFacts &facts, const EntryAction &action);
-    void recordEnd(const RequestFacts &facts, const RequestEnd &end);
+    void recordEnd(const RequestFacts &facts, const RequestResult &result);
     void recordRejection(const Rejection &rejection);
 
 private:
-    void writeEnd(const RequestFacts &facts, const RequestEnd &end);
+    void writeEnd(const RequestFacts &facts, const RequestResult &result);
 
     Observers m_observers;
 };
--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -452,7 +452,7 @@
         returnQuotaUnit(active->incoming);
     }
     reportEnd(*active);
-    m_recorder.recordEnd(factsOf(active->incoming), endOf(*active));
+    m_recorder.recordEnd(factsOf(active->incoming), resultOf(*active));
     return compose(*active);
 }
 
@@ -507,19 +507,19 @@
 void EntryService::onAnswer(const ActiveRequestPtr &active, AttemptIndex attempt,
                             AttemptAnswer answer)
 {
-    AttemptResult end;
-    end.verdict = answer.message.verdict;
-    end.unspent = answer.message.unspent;
-    end.load = answer.message.load;
-    end.hasLoad = answer.isFromDaemon;
-    end.status = answer.message.response.status;
-    end.holder = answer.message.holder;
-    end.hasReachedUpstream =
-        end.verdict.outcome != Outcome::NotRun || answer.message.serviceTime > Duration::zero();
+    AttemptResult result;
+    result.verdict = answer.message.verdict;
+    result.unspent = answer.message.unspent;
+    result.load = answer.message.load;
+    result.hasLoad = answer.isFromDaemon;
+    result.status = answer.message.response.status;
+    result.holder = answer.message.holder;
+    result.hasReachedUpstream =
+        result.verdict.outcome != Outcome::NotRun || answer.message.serviceTime > Duration::zero();
     recordUsage(*active, answer);
     const bool isWanted = !active->call.isFinished();
-    const EntryActions actions = active->call.onEnd(m_loop.now(), attempt, end);
-    if (isWanted && end.verdict.outcome == Outcome::Answered) {
+    const EntryActions actions = active->call.onEnd(m_loop.now(), attempt, result);
+    if (isWanted && result.verdict.outcome == Outcome::Answered) {
         active->response = std::move(answer.message.response);
         active->serviceTime = answer.message.serviceTime;
     }
@@ -532,15 +532,15 @@
                          rankOf(incoming), incoming.priority, incoming.depth };
 }
 
-RequestEnd EntryService::endOf(const ActiveRequest &active) const
+RequestResult EntryService::resultOf(const ActiveRequest &active) const
 {
-    RequestEnd end;
-    end.verdict = active.verdict;
-    end.status = active.response.status;
-    end.attempts = active.call.attempts();
-    end.took = std::chrono::duration_cast<Duration>(m_loop.now() - active.startedAt);
-    end.served = active.serviceTime;
-    return end;
+    RequestResult result;
+    result.verdict = active.verdict;
+    result.status = active.response.status;
+    result.attempts = active.call.attempts();
+    result.took = std::chrono::duration_cast<Duration>(m_loop.now() - active.startedAt);
+    result.served = active.serviceTime;
+    return result;
 }
 
 void EntryService::armTimer(const ActiveRequestPtr &active)
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -141,7 +141,7 @@
     void onAnswer(const ActiveRequestPtr &active, AttemptIndex attempt, AttemptAnswer answer);
     void armTimer(const ActiveRequestPtr &active);
     RequestFacts factsOf(const Incoming &incoming) const;
-    RequestEnd endOf(const ActiveRequest &active) const;
+    RequestResult resultOf(const ActiveRequest &active) const;
     /// Answers, counts and logs a request that is not routed.
     HttpResponse refuse(Rejection rejection, bool isFromUpstream);
     HttpResponse compose(const ActiveRequest &active) const;
--- a/src/app/internal/gate/crashreporter.cpp
+++ b/src/app/internal/gate/crashreporter.cpp
@@ -42,22 +42,23 @@
     if (!isCut || isEndPlanned) {
         return false;
     }
-    const ServerState end = m_detector.check(server);
-    if (end == ServerState::EndDetected) {
+    const ServerState state = m_detector.check(server);
+    if (state == ServerState::EndDetected) {
         m_recorder.recordCrash(server);
         reportAbandoned(server);
     }
-    return end != ServerState::Running;
+    return state != ServerState::Running;
 }
 
 void CrashReporter::onEnd(const Announcement &server, const AccountName &account,
-                          const HttpRequest &request, const RunEnd &end, const SuspectRun &run)
+                          const HttpRequest &request, const RunResult &result,
+                          const SuspectRun &run)
 {
-    if (end.verdict.reason == Reason::ServerCrashed) {
+    if (result.verdict.reason == Reason::ServerCrashed) {
         reportCrash(server, fingerprintOf(account, request), run);
-    } else if (isAbandoned(end.verdict)) {
+    } else if (isAbandoned(result.verdict)) {
         rememberAbandoned(server, fingerprintOf(account, request));
-    } else if (end.verdict.outcome == Outcome::Answered && m_quarantine.hasSuspects()) {
+    } else if (result.verdict.outcome == Outcome::Answered && m_quarantine.hasSuspects()) {
         m_quarantine.noteCompletion(fingerprintOf(account, request), kindOf(server));
     }
 }
--- a/src/app/internal/gate/crashreporter.h
+++ b/src/app/internal/gate/crashreporter.h
@@ -4,7 +4,7 @@
 
 #include "app/internal/gate/crashdetector.h"
 #include "app/internal/gate/gaterecorder.h"
-#include "app/internal/gate/runend.h"
+#include "app/internal/gate/runresult.h"
 #include "app/internal/gate/suspectgate.h"
 #include "app/internal/quarantine/iquarantine.h"
 
@@ -26,7 +26,7 @@
     bool hasCrashed(const Announcement &server, const HttpResult &result, bool isEndPlanned);
     /// Called with the end of a run of the request that the account sent.
     void onEnd(const Announcement &server, const AccountName &account, const HttpRequest &request,
-               const RunEnd &end, const SuspectRun &run);
+               const RunResult &result, const SuspectRun &run);
 
 private:
     /// A run that was cancelled or timed out here and may continue at its server.
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -426,48 +426,48 @@
     }
     const TimePoint startedAt = m_loop.now();
     const Announcement server = upstream->announcement;
-    RunEnd end;
+    RunResult run;
     if (upstream->isWithdrawn) {
         // The server was withdrawn after the gate had started the call.
-        end = notRun(Reason::Draining);
+        run = notRun(Reason::Draining);
     } else if (startedAt >= found->second.deadline
                || (found->second.holdsClaim && !m_once.start(id))) {
         // The process was paused until after the deadline, or until the claim of the key expired.
-        end = notRun(Reason::DeadlineExceeded);
+        run = notRun(Reason::DeadlineExceeded);
     } else if (const auto decision = m_suspects.start(id, found->second.message, server);
                decision.action == SuspectAction::Refuse) {
-        end = notRun(decision.verdict.reason);
-        end.verdict = decision.verdict;
+        run = notRun(decision.verdict.reason);
+        run.verdict = decision.verdict;
     } else {
-        end = sendToServer(service, server, id);
+        run = sendToServer(service, server, id);
     }
 
     const TimePoint now = m_loop.now();
     const auto serviceTime = std::chrono::duration_cast<Duration>(now - startedAt);
     GateActions next;
     if (Upstream *gateOwner = findUpstream(service)) {
-        next = gateOwner->gate->finish(now, id, end.result, serviceTime);
+        next = gateOwner->gate->finish(now, id, run.result, serviceTime);
     }
     if (const auto ended = m_calls.find(id); ended != m_calls.end()) {
-        m_recorder.recordRun(ended->second.message, server.instance, end.verdict,
-                             end.response.status, serviceTime);
+        m_recorder.recordRun(ended->second.message, server.instance, run.verdict,
+                             run.response.status, serviceTime);
     }
-    endRun(id, std::move(end), serviceTime);
+    endRun(id, std::move(run), serviceTime);
     perform(service, next);
 }
 
-void GateService::endRun(CallId id, RunEnd end, Duration serviceTime)
+void GateService::endRun(CallId id, RunResult run, Duration serviceTime)
 {
     m_observers.metrics.observe(Timing::Upstream, serviceTime);
     const auto found = m_calls.find(id);
     if (found != m_calls.end() && found->second.holdsClaim
-        && end.verdict.outcome != Outcome::NotRun) {
+        && run.verdict.outcome != Outcome::NotRun) {
         found->second.holdsClaim = false;
-        m_once.finished(id, end.verdict, end.response);
+        m_once.finished(id, run.verdict, run.response);
     }
     AnswerMessage answer;
-    answer.verdict = end.verdict;
-    answer.response = std::move(end.response);
+    answer.verdict = run.verdict;
+    answer.response = std::move(run.response);
     answer.serviceTime = serviceTime;
     endCall(id, std::move(answer));
 }
@@ -478,31 +478,32 @@
 ///    services above have done their work.
 /// 3. Sending the call again from here costs one message on this host and no round trip to the
 ///    entry. This is done only for calls that the server reports as not started.
-RunEnd GateService::sendToServer(const ServiceName &service, const Announcement &server, CallId id)
+RunResult GateService::sendToServer(const ServiceName &service, const Announcement &server,
+                                    CallId id)
 {
     const Call &call = m_calls.at(id);
     findUpstream(service)->retryBudget->onArrival(m_loop.now(), call.message.isRepeat);
-    RunEnd end = exchange(server, id, call);
-    recordSend(service, end);
+    RunResult run = exchange(server, id, call);
+    recordSend(service, run);
     for (int sends = 1; sends < MAX_SENDS; ++sends) {
-        if (!isUpstreamRefusal(end.verdict) || !maySendAgain(service, server, id)) {
+        if (!isUpstreamRefusal(run.verdict) || !maySendAgain(service, server, id)) {
             break;
         }
-        end = exchange(server, id, m_calls.at(id));
-        recordSend(service, end);
+        run = exchange(server, id, m_calls.at(id));
+        recordSend(service, run);
     }
-    return end;
+    return run;
 }
 
-void GateService::recordSend(const ServiceName &service, const RunEnd &end)
+void GateService::recordSend(const ServiceName &service, const RunResult &run)
 {
     Upstream *upstream = findUpstream(service);
-    if (!upstream || end.result == CallResult::Cancelled || end.result == CallResult::TimedOut) {
+    if (!upstream || run.result == CallResult::Cancelled || run.result == CallResult::TimedOut) {
         return;
     }
     const bool isBroken =
-        end.verdict.reason == Reason::BrokenAnswer || end.verdict.reason == Reason::ServerCrashed;
-    upstream->loss.add(isBroken || isUpstreamRefusal(end.verdict));
+        run.verdict.reason == Reason::BrokenAnswer || run.verdict.reason == Reason::ServerCrashed;
+    upstream->loss.add(isBroken || isUpstreamRefusal(run.verdict));
 }
 
 bool GateService::maySendAgain(const ServiceName &service, const Announcement &server, CallId id)
@@ -521,7 +522,7 @@
     return upstream->retryBudget->tryTake(now, priorityOf(call.message.rank));
 }
 
-RunEnd GateService::exchange(const Announcement &server, CallId id, const Call &call)
+RunResult GateService::exchange(const Announcement &server, CallId id, const Call &call)
 {
     const auto remaining = std::chrono::duration_cast<Duration>(call.deadline - m_loop.now());
     HttpRequest request = call.message.request;
@@ -535,15 +536,16 @@
     HttpResult result = m_client.exchange(server.endpoint, request, remaining, cancellation);
     m_parents->onEnd(m_loop.now(), id);
     const bool isCrash = m_crashes.hasCrashed(server, result, isEndPlanned(server.info.service));
-    RunEnd end = result ? judgeAnswer(m_dialect, std::move(*result)) : judgeFailure(result.error());
+    RunResult run =
+        result ? resultOfResponse(m_dialect, std::move(*result)) : resultOfFailure(result.error());
     if (isCrash) {
-        end.verdict.reason = Reason::ServerCrashed;
+        run.verdict.reason = Reason::ServerCrashed;
     }
-    m_crashes.onEnd(server, account, request, end, m_suspects.runOf(id));
-    if (end.isServerMissing) {
+    m_crashes.onEnd(server, account, request, run, m_suspects.runOf(id));
+    if (run.isServerMissing) {
         reportServerMissing(server.instance);
     }
-    return end;
+    return run;
 }
 
 bool GateService::isEndPlanned(const ServiceName &service)
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -11,7 +11,7 @@
 #include "app/internal/gate/gaterecorder.h"
 #include "app/internal/gate/igateservice.h"
 #include "app/internal/gate/ionceservice.h"
-#include "app/internal/gate/runend.h"
+#include "app/internal/gate/runresult.h"
 #include "app/internal/gate/suspectgate.h"
 #include "app/internal/logs/observers.h"
 #include "app/internal/looplag.h"
@@ -133,10 +133,10 @@
     void startCall(const ServiceName &service, CallId id);
     void runCall(const ServiceName &service, CallId id);
     /// Sends the call, and again while the server refuses it and the retry budget allows it.
-    RunEnd sendToServer(const ServiceName &service, const Announcement &server, CallId id);
-    RunEnd exchange(const Announcement &server, CallId id, const Call &call);
+    RunResult sendToServer(const ServiceName &service, const Announcement &server, CallId id);
+    RunResult exchange(const Announcement &server, CallId id, const Call &call);
     bool isEndPlanned(const ServiceName &service);
-    void recordSend(const ServiceName &service, const RunEnd &end);
+    void recordSend(const ServiceName &service, const RunResult &run);
     bool maySendAgain(const ServiceName &service, const Announcement &server, CallId id);
     void reportServerMissing(const UpstreamId &instance);
     void endCall(CallId id, AnswerMessage answer);
@@ -148,7 +148,7 @@
     bool admitSuspect(CallId id, const Upstream &upstream);
     /// The call has ended: if it was a suspect, admits the next waiting one.
     void admitNextSuspect(const ServiceName &service, CallId ended);
-    void endRun(CallId id, RunEnd end, Duration serviceTime);
+    void endRun(CallId id, RunResult run, Duration serviceTime);
     void armTick(const ServiceName &service);
     void tick(const ServiceName &service);
     bool isGone(const Upstream &upstream) const;
--- a/src/app/internal/gate/runend.h
+++ b/src/app/internal/gate/runresult.h
@@ -9,7 +9,7 @@
 namespace ivyspar {
 
 /// Result of sending a call once to the server on this host.
-struct RunEnd
+struct RunResult
 {
     Verdict verdict;
     CallResult result = CallResult::Success;
@@ -19,10 +19,10 @@
 };
 
 /// Returns the result of a call that was not started, through no fault of the server.
-RunEnd notRun(Reason reason);
+RunResult notRun(Reason reason);
 /// Derives the result from the server's response.
-RunEnd judgeAnswer(const IUpstreamDialect &dialect, HttpResponse response);
+RunResult resultOfResponse(const IUpstreamDialect &dialect, HttpResponse response);
 /// Derives the result from a failed exchange: *not run* only if nothing was sent.
-RunEnd judgeFailure(const HttpFailure &failure);
+RunResult resultOfFailure(const HttpFailure &failure);
 
 } // namespace ivyspar
