--- a/src/app/internal/entry/peercalls.cpp
+++ b/src/app/internal/entry/peercalls.cpp
@@ -28,9 +28,9 @@
     for (const Member &member : members) {
         m_endpoints.emplace(member.id, member.peerEndpoint);
         m_domains[member.peerEndpoint] = member.domain;
-        const auto route = m_routes.find(member.peerEndpoint);
-        if (route != m_routes.end() && route->second.isOpen) {
-            compressIfFar(route->second.link, member.domain);
+        const auto outbound = m_outboundLinks.find(member.peerEndpoint);
+        if (outbound != m_outboundLinks.end() && outbound->second.isOpen) {
+            compressIfFar(outbound->second.link, member.domain);
         }
     }
 }
@@ -69,10 +69,10 @@
 
 void PeerCalls::sendLocal(StreamId stream, CallMessage call)
 {
-    const CallId id = m_gates.handle(std::move(call), CallSource::ThisDaemon,
-                                     [this, stream](AnswerMessage answer) {
-                                         end(stream, AttemptAnswer{ std::move(answer), true });
-                                     });
+    const CallId id = m_gates.handle(
+        std::move(call), CallSource::ThisDaemon, [this, stream](AnswerMessage answer) {
+            endAttempt(stream, AttemptAnswer{ std::move(answer), true });
+        });
     const auto found = m_attempts.find(stream);
     if (found != m_attempts.end()) {
         found->second.localCall = id;
@@ -82,27 +82,27 @@
 
 void PeerCalls::sendRemote(StreamId stream, const Endpoint &endpoint, std::string frame)
 {
-    Route &route = m_routes[endpoint];
-    if (route.isOpen) {
-        transmit(stream, route.link, std::move(frame));
+    OutboundLink &outbound = m_outboundLinks[endpoint];
+    if (outbound.isOpen) {
+        transmit(stream, outbound.link, std::move(frame));
         return;
     }
-    const bool isFirst = route.waiting.empty();
+    const bool isFirst = outbound.waiting.empty();
     const auto attempt = m_attempts.find(stream);
     if (attempt != m_attempts.end()) {
-        route.target = attempt->second.target;
+        outbound.target = attempt->second.target;
     }
-    route.waiting.emplace_back(stream, std::move(frame));
+    outbound.waiting.emplace_back(stream, std::move(frame));
     if (isFirst) {
-        m_loop.spawn([this, endpoint] { openRoute(endpoint); });
+        m_loop.spawn([this, endpoint] { openLink(endpoint); });
     }
 }
 
-void PeerCalls::openRoute(const Endpoint &endpoint)
+void PeerCalls::openLink(const Endpoint &endpoint)
 {
     const RetVal<LinkId> link = m_network.connect(endpoint);
     if (!link) {
-        failRoute(endpoint);
+        onLinkFailed(endpoint);
         return;
     }
     HelloMessage hello;
@@ -110,10 +110,10 @@
     hello.incarnation = m_self.incarnation;
     hello.domain = m_self.domain;
     if (!sendFrame(*link, m_codec.encode(PeerMessage(hello)))) {
-        failRoute(endpoint);
+        onLinkFailed(endpoint);
         return;
     }
-    flushRoute(endpoint, *link);
+    onLinkOpened(endpoint, *link);
 }
 
 void PeerCalls::recordLink(const DaemonId &peer, const char *outcome, const char *reason)
@@ -130,36 +130,36 @@
     m_observers.decisions.write(std::move(decision));
 }
 
-void PeerCalls::flushRoute(const Endpoint &endpoint, LinkId link)
+void PeerCalls::onLinkOpened(const Endpoint &endpoint, LinkId link)
 {
-    Route &route = m_routes[endpoint];
-    route.link = link;
-    route.isOpen = true;
+    OutboundLink &outbound = m_outboundLinks[endpoint];
+    outbound.link = link;
+    outbound.isOpen = true;
     m_observers.metrics.add(Counter::PeerLinksOpened);
-    recordLink(route.target, "open", "connected");
+    recordLink(outbound.target, "open", "connected");
     if (const auto domain = m_domains.find(endpoint); domain != m_domains.end()) {
         compressIfFar(link, domain->second);
     }
-    auto waiting = std::exchange(route.waiting, {});
+    auto waiting = std::exchange(outbound.waiting, {});
     for (auto &[stream, frame] : waiting) {
         transmit(stream, link, std::move(frame));
     }
 }
 
-void PeerCalls::failRoute(const Endpoint &endpoint)
+void PeerCalls::onLinkFailed(const Endpoint &endpoint)
 {
-    const auto found = m_routes.find(endpoint);
-    if (found == m_routes.end()) {
+    const auto found = m_outboundLinks.find(endpoint);
+    if (found == m_outboundLinks.end()) {
         return;
     }
-    const Route route = std::move(found->second);
-    m_routes.erase(found);
-    for (const auto &[stream, frame] : route.waiting) {
+    const OutboundLink outbound = std::move(found->second);
+    m_outboundLinks.erase(found);
+    for (const auto &[stream, frame] : outbound.waiting) {
         endWithoutAnswer(stream, Outcome::NotRun, Reason::ConnectFailed);
     }
-    recordLink(route.target, "lost", "connect-failed");
-    if (m_onUnreachable && !route.target.value().empty()) {
-        m_onUnreachable(route.target);
+    recordLink(outbound.target, "lost", "connect-failed");
+    if (m_onUnreachable && !outbound.target.value().empty()) {
+        m_onUnreachable(outbound.target);
     }
 }
 
@@ -185,8 +185,8 @@
     const Ret sent = sendFrame(link, std::move(frame));
     if (!sent) {
         // A new link can be lost before `connect` returns, and its loss is then not reported again:
-        // if its route were kept, every later call to that daemon would fail.
-        forgetRoute(link);
+        // if it were kept, every later call to that daemon would fail.
+        removeLink(link);
     }
     if (isControl) {
         return;
@@ -199,12 +199,12 @@
     found->second.isSent = true;
 }
 
-DaemonId PeerCalls::forgetRoute(LinkId link)
+DaemonId PeerCalls::removeLink(LinkId link)
 {
-    for (auto route = m_routes.begin(); route != m_routes.end(); ++route) {
-        if (route->second.isOpen && route->second.link == link) {
-            DaemonId target = route->second.target;
-            m_routes.erase(route);
+    for (auto outbound = m_outboundLinks.begin(); outbound != m_outboundLinks.end(); ++outbound) {
+        if (outbound->second.isOpen && outbound->second.link == link) {
+            DaemonId target = outbound->second.target;
+            m_outboundLinks.erase(outbound);
             return target;
         }
     }
@@ -236,7 +236,7 @@
     message.from = m_self.id;
     message.payload = std::move(payload);
     sendRemote(StreamId(), endpoint, m_codec.encode(PeerMessage(std::move(message))));
-    m_routes[endpoint].target = target;
+    m_outboundLinks[endpoint].target = target;
 }
 
 void PeerCalls::onFrame(LinkId link, std::string frame)
@@ -257,7 +257,7 @@
 void PeerCalls::onLinkDown(LinkId link)
 {
     m_observers.metrics.add(Counter::PeerLinksLost);
-    const DaemonId lost = forgetRoute(link);
+    const DaemonId lost = removeLink(link);
     std::vector<StreamId> lostAttempts;
     for (const auto &[stream, attempt] : m_attempts) {
         if (attempt.isSent && !attempt.isLocal && attempt.link == link) {
@@ -282,7 +282,7 @@
     }
 }
 
-void PeerCalls::end(StreamId stream, AttemptAnswer answer)
+void PeerCalls::endAttempt(StreamId stream, AttemptAnswer answer)
 {
     const auto found = m_attempts.find(stream);
     if (found == m_attempts.end()) {
@@ -299,7 +299,7 @@
     answer.message.stream = stream;
     answer.message.verdict.outcome = outcome;
     answer.message.verdict.reason = reason;
-    end(stream, std::move(answer));
+    endAttempt(stream, std::move(answer));
 }
 
 void PeerCalls::receive(LinkId link, HelloMessage &message)
@@ -340,7 +340,7 @@
         return;
     }
     const StreamId stream = message.stream;
-    end(stream, AttemptAnswer{ std::move(message), true });
+    endAttempt(stream, AttemptAnswer{ std::move(message), true });
 }
 
 void PeerCalls::receive(LinkId link, CancelMessage &message)
--- a/src/app/internal/entry/peercalls.h
+++ b/src/app/internal/entry/peercalls.h
@@ -70,7 +70,7 @@
         OnAnswer onAnswer;
     };
     /// A link that this daemon opens or has opened, with the frames that wait for it.
-    struct Route
+    struct OutboundLink
     {
         LinkId link;
         DaemonId target;
@@ -82,17 +82,17 @@
     void compressIfFar(LinkId link, const DomainName &domain);
     void sendLocal(StreamId stream, CallMessage call);
     void sendRemote(StreamId stream, const Endpoint &endpoint, std::string frame);
-    void openRoute(const Endpoint &endpoint);
+    void openLink(const Endpoint &endpoint);
     /// Logs that the link to a peer was opened or lost.
     void recordLink(const DaemonId &peer, const char *outcome, const char *reason);
-    void flushRoute(const Endpoint &endpoint, LinkId link);
-    void failRoute(const Endpoint &endpoint);
-    /// Removes the route that uses the link, and returns the daemon at its other end; empty if
+    void onLinkOpened(const Endpoint &endpoint, LinkId link);
+    void onLinkFailed(const Endpoint &endpoint);
+    /// Removes the link if this daemon opened it, and returns the daemon at its other end; empty if
     /// there is none.
-    DaemonId forgetRoute(LinkId link);
+    DaemonId removeLink(LinkId link);
     Ret sendFrame(LinkId link, std::string frame);
     void transmit(StreamId stream, LinkId link, std::string frame);
-    void end(StreamId stream, AttemptAnswer answer);
+    void endAttempt(StreamId stream, AttemptAnswer answer);
     void endWithoutAnswer(StreamId stream, Outcome outcome, Reason reason);
     void receive(LinkId link, HelloMessage &message);
     void receive(LinkId link, CallMessage &message);
@@ -113,7 +113,7 @@
     OnUnreachable m_onUnreachable;
     std::unordered_map<DaemonId, Endpoint> m_endpoints;
     std::map<Endpoint, DomainName> m_domains;
-    std::map<Endpoint, Route> m_routes;
+    std::map<Endpoint, OutboundLink> m_outboundLinks;
     std::unordered_map<StreamId, Attempt> m_attempts;
     std::map<InboundKey, CallId> m_inbound;
     std::uint64_t m_lastStream = 0;
