--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -55,7 +55,7 @@
     , m_parents(makeParentFinder())
 {
     m_quarantine.setListener(this);
-    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { dropGoneUpstreams(); });
+    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { removeGoneUpstreams(); });
 }
 
 GateService::~GateService()
@@ -165,7 +165,7 @@
     if (call.deadline > m_endsAt) {
         // If the load reported with the refusal did not say that the service is draining, the entry
         // would use this daemon again, and each call would come here first.
-        upstream->endsTooSoon = true;
+        upstream->reportsDraining = true;
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::Draining, Duration::zero() });
         return id;
     }
@@ -363,7 +363,7 @@
     LoadReport report;
     if (found != m_upstreams.end()) {
         report = found->second.gate->load(m_loop.now());
-        report.draining = report.draining || found->second.endsTooSoon;
+        report.draining = report.draining || found->second.reportsDraining;
         if (m_options.compensatesLoopLag) {
             report.demand = std::max(report.demand, m_processor.load());
         }
@@ -624,7 +624,7 @@
     }
 }
 
-bool GateService::isGone(const Upstream &upstream) const
+bool GateService::isRemovable(const Upstream &upstream) const
 {
     const bool isSilent = m_options.heartbeatTimeout > Duration::zero()
         && m_loop.now() - upstream.announcedAt > m_options.heartbeatTimeout;
@@ -642,18 +642,18 @@
     return dropsSilent ? m_options.heartbeatTimeout / 2 : m_options.sweepInterval;
 }
 
-void GateService::dropGoneUpstreams()
+void GateService::removeGoneUpstreams()
 {
     bool isChanged = false;
     for (auto it = m_upstreams.begin(); it != m_upstreams.end();) {
-        const bool isDropped = isGone(it->second);
+        const bool isDropped = isRemovable(it->second);
         isChanged = isChanged || isDropped;
         it = isDropped ? m_upstreams.erase(it) : std::next(it);
     }
     if (isChanged) {
         reportUpstreams();
     }
-    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { dropGoneUpstreams(); });
+    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { removeGoneUpstreams(); });
 }
 
 void GateService::reportUpstreams()
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -107,7 +107,7 @@
         bool isEndPlanned = false;
         /// A call of this service was refused as the daemon stops before its deadline: load reports
         /// say that the service is draining, so that entries choose other daemons.
-        bool endsTooSoon = false;
+        bool reportsDraining = false;
         LossEstimate loss;
         std::unique_ptr<ILocalRetryBudget> retryBudget;
     };
@@ -151,9 +151,9 @@
     void endRun(CallId id, RunResult run, Duration serviceTime);
     void armTick(const ServiceName &service);
     void tick(const ServiceName &service);
-    bool isGone(const Upstream &upstream) const;
+    bool isRemovable(const Upstream &upstream) const;
     Duration sweepInterval() const;
-    void dropGoneUpstreams();
+    void removeGoneUpstreams();
     void reportUpstreams();
 
     IEventLoop &m_loop;
--- a/src/app/tests/crashdetectortest.cpp
+++ b/src/app/tests/crashdetectortest.cpp
@@ -57,7 +57,7 @@
 }
 
 // Guards against missing a crash right after a reset connection because of the earlier check.
-TEST(CrashDetector, EarlierConnectionIsNoEvidence)
+TEST(CrashDetector, EarlierCheckDoesNotHideALaterCrash)
 {
     CHECK(m_detector.check(server()) == ServerState::Running);
     m_loop.advance(1ms);
--- a/src/app/tests/gateservicetest.cpp
+++ b/src/app/tests/gateservicetest.cpp
@@ -90,7 +90,7 @@
 // 1. A daemon is about to stop while its server continues to run. It accepts calls that end before
 //    the daemon does: refusing all would make the server unavailable for seconds.
 // 2. A call with a later deadline would be cut off, so it is refused at once as not run.
-TEST(GateService, DaemonBeforeItsEndAcceptsOnlyCallsThatEndInTime)
+TEST(GateService, StoppingDaemonAcceptsOnlyCallsThatEndInTime)
 {
     const ServiceName service("cassa");
     m_gates->announce(Announcement{ { service, 300, 2000, false }, { "127.0.0.1", 9000 }, {} });
