--- a/src/app/internal/entry/peercalls.cpp
+++ b/src/app/internal/entry/peercalls.cpp
@@ -185,7 +185,7 @@
     const Ret sent = sendFrame(link, std::move(frame));
     if (!sent) {
         // A new link can be lost before `connect` returns, and its loss is then not reported again:
-        // if it were kept, every later call to that daemon would fail.
+        // if the link were kept, every later call to that daemon would fail.
         removeLink(link);
     }
     if (isControl) {
--- a/src/app/internal/entry/peercalls.h
+++ b/src/app/internal/entry/peercalls.h
@@ -56,6 +56,7 @@
     void onFrame(LinkId link, std::string frame) override;
     void onLinkDown(LinkId link) override;
 
+    /// Number of attempts that have not ended.
     std::size_t openAttempts() const { return m_attempts.size(); }
 
 private:
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -79,7 +79,9 @@
     void startLeaving(TimePoint end) { m_endsAt = end; }
     /// Refuses new calls of all services from now on.
     void startDraining();
+    /// Number of calls that wait or run here.
     std::size_t callCount() const { return m_calls.size(); }
+    /// Returns the load of each upstream's gate.
     std::vector<std::pair<ServiceName, LoadReport>> loads() const;
 
     CallId handle(CallMessage call, CallSource source, Reply reply) override;
--- a/src/app/internal/gate/upstreammonitor.h
+++ b/src/app/internal/gate/upstreammonitor.h
@@ -23,6 +23,7 @@
                     GateService &gates, Observers observers);
 
     void setConfiguration(const ConfigurationPtr &configuration);
+    /// Handles the report of a server on this host.
     void onReport(const UpstreamReport &report);
 
 private:
