--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -207,7 +207,7 @@
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::NoServer, Duration::zero() });
         return;
     }
-    if (!admitSuspect(id, *upstream)) {
+    if (!passesSuspectGate(id, *upstream)) {
         return;
     }
     perform(
@@ -216,7 +216,7 @@
             m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.letIn }));
 }
 
-bool GateService::admitSuspect(CallId id, const Upstream &upstream)
+bool GateService::passesSuspectGate(CallId id, const Upstream &upstream)
 {
     const SuspectDecision decision =
         m_suspects.admit(id, m_calls.at(id).message, upstream.announcement);
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -147,7 +147,7 @@
     Duration recordArrival(TimePoint now, const CallMessage &message, CallSource source);
     void enterGate(CallId id);
     /// Returns false if the call was refused or waits until no other suspect runs.
-    bool admitSuspect(CallId id, const Upstream &upstream);
+    bool passesSuspectGate(CallId id, const Upstream &upstream);
     /// The call has ended: if it was a suspect, admits the next waiting one.
     void admitNextSuspect(const ServiceName &service, CallId ended);
     void endRun(CallId id, RunResult run, Duration serviceTime);
