--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -34,8 +34,8 @@
     bool isTrial = false;
 };
 
-/// Admits suspects, i.e. calls that may have crashed servers, at a gate: quarantined ones are
-/// refused, and the others run one at a time. Traffic thread only.
+/// Admits suspects, i.e. calls that may have crashed servers, at a gate: quarantined and
+/// held ones are refused, and the others run one at a time. Traffic thread only.
 class SuspectGate
 {
 public:
