--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -64,9 +64,9 @@
     /// Number of these that are requests of callers.
     std::size_t callerCount() const { return m_callerCount; }
 
-    /// A caller's request. Runs in the connection's fiber.
+    /// Handles a request of a caller and returns its answer. Runs in the connection's fiber.
     HttpResponse handleCaller(IHttpExchange &exchange);
-    /// A call that an upstream on this host makes.
+    /// Handles a call that an upstream on this host makes; otherwise as `handleCaller`.
     HttpResponse handleUpstream(IHttpExchange &exchange);
 
 private:
--- a/src/app/internal/entry/peercalls.h
+++ b/src/app/internal/entry/peercalls.h
@@ -70,7 +70,7 @@
         bool isCancelled = false;
         OnAnswer onAnswer;
     };
-    /// A link that this daemon opens or has opened, with the frames that wait for it.
+    /// A link that this daemon is opening or has opened, with the frames that wait for it.
     struct OutboundLink
     {
         LinkId link;
