--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -15,11 +15,12 @@
 
 namespace {
 
-/// Waiting ends by the call's own deadline; this only bounds a broken invariant.
+/// The wait for the result ends by the call's own deadline; this margin only bounds it if an
+/// invariant is broken.
 constexpr Duration WAIT_MARGIN = std::chrono::seconds(10);
 
-/// The server answered, and not with an error: all its calls were made.
-bool isWhole(const Verdict &verdict, const HttpResponse &response)
+/// The server answered without an error, so it has made all its inner calls.
+bool isSuccess(const Verdict &verdict, const HttpResponse &response)
 {
     return verdict.outcome == Outcome::Answered && !isServerError(response.status);
 }
@@ -31,21 +32,23 @@
 
 } // namespace
 
-/// One request from its arrival to the end of its last attempt, which may come after its answer.
-struct EntryService::Run : boost::intrusive_ref_counter<Run, boost::thread_unsafe_counter>
+/// A request from its arrival to the end of its last attempt, which may come after its answer.
+struct EntryService::ActiveRequest
+    : boost::intrusive_ref_counter<ActiveRequest, boost::thread_unsafe_counter>
 {
-    Run(EntryService &service, Incoming terms, EntryCallOptions callTerms)
-        : incoming(std::move(terms))
-        , call(service.m_policies, incoming.ledger->ledger, watch(service, std::move(callTerms)))
+    ActiveRequest(EntryService &service, Incoming request, EntryCallOptions options)
+        : incoming(std::move(request))
+        , call(service.m_policies, incoming.budget->budget,
+               withSuspectChecks(service, std::move(options)))
         , done(service.m_loop)
     {
     }
 
-    EntryCallOptions watch(const EntryService &service, EntryCallOptions terms)
+    EntryCallOptions withSuspectChecks(const EntryService &service, EntryCallOptions options)
     {
-        terms.standing = [this, &service] { return service.standingOf(incoming); };
-        terms.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
-        return terms;
+        options.standing = [this, &service] { return service.standingOf(incoming); };
+        options.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
+        return options;
     }
 
     Incoming incoming;
@@ -76,7 +79,7 @@
     , m_recorder(observers)
     , m_options(options)
     , m_lag(loop)
-    , m_guard(options.mindsLag)
+    , m_guard(options.compensatesLoopLag)
 {
 }
 
@@ -99,7 +102,7 @@
     if (!incoming) {
         return refuse(incoming.error(), isFromUpstream);
     }
-    const std::size_t callers = isCallers(*incoming, isFromUpstream) ? 1 : 0;
+    const std::size_t callers = isFromCaller(*incoming, isFromUpstream) ? 1 : 0;
     ++m_requestCount;
     m_callerCount += callers;
     HttpResponse response = runRequest(exchange, std::move(*incoming));
@@ -117,29 +120,29 @@
     }
     const std::string context = read->context;
     const std::optional<AccountKey> key = read->key;
-    const Duration lag = m_options.mindsLag ? m_lag.now() : Duration::zero();
+    const Duration lag = m_options.compensatesLoopLag ? m_lag.now() : Duration::zero();
     m_observers.metrics.observe(Timing::ReadLag, lag);
     Incoming incoming = makeIncoming(std::move(*read));
     incoming.deadline -= lag;
     if (isFromUpstream) {
         applyContext(context, incoming);
     } else if (m_options.infersParents && !key) {
-        // Callers show a key where one is needed; calls of servers never have one.
-        const bool isServers = m_accounts.needsKey(incoming.rule);
-        inferContext(exchange.tally(), isServers ? RequestSender::Server : RequestSender::Unknown,
-                     incoming);
+        // Where a key is required, callers send one; calls of servers never have one.
+        const bool isFromServer = m_accounts.needsKey(incoming.rule);
+        inferContext(exchange.tally(),
+                     isFromServer ? RequestSender::Server : RequestSender::Unknown, incoming);
     } else if (m_options.hasSharedBudget && incoming.callerAttempt > incoming.rule.callerAttempts) {
-        // Past the bound the answer is final: without it a client that retries for ever would make
-        // the number of attempts for one tap unbounded.
+        // Beyond this number the refusal is final: a client that retries forever would otherwise
+        // make the number of attempts for one user action unbounded.
         return Refusal(reject(EarlyRefusal{ incoming.root, notRun(Reason::CallerAttempts) }));
     }
-    // Only now it is known whose request it is. Calls of the server beside go on: refused, they
-    // would fail the requests that it was given before.
-    if (m_isDraining && isCallers(incoming, isFromUpstream)) {
+    // Only now is it known whether a caller sent the request. Calls of the local server are still
+    // accepted while draining: refusing them would fail the requests that it is working on.
+    if (m_isDraining && isFromCaller(incoming, isFromUpstream)) {
         return Refusal(reject(EarlyRefusal{ incoming.root, notRun(Reason::ShuttingDown) }));
     }
-    const bool isOfCaller = isCallers(incoming, isFromUpstream);
-    if (isOfCaller) {
+    const bool isCallerRequest = isFromCaller(incoming, isFromUpstream);
+    if (isCallerRequest) {
         if (const auto verdict = identify(key, incoming)) {
             return Refusal(rejectAccount(incoming, *verdict));
         }
@@ -148,25 +151,25 @@
     if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
         return Refusal(rejectSuspect(incoming, standing));
     }
-    if (isOfCaller && !m_guard.admits(lag, incoming.rule.priority, m_highest)) {
-        return Refusal(overrunOf(incoming, lag));
+    if (isCallerRequest && !m_guard.admits(lag, incoming.rule.priority, m_highestPriority)) {
+        return Refusal(rejectOverload(incoming, lag));
     }
-    if (!incoming.ledger) {
-        incoming.ledger = new CallLedger(incoming.rule.attempts);
+    if (!incoming.budget) {
+        incoming.budget = new CallBudget(incoming.rule.attempts);
     }
-    if (isOfCaller) {
-        if (const auto verdict = takeUnit(exchange, incoming)) {
+    if (isCallerRequest) {
+        if (const auto verdict = takeQuotaUnit(exchange, incoming)) {
             return Refusal(rejectAccount(incoming, *verdict));
         }
     }
-    if (!letIn(incoming)) {
-        giveUnitBack(incoming);
-        return Refusal(rejectionOf(incoming));
+    if (!admit(incoming)) {
+        returnQuotaUnit(incoming);
+        return Refusal(rejectBelowFloor(incoming));
     }
     return incoming;
 }
 
-bool EntryService::isCallers(const Incoming &incoming, bool isFromUpstream)
+bool EntryService::isFromCaller(const Incoming &incoming, bool isFromUpstream)
 {
     return !isFromUpstream && incoming.depth == Depth(0);
 }
@@ -175,7 +178,7 @@
 {
     Incoming incoming;
     incoming.root = request.root == RootId() ? RootId(m_policies.random.next()) : request.root;
-    incoming.own = incoming.root;
+    incoming.ownId = incoming.root;
     incoming.rule = *request.rule;
     if (!incoming.rule.split.empty()) {
         incoming.rule.service = m_split->choose(incoming.rule, m_policies.random);
@@ -194,9 +197,9 @@
 {
     m_configuration = std::move(configuration);
     m_split->reset();
-    m_highest = Priority();
+    m_highestPriority = Priority();
     for (const RuleSpec &rule : m_configuration->rules.rules) {
-        m_highest = std::max(m_highest, rule.priority);
+        m_highestPriority = std::max(m_highestPriority, rule.priority);
     }
 }
 
@@ -204,22 +207,22 @@
 {
     const auto context = token.empty() ? std::nullopt : m_gates.findContext(token);
     if (!context) {
-        // Nothing ties this call to a request's budget: one attempt, or a hop that drops the header
-        // would start a fresh budget at each level and attempts would multiply with depth.
+        // Without context the call has no request's budget to share. It gets one attempt: if a hop
+        // that drops the header started a new budget, attempts would multiply with depth.
         incoming.isSingleAttempt = true;
-        incoming.ledger = new CallLedger(AttemptCount(1));
+        incoming.budget = new CallBudget(AttemptCount(1));
         return;
     }
     inherit(*context, incoming);
     if (m_options.hasSharedBudget) {
-        incoming.ledger = context->ledger;
+        incoming.budget = context->budget;
     }
 }
 
-void EntryService::inferContext(ConnectionTally &tally, RequestSender maker, Incoming &incoming)
+void EntryService::inferContext(ConnectionTally &tally, RequestSender sender, Incoming &incoming)
 {
     const InferredContext inferred =
-        m_gates.inferContext(tally, incoming.rule.name, incoming.callerDeadline, maker);
+        m_gates.inferContext(tally, incoming.rule.name, incoming.callerDeadline, sender);
     if (!inferred.isInner) {
         return;
     }
@@ -256,33 +259,33 @@
     return std::nullopt;
 }
 
-/// Before the load is looked at: what lies beyond an account's limit is no demand that others would
-/// have to make room for.
-std::optional<Verdict> EntryService::takeUnit(IHttpExchange &exchange, Incoming &incoming)
+/// Called before root admission, as requests beyond an account's limit must not count as demand
+/// that displaces other requests.
+std::optional<Verdict> EntryService::takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming)
 {
     if (incoming.account.value().empty()) {
         return std::nullopt;
     }
-    bool isGone = false;
-    exchange.onDisconnect([&isGone] { isGone = true; });
+    bool isDisconnected = false;
+    exchange.onDisconnect([&isDisconnected] { isDisconnected = true; });
     std::optional<Verdict> verdict = m_accounts.take(incoming.account);
     exchange.onDisconnect({});
-    incoming.hasUnit = !verdict;
-    if (isGone) {
-        giveUnitBack(incoming);
+    incoming.holdsQuotaUnit = !verdict;
+    if (isDisconnected) {
+        returnQuotaUnit(incoming);
         return notRun(Reason::Cancelled);
     }
     return verdict;
 }
 
-void EntryService::giveUnitBack(Incoming &incoming)
+void EntryService::returnQuotaUnit(Incoming &incoming)
 {
-    if (std::exchange(incoming.hasUnit, false)) {
+    if (std::exchange(incoming.holdsQuotaUnit, false)) {
         m_accounts.refund(incoming.account);
     }
 }
 
-bool EntryService::letIn(Incoming &incoming)
+bool EntryService::admit(Incoming &incoming)
 {
     if (!m_options.hasRootAdmission || incoming.depth > Depth(0)) {
         return true;
@@ -292,7 +295,7 @@
     if (!m_admission->admit(now, target)) {
         return false;
     }
-    incoming.isLetIn = true;
+    incoming.isAdmitted = true;
     incoming.letIn = m_admission->admittedShare(now, target);
     return true;
 }
@@ -309,18 +312,18 @@
     return rejection;
 }
 
-Duration EntryService::returnOf(const Incoming &incoming)
+Duration EntryService::retryAfterOf(const Incoming &incoming)
 {
-    const Duration wanted =
+    const Duration delay =
         m_policies.retries.retryAfter(m_loop.now(), incoming.rule.service, m_policies.random);
-    return boundRetryAfter(wanted, incoming.rule.targetLatency, m_policies.random);
+    return boundRetryAfter(delay, incoming.rule.targetLatency, m_policies.random);
 }
 
-Rejection EntryService::rejectionOf(const Incoming &incoming)
+Rejection EntryService::rejectBelowFloor(const Incoming &incoming)
 {
     const TimePoint now = m_loop.now();
     const ServiceName &service = incoming.rule.service;
-    const Verdict verdict{ Outcome::NotRun, Reason::BelowFloor, returnOf(incoming) };
+    const Verdict verdict{ Outcome::NotRun, Reason::BelowFloor, retryAfterOf(incoming) };
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = service;
     rejection.rule = incoming.rule.name;
@@ -338,7 +341,7 @@
     return rejection;
 }
 
-/// Nothing is hashed while no request is suspected.
+/// Computes no fingerprint while there are no suspects.
 Assessment EntryService::standingOf(Incoming &incoming) const
 {
     return m_quarantine.hasSuspects() ? m_quarantine.assess(fingerprintOf(incoming)) : Assessment();
@@ -352,7 +355,7 @@
     return incoming.fingerprint;
 }
 
-/// One in quarantine is not told when to come back, as that would not help.
+/// For a quarantined request `standing.retryAfter` is zero, as a retry would not help.
 Rejection EntryService::rejectSuspect(const Incoming &incoming, const Assessment &standing) const
 {
     const bool isFinal = standing.suspicion == Suspicion::Quarantined;
@@ -375,10 +378,10 @@
     return rejection;
 }
 
-Rejection EntryService::overrunOf(const Incoming &incoming, Duration lag)
+Rejection EntryService::rejectOverload(const Incoming &incoming, Duration lag)
 {
     const ServiceName &service = incoming.rule.service;
-    const Verdict verdict{ Outcome::NotRun, Reason::QueueFull, returnOf(incoming) };
+    const Verdict verdict{ Outcome::NotRun, Reason::QueueFull, retryAfterOf(incoming) };
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = service;
     rejection.rule = incoming.rule.name;
@@ -386,28 +389,28 @@
     return rejection;
 }
 
-/// The cost goes up to the call during which this one was made, and at last to the entry of the
-/// caller's request, which learns from it.
-void EntryService::bookUsage(const Run &run, const AttemptAnswer &answer)
+/// Adds the usage to the call during which this one was made. At depth 0 root admission learns the
+/// cost of the rule's call tree from it.
+void EntryService::recordUsage(const ActiveRequest &active, const AttemptAnswer &answer)
 {
     const TreeUsage &usage = answer.message.usage;
-    if (run.incoming.tree) {
-        m_gates.book(*run.incoming.tree, usage);
+    if (active.incoming.tree) {
+        m_gates.recordUsage(*active.incoming.tree, usage);
         return;
     }
-    if (m_options.hasRootAdmission && run.incoming.depth == Depth(0)) {
-        m_admission->onAttemptEnd(m_loop.now(), targetOf(run.incoming), usage,
-                                  isWhole(answer.message.verdict, answer.message.response));
+    if (m_options.hasRootAdmission && active.incoming.depth == Depth(0)) {
+        m_admission->onAttemptEnd(m_loop.now(), targetOf(active.incoming), usage,
+                                  isSuccess(answer.message.verdict, answer.message.response));
     }
 }
 
-void EntryService::tellEnd(const Run &run)
+void EntryService::reportEnd(const ActiveRequest &active)
 {
-    if (!run.incoming.isLetIn) {
+    if (!active.incoming.isAdmitted) {
         return;
     }
-    m_admission->onRequestEnd(targetOf(run.incoming),
-                              rootResultOf(run.verdict, run.response.status));
+    m_admission->onRequestEnd(targetOf(active.incoming),
+                              rootResultOf(active.verdict, active.response.status));
 }
 
 Rank EntryService::rankOf(const Incoming &incoming) const
@@ -419,58 +422,62 @@
 
 HttpResponse EntryService::runRequest(IHttpExchange &exchange, Incoming incoming)
 {
-    EntryCallOptions terms;
-    terms.rule = incoming.rule;
-    terms.rank = rankOf(incoming);
-    terms.deadline = incoming.deadline;
-    terms.isSingleAttempt = incoming.isSingleAttempt;
+    EntryCallOptions options;
+    options.rule = incoming.rule;
+    options.rank = rankOf(incoming);
+    options.deadline = incoming.deadline;
+    options.isSingleAttempt = incoming.isSingleAttempt;
     if (incoming.once && !incoming.once->ticket.empty()) {
         if (const auto owner = readTicketOwner(incoming.once->ticket)) {
-            terms.pinned = owner->daemon;
+            options.pinned = owner->daemon;
         }
     }
-    const RunPtr run = new Run(*this, std::move(incoming), std::move(terms));
+    const ActiveRequestPtr active =
+        new ActiveRequest(*this, std::move(incoming), std::move(options));
 
-    run->startedAt = m_loop.now();
-    exchange.onDisconnect([this, run] { perform(run, run->call.onCallerGone(m_loop.now())); });
-    perform(run, run->call.start(m_loop.now()));
-    const auto left = std::chrono::duration_cast<Duration>(run->incoming.deadline - m_loop.now());
-    const auto verdict = run->done.wait(std::max(left, Duration::zero()) + WAIT_MARGIN);
+    active->startedAt = m_loop.now();
+    exchange.onDisconnect(
+        [this, active] { perform(active, active->call.onCallerGone(m_loop.now())); });
+    perform(active, active->call.start(m_loop.now()));
+    const auto left =
+        std::chrono::duration_cast<Duration>(active->incoming.deadline - m_loop.now());
+    const auto verdict = active->done.wait(std::max(left, Duration::zero()) + WAIT_MARGIN);
     exchange.onDisconnect({});
-    if (m_options.infersParents && run->incoming.depth > Depth(0)) {
-        m_gates.noteInnerAnswer(run->incoming.rule.name);
+    if (m_options.infersParents && active->incoming.depth > Depth(0)) {
+        m_gates.onInnerAnswer(active->incoming.rule.name);
     }
-    run->verdict = verdict.value_or(Verdict{ Outcome::Unknown, Reason::Timeout, Duration::zero() });
-    if (run->verdict.outcome == Outcome::NotRun) {
-        giveUnitBack(run->incoming);
+    active->verdict =
+        verdict.value_or(Verdict{ Outcome::Unknown, Reason::Timeout, Duration::zero() });
+    if (active->verdict.outcome == Outcome::NotRun) {
+        returnQuotaUnit(active->incoming);
     }
-    tellEnd(*run);
-    m_recorder.recordEnd(factsOf(run->incoming), endOf(*run));
-    return compose(*run);
+    reportEnd(*active);
+    m_recorder.recordEnd(factsOf(active->incoming), resultOf(*active));
+    return compose(*active);
 }
 
-void EntryService::perform(const RunPtr &run, const EntryActions &actions)
+void EntryService::perform(const ActiveRequestPtr &active, const EntryActions &actions)
 {
     for (const EntryAction &action : actions) {
         switch (action.type) {
         case EntryActionType::Send:
-            sendAttempt(run, action);
+            sendAttempt(active, action);
             break;
         case EntryActionType::Cancel:
-            m_recorder.recordCancel(factsOf(run->incoming), action);
-            m_sender.cancel(run->streams.at(action.attempt.value()));
+            m_recorder.recordCancel(factsOf(active->incoming), action);
+            m_sender.cancel(active->streams.at(action.attempt.value()));
             break;
         case EntryActionType::Finish:
-            run->done.set(action.verdict);
+            active->done.set(action.verdict);
             break;
         }
     }
-    armTimer(run);
+    armTimer(active);
 }
 
-void EntryService::sendAttempt(const RunPtr &run, const EntryAction &action)
+void EntryService::sendAttempt(const ActiveRequestPtr &active, const EntryAction &action)
 {
-    const Incoming &incoming = run->incoming;
+    const Incoming &incoming = active->incoming;
     CallMessage call;
     call.root = incoming.root;
     call.service = incoming.service;
@@ -489,68 +496,69 @@
 
     m_recorder.recordAttempt(factsOf(incoming), action, call.remaining);
     const std::size_t index = action.attempt.value();
-    run->streams.resize(std::max(run->streams.size(), index + 1));
+    active->streams.resize(std::max(active->streams.size(), index + 1));
     const AttemptIndex attempt = action.attempt;
-    run->streams[index] =
-        m_sender.send(action.target, std::move(call), [this, run, attempt](AttemptAnswer answer) {
-            onAnswer(run, attempt, std::move(answer));
-        });
-}
-
-void EntryService::onAnswer(const RunPtr &run, AttemptIndex attempt, AttemptAnswer answer)
-{
-    AttemptResult end;
-    end.verdict = answer.message.verdict;
-    end.unspent = answer.message.unspent;
-    end.load = answer.message.load;
-    end.hasLoad = answer.isFromDaemon;
-    end.status = answer.message.response.status;
-    end.holder = answer.message.holder;
-    end.hasReachedUpstream =
-        end.verdict.outcome != Outcome::NotRun || answer.message.serviceTime > Duration::zero();
-    bookUsage(*run, answer);
-    const bool isWanted = !run->call.isFinished();
-    const EntryActions actions = run->call.onEnd(m_loop.now(), attempt, end);
-    if (isWanted && end.verdict.outcome == Outcome::Answered) {
-        run->response = std::move(answer.message.response);
-        run->serviceTime = answer.message.serviceTime;
-    }
-    perform(run, actions);
+    active->streams[index] = m_sender.send(action.target, std::move(call),
+                                           [this, active, attempt](AttemptAnswer answer) {
+                                               onAnswer(active, attempt, std::move(answer));
+                                           });
+}
+
+void EntryService::onAnswer(const ActiveRequestPtr &active, AttemptIndex attempt,
+                            AttemptAnswer answer)
+{
+    AttemptResult result;
+    result.verdict = answer.message.verdict;
+    result.unspent = answer.message.unspent;
+    result.load = answer.message.load;
+    result.hasLoad = answer.isFromDaemon;
+    result.status = answer.message.response.status;
+    result.holder = answer.message.holder;
+    result.hasReachedUpstream =
+        result.verdict.outcome != Outcome::NotRun || answer.message.serviceTime > Duration::zero();
+    recordUsage(*active, answer);
+    const bool isWanted = !active->call.isFinished();
+    const EntryActions actions = active->call.onEnd(m_loop.now(), attempt, result);
+    if (isWanted && result.verdict.outcome == Outcome::Answered) {
+        active->response = std::move(answer.message.response);
+        active->serviceTime = answer.message.serviceTime;
+    }
+    perform(active, actions);
 }
 
 RequestFacts EntryService::factsOf(const Incoming &incoming) const
 {
-    return RequestFacts{ incoming.root,    incoming.own,      incoming.service, incoming.rule.name,
+    return RequestFacts{ incoming.root,    incoming.ownId,    incoming.service, incoming.rule.name,
                          rankOf(incoming), incoming.priority, incoming.depth };
 }
 
-RequestEnd EntryService::endOf(const Run &run) const
+RequestResult EntryService::resultOf(const ActiveRequest &active) const
 {
-    RequestEnd end;
-    end.verdict = run.verdict;
-    end.status = run.response.status;
-    end.attempts = run.call.attempts();
-    end.took = std::chrono::duration_cast<Duration>(m_loop.now() - run.startedAt);
-    end.served = run.serviceTime;
-    return end;
+    RequestResult result;
+    result.verdict = active.verdict;
+    result.status = active.response.status;
+    result.attempts = active.call.attempts();
+    result.took = std::chrono::duration_cast<Duration>(m_loop.now() - active.startedAt);
+    result.served = active.serviceTime;
+    return result;
 }
 
-void EntryService::armTimer(const RunPtr &run)
+void EntryService::armTimer(const ActiveRequestPtr &active)
 {
-    const TimePoint next = run->call.nextTimer();
-    if (next == run->timerAt) {
+    const TimePoint next = active->call.nextTimer();
+    if (next == active->timerAt) {
         return;
     }
-    m_loop.cancelTimer(run->timer);
-    run->timerAt = next;
+    m_loop.cancelTimer(active->timer);
+    active->timerAt = next;
     if (next == TimePoint::max()) {
         return;
     }
     const auto delay =
         std::max(std::chrono::duration_cast<Duration>(next - m_loop.now()), Duration::zero());
-    run->timer = m_loop.callLater(delay, [this, run] {
-        run->timerAt = TimePoint::max();
-        perform(run, run->call.onTimer(m_loop.now()));
+    active->timer = m_loop.callLater(delay, [this, active] {
+        active->timerAt = TimePoint::max();
+        perform(active, active->call.onTimer(m_loop.now()));
     });
 }
 
@@ -567,13 +575,13 @@
     return m_dialect.makeRefusal(refusal.root, refusal.verdict, 0);
 }
 
-HttpResponse EntryService::compose(const Run &run) const
+HttpResponse EntryService::compose(const ActiveRequest &active) const
 {
-    if (run.verdict.outcome != Outcome::Answered) {
-        return m_dialect.makeRefusal(run.incoming.root, run.verdict, run.call.attempts());
+    if (active.verdict.outcome != Outcome::Answered) {
+        return m_dialect.makeRefusal(active.incoming.root, active.verdict, active.call.attempts());
     }
-    HttpResponse response = run.response;
-    m_dialect.completeAnswer(run.incoming.root, run.call.attempts(), response);
+    HttpResponse response = active.response;
+    m_dialect.completeAnswer(active.incoming.root, active.call.attempts(), response);
     return response;
 }
 
--- a/src/app/internal/entry/peercalls.h
+++ b/src/app/internal/entry/peercalls.h
@@ -17,7 +17,7 @@
 
 namespace ivyspar {
 
-/// Who this daemon is.
+/// Identity of this daemon.
 struct DaemonIdentity
 {
     DaemonId id;
@@ -25,8 +25,8 @@
     DomainName domain;
 };
 
-/// Matches attempts and answers over the links between daemons, in both directions. Attempts to
-/// this daemon itself skip the link. Traffic thread only.
+/// Sends attempts and answers over the links between daemons, in both directions, and matches them
+/// by stream id. Attempts to this daemon itself bypass the links. Traffic thread only.
 class PeerCalls : public ICallSender, public IPeerHandler
 {
 public:
@@ -38,9 +38,9 @@
     ~PeerCalls() override;
 
     void setMembers(const std::vector<Member> &members);
-    /// Control frames that arrive.
+    /// Called with each control message that arrives.
     void setOnControl(OnControl onControl) { m_onControl = std::move(onControl); }
-    /// A daemon to which no link could be opened, or whose link was lost.
+    /// Called with a daemon to which no link could be opened, or whose link was lost.
     void setOnUnreachable(OnUnreachable onUnreachable)
     {
         m_onUnreachable = std::move(onUnreachable);
@@ -49,13 +49,14 @@
     StreamId send(const DaemonId &target, CallMessage call, OnAnswer onAnswer) override;
     void cancel(StreamId stream) override;
 
-    /// Sends to a daemon by its endpoint; lost without notice when it cannot be reached, but for
-    /// `onUnreachable` when `target` is named.
+    /// Sends a control message to the daemon at the endpoint. If that cannot be reached the message
+    /// is lost, which is only reported by `onUnreachable`, and only if `target` is not empty.
     void sendControl(const DaemonId &target, const Endpoint &endpoint, std::string payload);
 
     void onFrame(LinkId link, std::string frame) override;
     void onLinkDown(LinkId link) override;
 
+    /// Number of attempts that have not ended.
     std::size_t openAttempts() const { return m_attempts.size(); }
 
 private:
@@ -69,8 +70,8 @@
         bool isCancelled = false;
         OnAnswer onAnswer;
     };
-    /// A link of ours that is open or being opened, with the frames that wait for it.
-    struct Route
+    /// A link that this daemon is opening or has opened, with the frames that wait for it.
+    struct OutboundLink
     {
         LinkId link;
         DaemonId target;
@@ -82,17 +83,18 @@
     void compressIfFar(LinkId link, const DomainName &domain);
     void sendLocal(StreamId stream, CallMessage call);
     void sendRemote(StreamId stream, const Endpoint &endpoint, std::string frame);
-    void openRoute(const Endpoint &endpoint);
-    /// Tells that the way to a peer is open or lost.
+    void openLink(const Endpoint &endpoint);
+    /// Logs that the link to a peer was opened or lost.
     void recordLink(const DaemonId &peer, const char *outcome, const char *reason);
-    void flushRoute(const Endpoint &endpoint, LinkId link);
-    void failRoute(const Endpoint &endpoint);
-    /// Returns the daemon at the link's other end; empty if no route uses the link.
-    DaemonId forgetRoute(LinkId link);
+    void onLinkOpened(const Endpoint &endpoint, LinkId link);
+    void onLinkFailed(const Endpoint &endpoint);
+    /// Removes the link if this daemon opened it, and returns the daemon at its other end; empty if
+    /// there is none.
+    DaemonId removeLink(LinkId link);
     Ret sendFrame(LinkId link, std::string frame);
     void transmit(StreamId stream, LinkId link, std::string frame);
-    void end(StreamId stream, AttemptAnswer answer);
-    void endWithout(StreamId stream, Outcome outcome, Reason reason);
+    void endAttempt(StreamId stream, AttemptAnswer answer);
+    void endWithoutAnswer(StreamId stream, Outcome outcome, Reason reason);
     void receive(LinkId link, HelloMessage &message);
     void receive(LinkId link, CallMessage &message);
     void receive(LinkId link, AnswerMessage &message);
@@ -112,7 +114,7 @@
     OnUnreachable m_onUnreachable;
     std::unordered_map<DaemonId, Endpoint> m_endpoints;
     std::map<Endpoint, DomainName> m_domains;
-    std::map<Endpoint, Route> m_routes;
+    std::map<Endpoint, OutboundLink> m_outboundLinks;
     std::unordered_map<StreamId, Attempt> m_attempts;
     std::map<InboundKey, CallId> m_inbound;
     std::uint64_t m_lastStream = 0;
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-/// A claim that is not settled by then is refused while the entry can still pass on that it was not
-/// run; at the deadline itself the entry could only say "unknown".
+/// Share of the call's remaining time after which an unsettled claim is refused. The rest leaves
+/// the entry time to report that the call was not run; at the deadline it could only report
+/// "unknown".
 constexpr int CLAIM_SHARE_PERCENT = 90;
 
-/// Times that a call is sent to a server that turns it away: where that happens to half of them,
-/// fewer than 2 in 100 calls are left over.
-constexpr int MOST_SENDS = 6;
+/// Maximum number of times that a call is sent to a server that refuses it: if half of all sends
+/// are refused, fewer than 2 in 100 calls fail.
+constexpr int MAX_SENDS = 6;
 
-bool isTurnedAway(const Verdict &verdict)
+bool isUpstreamRefusal(const Verdict &verdict)
 {
     return verdict.outcome == Outcome::NotRun && verdict.reason == Reason::UpstreamRefused;
 }
@@ -54,7 +55,7 @@
     , m_parents(makeParentFinder())
 {
     m_quarantine.setListener(this);
-    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { dropGoneUpstreams(); });
+    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { removeGoneUpstreams(); });
 }
 
 GateService::~GateService()
@@ -74,19 +75,19 @@
     const bool isOtherRun = upstream.announcement.instance != announcement.instance;
     upstream.announcement = announcement;
     m_crashes.onAnnounced(announcement);
-    upstream.heardAt = now;
+    upstream.announcedAt = now;
     if (isNew) {
         upstream.gate = m_makeGate(announcement.info);
-        upstream.repeats = makeLocalRetryBudget(m_options.repeats);
+        upstream.retryBudget = makeLocalRetryBudget(m_options.retryBudget);
         upstream.tickTimer =
             std::make_unique<WakeTimer>(m_loop, [this, service] { tick(service); });
     }
     const bool isChanged = isNew || isOtherRun || before.slots != announcement.info.slots
         || before.connections != announcement.info.connections
         || before.draining != announcement.info.draining;
-    // A server that was started again on another port announces nothing else that is new. Without
-    // its own limit the new endpoint would get that of an unknown one, and requests beyond it would
-    // be refused while the server is idle.
+    // A server that was restarted on another port may differ in nothing but its endpoint. Without
+    // this call the new endpoint would have the default limit, and requests beyond it would be
+    // refused while the server is idle.
     if (isChanged || hasMoved) {
         m_client.setConnectionLimit(announcement.endpoint, announcement.info.connections);
     }
@@ -136,15 +137,15 @@
 CallId GateService::handle(CallMessage message, CallSource source, Reply reply)
 {
     const TimePoint now = m_loop.now();
-    const Duration unread = noteArrival(now, message, source);
+    const Duration readLag = recordArrival(now, message, source);
     const CallId id = newCallId();
     Call &call = m_calls[id];
     call.reply = std::move(reply);
-    call.ledger = new CallLedger(message.granted);
+    call.budget = new CallBudget(message.granted);
     call.tree = new CallTree;
     call.tree->rule = message.rule;
     call.arrivedAt = now;
-    call.deadline = now + message.remaining - unread;
+    call.deadline = now + message.remaining - readLag;
     call.message = std::move(message);
 
     const ServiceName service = call.message.service;
@@ -161,10 +162,10 @@
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::NoServer, Duration::zero() });
         return id;
     }
-    if (call.deadline > m_end) {
-        // Without the mark the refusal's own load would call the server back into use, and each
-        // call would come here first.
-        upstream->endsTooSoon = true;
+    if (call.deadline > m_endsAt) {
+        // If the load reported with the refusal did not say that the service is draining, the entry
+        // would use this daemon again, and each call would come here first.
+        upstream->reportsDraining = true;
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::Draining, Duration::zero() });
         return id;
     }
@@ -177,10 +178,11 @@
     return id;
 }
 
-/// Returns how long the call may have lain unread here. The entry has minded that of its own calls.
-Duration GateService::noteArrival(TimePoint now, const CallMessage &message, CallSource source)
+/// Returns how long the call may have waited here before it was read. Zero for calls of this
+/// daemon, as its entry has already subtracted the lag.
+Duration GateService::recordArrival(TimePoint now, const CallMessage &message, CallSource source)
 {
-    if (!m_options.mindsLag) {
+    if (!m_options.compensatesLoopLag) {
         return Duration::zero();
     }
     const Duration lag = m_lag.now();
@@ -205,7 +207,7 @@
         refuseCall(id, Verdict{ Outcome::NotRun, Reason::NoServer, Duration::zero() });
         return;
     }
-    if (!passesQuarantine(id, *upstream)) {
+    if (!passesSuspectGate(id, *upstream)) {
         return;
     }
     perform(
@@ -214,19 +216,19 @@
             m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.letIn }));
 }
 
-bool GateService::passesQuarantine(CallId id, const Upstream &upstream)
+bool GateService::passesSuspectGate(CallId id, const Upstream &upstream)
 {
-    const SuspectRuling ruling =
+    const SuspectDecision decision =
         m_suspects.admit(id, m_calls.at(id).message, upstream.announcement);
-    if (ruling.pass == SuspectPass::Refuse) {
-        refuseCall(id, ruling.verdict);
+    if (decision.action == SuspectAction::Refuse) {
+        refuseCall(id, decision.verdict);
     }
-    return ruling.pass == SuspectPass::Go;
+    return decision.action == SuspectAction::Admit;
 }
 
-void GateService::letNextSuspectIn(const ServiceName &service, CallId ended)
+void GateService::admitNextSuspect(const ServiceName &service, CallId ended)
 {
-    if (!m_suspects.leave(ended)) {
+    if (!m_suspects.onCallEnd(ended)) {
         return;
     }
     while (const auto next = m_suspects.takeNext(service)) {
@@ -234,7 +236,7 @@
     }
 }
 
-/// Those that wait may be cleared now, or in quarantine.
+/// Waiting calls may have been cleared or quarantined, so they are admitted again.
 void GateService::onSuspectChanged(const Fingerprint &fingerprint)
 {
     for (const CallId id : m_suspects.takeWaiting(fingerprint)) {
@@ -250,7 +252,7 @@
         return;
     }
     found->second.isClaiming = false;
-    found->second.isHolding = true;
+    found->second.holdsClaim = true;
     enterGate(id);
 }
 
@@ -285,7 +287,8 @@
         return;
     }
     call.isCancelled = true;
-    // A call that must run at most once goes on: its result is kept for the caller's next attempt.
+    // A call that must run at most once continues: its result is stored for the caller's next
+    // attempt.
     if (call.cancellation && m_options.cancelUpstream && !call.message.once) {
         call.cancellation->cancel();
     }
@@ -308,7 +311,7 @@
     context.priority = priorityOf(call.message.rank);
     context.depth = call.message.depth;
     context.deadline = call.deadline;
-    context.ledger = call.ledger;
+    context.budget = call.budget;
     context.tree = call.tree;
     context.letIn = call.message.letIn;
     context.isRepeat = call.message.isRepeat;
@@ -317,31 +320,31 @@
 }
 
 InferredContext GateService::inferContext(ConnectionTally &tally, const RuleName &rule,
-                                          TimePoint deadline, RequestSender maker)
+                                          TimePoint deadline, RequestSender sender)
 {
-    if (maker == RequestSender::Server && !m_parents->isServerBusy(m_loop.now())) {
+    if (sender == RequestSender::Server && !m_parents->isServerBusy(m_loop.now())) {
         return {};
     }
-    const ParentMatch match = m_parents->find(m_loop.now(), tally, rule, deadline, maker);
+    const ParentMatch match = m_parents->find(m_loop.now(), tally, rule, deadline, sender);
     InferredContext inferred;
     inferred.isInner = match.isInner;
     const auto found = match.parent ? m_calls.find(*match.parent) : m_calls.end();
     if (found != m_calls.end()) {
         inferred.parent = makeContext(found->second);
-        // A guess must not put one account's name on another one's call.
+        // A wrong guess must not attribute the call to another account.
         inferred.parent->account = AccountName();
     }
     return inferred;
 }
 
-void GateService::noteInnerAnswer(const RuleName &rule)
+void GateService::onInnerAnswer(const RuleName &rule)
 {
     m_parents->onInnerAnswer(m_loop.now(), rule);
 }
 
-/// A guessed parent often ends before the call does. Its cost would be lost, and all rules would
-/// look cheaper than they are.
-void GateService::book(CallTree &tree, const TreeUsage &usage)
+/// An inferred parent often ends before the call does. Without another tree the usage would be
+/// lost, and the usage of all rules would be underestimated.
+void GateService::recordUsage(CallTree &tree, const TreeUsage &usage)
 {
     if (!tree.isClosed) {
         addUsage(tree.usage, usage);
@@ -360,8 +363,8 @@
     LoadReport report;
     if (found != m_upstreams.end()) {
         report = found->second.gate->load(m_loop.now());
-        report.draining = report.draining || found->second.endsTooSoon;
-        if (m_options.mindsLag) {
+        report.draining = report.draining || found->second.reportsDraining;
+        if (m_options.compensatesLoopLag) {
             report.demand = std::max(report.demand, m_processor.load());
         }
     }
@@ -423,85 +426,87 @@
     }
     const TimePoint startedAt = m_loop.now();
     const Announcement server = upstream->announcement;
-    RunEnd end;
+    RunResult run;
     if (upstream->isWithdrawn) {
-        // It was withdrawn after the gate had let the call through.
-        end = notRun(Reason::Draining);
+        // The server was withdrawn after the gate had started the call.
+        run = notRun(Reason::Draining);
     } else if (startedAt >= found->second.deadline
-               || (found->second.isHolding && !m_once.start(id))) {
-        // The process was paused past the deadline, or past the time in which the key is its own.
-        end = notRun(Reason::DeadlineExceeded);
-    } else if (const auto ruling = m_suspects.start(id, found->second.message, server);
-               ruling.pass == SuspectPass::Refuse) {
-        end = notRun(ruling.verdict.reason);
-        end.verdict = ruling.verdict;
+               || (found->second.holdsClaim && !m_once.start(id))) {
+        // The process was paused until after the deadline, or until the claim of the key expired.
+        run = notRun(Reason::DeadlineExceeded);
+    } else if (const auto decision = m_suspects.start(id, found->second.message, server);
+               decision.action == SuspectAction::Refuse) {
+        run = notRun(decision.verdict.reason);
+        run.verdict = decision.verdict;
     } else {
-        end = sendToServer(service, server, id);
+        run = sendToServer(service, server, id);
     }
 
     const TimePoint now = m_loop.now();
     const auto serviceTime = std::chrono::duration_cast<Duration>(now - startedAt);
     GateActions next;
     if (Upstream *gateOwner = findUpstream(service)) {
-        next = gateOwner->gate->finish(now, id, end.result, serviceTime);
+        next = gateOwner->gate->finish(now, id, run.result, serviceTime);
     }
     if (const auto ended = m_calls.find(id); ended != m_calls.end()) {
-        m_recorder.recordRun(ended->second.message, server.instance, end.verdict,
-                             end.response.status, serviceTime);
+        m_recorder.recordRun(ended->second.message, server.instance, run.verdict,
+                             run.response.status, serviceTime);
     }
-    endRun(id, std::move(end), serviceTime);
+    endRun(id, std::move(run), serviceTime);
     perform(service, next);
 }
 
-void GateService::endRun(CallId id, RunEnd end, Duration serviceTime)
+void GateService::endRun(CallId id, RunResult run, Duration serviceTime)
 {
     m_observers.metrics.observe(Timing::Upstream, serviceTime);
     const auto found = m_calls.find(id);
-    if (found != m_calls.end() && found->second.isHolding
-        && end.verdict.outcome != Outcome::NotRun) {
-        found->second.isHolding = false;
-        m_once.finished(id, end.verdict, end.response);
+    if (found != m_calls.end() && found->second.holdsClaim
+        && run.verdict.outcome != Outcome::NotRun) {
+        found->second.holdsClaim = false;
+        m_once.finished(id, run.verdict, run.response);
     }
     AnswerMessage answer;
-    answer.verdict = end.verdict;
-    answer.response = std::move(end.response);
+    answer.verdict = run.verdict;
+    answer.response = std::move(run.response);
     answer.serviceTime = serviceTime;
     endCall(id, std::move(answer));
 }
 
-/// 1. A server turns away by chance what it has room for, as it starts, or fails in part.
-/// 2. A request with eight calls there would end whole once in a hundred times, after all services
-///    above have worked for it.
-/// 3. Sent once more from here, the call costs a message on this host and no time of the entry. It
-///    is only done for what the server says it has not begun.
-RunEnd GateService::sendToServer(const ServiceName &service, const Announcement &server, CallId id)
+/// 1. A server that is starting or partly failing may refuse calls at random although it has
+///    capacity.
+/// 2. A request with eight calls to such a server would succeed once in a hundred times, after all
+///    services above have done their work.
+/// 3. Sending the call again from here costs one message on this host and no round trip to the
+///    entry. This is done only for calls that the server reports as not started.
+RunResult GateService::sendToServer(const ServiceName &service, const Announcement &server,
+                                    CallId id)
 {
     const Call &call = m_calls.at(id);
-    findUpstream(service)->repeats->onArrival(m_loop.now(), call.message.isRepeat);
-    RunEnd end = exchange(server, id, call);
-    noteSend(service, end);
-    for (int sends = 1; sends < MOST_SENDS; ++sends) {
-        if (!isTurnedAway(end.verdict) || !mayRepeat(service, server, id)) {
+    findUpstream(service)->retryBudget->onArrival(m_loop.now(), call.message.isRepeat);
+    RunResult run = exchange(server, id, call);
+    recordSend(service, run);
+    for (int sends = 1; sends < MAX_SENDS; ++sends) {
+        if (!isUpstreamRefusal(run.verdict) || !maySendAgain(service, server, id)) {
             break;
         }
-        end = exchange(server, id, m_calls.at(id));
-        noteSend(service, end);
+        run = exchange(server, id, m_calls.at(id));
+        recordSend(service, run);
     }
-    return end;
+    return run;
 }
 
-void GateService::noteSend(const ServiceName &service, const RunEnd &end)
+void GateService::recordSend(const ServiceName &service, const RunResult &run)
 {
     Upstream *upstream = findUpstream(service);
-    if (!upstream || end.result == CallResult::Cancelled || end.result == CallResult::TimedOut) {
+    if (!upstream || run.result == CallResult::Cancelled || run.result == CallResult::TimedOut) {
         return;
     }
     const bool isBroken =
-        end.verdict.reason == Reason::BrokenAnswer || end.verdict.reason == Reason::ServerCrashed;
-    upstream->loss.add(isBroken || isTurnedAway(end.verdict));
+        run.verdict.reason == Reason::BrokenAnswer || run.verdict.reason == Reason::ServerCrashed;
+    upstream->loss.add(isBroken || isUpstreamRefusal(run.verdict));
 }
 
-bool GateService::mayRepeat(const ServiceName &service, const Announcement &server, CallId id)
+bool GateService::maySendAgain(const ServiceName &service, const Announcement &server, CallId id)
 {
     const auto found = m_calls.find(id);
     Upstream *upstream = findUpstream(service);
@@ -514,32 +519,33 @@
     if (call.isCancelled || now >= call.deadline || !isSameRun) {
         return false;
     }
-    return upstream->repeats->tryTake(now, priorityOf(call.message.rank));
+    return upstream->retryBudget->tryTake(now, priorityOf(call.message.rank));
 }
 
-RunEnd GateService::exchange(const Announcement &server, CallId id, const Call &call)
+RunResult GateService::exchange(const Announcement &server, CallId id, const Call &call)
 {
     const auto remaining = std::chrono::duration_cast<Duration>(call.deadline - m_loop.now());
     HttpRequest request = call.message.request;
     m_dialect.address(
         UpstreamSend{ toHex(id.value()), remaining, server.instance, call.message.account },
         request);
-    // The call may be gone when the exchange ends.
+    // The call may have been removed when the exchange ends.
     const HttpCancellationPtr cancellation = call.cancellation;
     const AccountName account = call.message.account;
     m_parents->onStart(id, call.message.rule, m_loop.now() + remaining);
     HttpResult result = m_client.exchange(server.endpoint, request, remaining, cancellation);
     m_parents->onEnd(m_loop.now(), id);
     const bool isCrash = m_crashes.hasCrashed(server, result, isEndPlanned(server.info.service));
-    RunEnd end = result ? judgeAnswer(m_dialect, std::move(*result)) : judgeFailure(result.error());
+    RunResult run =
+        result ? resultOfResponse(m_dialect, std::move(*result)) : resultOfFailure(result.error());
     if (isCrash) {
-        end.verdict.reason = Reason::ServerCrashed;
+        run.verdict.reason = Reason::ServerCrashed;
     }
-    m_crashes.onEnd(server, account, request, end, m_suspects.runOf(id));
-    if (end.isServerDoubted) {
-        tellDoubt(server.instance);
+    m_crashes.onEnd(server, account, request, run, m_suspects.runOf(id));
+    if (run.isServerMissing) {
+        reportServerMissing(server.instance);
     }
-    return end;
+    return run;
 }
 
 bool GateService::isEndPlanned(const ServiceName &service)
@@ -548,10 +554,10 @@
     return !upstream || upstream->isEndPlanned;
 }
 
-void GateService::tellDoubt(const UpstreamId &instance)
+void GateService::reportServerMissing(const UpstreamId &instance)
 {
-    if (m_onDoubt && !instance.value().empty()) {
-        m_onDoubt(instance);
+    if (m_onServerMissing && !instance.value().empty()) {
+        m_onServerMissing(instance);
     }
 }
 
@@ -577,13 +583,13 @@
     }
     const Call call = std::move(found->second);
     m_calls.erase(found);
-    if (call.isHolding) {
-        // Whatever ended it before its run gives the key back, or the caller's next attempt could
+    if (call.holdsClaim) {
+        // The call ended before its run: release the claim, or the caller's next attempt could
         // never run.
         m_once.notRun(id);
     }
     answer.stream = call.message.stream;
-    answer.unspent = call.ledger->ledger.close();
+    answer.unspent = call.budget->budget.close();
     answer.load = load(call.message.service);
     answer.usage = std::move(call.tree->usage);
     call.tree->isClosed = true;
@@ -593,7 +599,7 @@
                              upstream ? upstream->loss.share() : LossShare() } });
     const ServiceName service = call.message.service;
     call.reply(std::move(answer));
-    letNextSuspectIn(service, id);
+    admitNextSuspect(service, id);
 }
 
 GatedCall GateService::stateOf(const Call &call) const
@@ -618,14 +624,14 @@
     }
 }
 
-bool GateService::isGone(const Upstream &upstream) const
+bool GateService::isRemovable(const Upstream &upstream) const
 {
     const bool isSilent = m_options.heartbeatTimeout > Duration::zero()
-        && m_loop.now() - upstream.heardAt > m_options.heartbeatTimeout;
+        && m_loop.now() - upstream.announcedAt > m_options.heartbeatTimeout;
     if (!isSilent && !upstream.isWithdrawn) {
         return false;
     }
-    // Calls that run there keep their gate: its counts must outlive a missed heartbeat.
+    // The gate is kept while it has calls: its counts must survive a missed heartbeat.
     const LoadReport load = upstream.gate->load(m_loop.now());
     return load.inFlight == 0 && load.queued == 0;
 }
@@ -636,18 +642,18 @@
     return dropsSilent ? m_options.heartbeatTimeout / 2 : m_options.sweepInterval;
 }
 
-void GateService::dropGoneUpstreams()
+void GateService::removeGoneUpstreams()
 {
     bool isChanged = false;
     for (auto it = m_upstreams.begin(); it != m_upstreams.end();) {
-        const bool isDropped = isGone(it->second);
+        const bool isDropped = isRemovable(it->second);
         isChanged = isChanged || isDropped;
         it = isDropped ? m_upstreams.erase(it) : std::next(it);
     }
     if (isChanged) {
         reportUpstreams();
     }
-    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { dropGoneUpstreams(); });
+    m_sweepTimer = m_loop.callLater(sweepInterval(), [this] { removeGoneUpstreams(); });
 }
 
 void GateService::reportUpstreams()
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -11,7 +11,7 @@
 #include "app/internal/gate/gaterecorder.h"
 #include "app/internal/gate/igateservice.h"
 #include "app/internal/gate/ionceservice.h"
-#include "app/internal/gate/runend.h"
+#include "app/internal/gate/runresult.h"
 #include "app/internal/gate/suspectgate.h"
 #include "app/internal/logs/observers.h"
 #include "app/internal/looplag.h"
@@ -32,20 +32,21 @@
 
 struct GateServiceOptions
 {
-    /// An upstream that has not announced itself for this long is gone. Zero: it stays until it is
-    /// withdrawn.
+    /// An upstream that has not announced itself for this long is removed once it is idle. Zero: it
+    /// stays until it is withdrawn.
     Duration heartbeatTimeout = std::chrono::seconds(3);
-    /// How often upstreams that are gone and idle are dropped, when they are not dropped for
-    /// silence.
+    /// Interval at which withdrawn, idle upstreams are removed if `heartbeatTimeout` is zero;
+    /// otherwise half of that is used.
     Duration sweepInterval = std::chrono::seconds(1);
-    /// Calls that may be here at a time, waiting or running.
+    /// Maximum number of calls that wait or run here at a time.
     std::size_t maxCalls = 20000;
-    /// Passes deadlines and cancels on to the upstream.
+    /// Aborts the exchange with the upstream when a call is cancelled.
     bool cancelUpstream = true;
-    /// For calls that a server of this host turns away.
-    LocalRetryBudgetOptions repeats;
-    /// A daemon that is behind tells a full service.
-    bool mindsLag = false;
+    /// Limits repeats of calls that a server of this host refused before starting them.
+    LocalRetryBudgetOptions retryBudget;
+    /// The event loop's lag is subtracted from the time left of calls that come over a link, and
+    /// counts as load in load reports.
+    bool compensatesLoopLag = false;
 };
 
 /// Runs calls on the upstreams of this host. Traffic thread only.
@@ -54,36 +55,42 @@
 public:
     using GateMaker = std::function<std::unique_ptr<IGate>(const UpstreamInfo &)>;
     using OnUpstreams = std::function<void(std::vector<UpstreamInfo>)>;
-    using OnDoubt = std::function<void(const UpstreamId &)>;
+    using OnServerMissing = std::function<void(const UpstreamId &)>;
 
     GateService(IEventLoop &loop, IHttpClient &client, IRandom &random, IOnceService &once,
                 IQuarantine &quarantine, const IUpstreamDialect &dialect, GateMaker makeGate,
                 Observers observers, GateServiceOptions options);
     ~GateService() override;
 
-    /// Runs whenever the announced upstreams, or what they announced, changed.
+    /// Called whenever the set of upstreams, or what they announced, has changed.
     void setOnUpstreams(OnUpstreams onUpstreams) { m_onUpstreams = std::move(onUpstreams); }
-    /// Runs when a call met no server, or another run than the one that was announced.
-    void setOnDoubt(OnDoubt onDoubt) { m_onDoubt = std::move(onDoubt); }
+    /// Called when no connection to the server could be opened, or another run than the announced
+    /// one answered.
+    void setOnServerMissing(OnServerMissing onServerMissing)
+    {
+        m_onServerMissing = std::move(onServerMissing);
+    }
     void announce(const Announcement &announcement);
-    /// That run of the service's server takes no more calls: those that wait are refused, those
-    /// that run go on.
-    /// `isPlanned`: the server itself has said that it ends.
+    /// Stops sending calls to that run of the service's server: waiting calls are refused, running
+    /// ones continue. Ignored if another run is announced. `isPlanned`: the server itself has
+    /// announced its shutdown.
     void withdraw(const ServiceName &service, const UpstreamId &instance, bool isPlanned);
-    /// The daemon ends at `end`: calls that may last longer are refused from now on.
-    void startLeaving(TimePoint end) { m_end = end; }
+    /// The daemon stops at `end`: calls with a later deadline are refused from now on.
+    void startLeaving(TimePoint end) { m_endsAt = end; }
     /// Refuses new calls of all services from now on.
     void startDraining();
+    /// Number of calls that wait or run here.
     std::size_t callCount() const { return m_calls.size(); }
+    /// Returns the load of each upstream's gate.
     std::vector<std::pair<ServiceName, LoadReport>> loads() const;
 
     CallId handle(CallMessage call, CallSource source, Reply reply) override;
     void cancel(CallId call) override;
     std::optional<CallContext> findContext(const std::string &token) const override;
     InferredContext inferContext(ConnectionTally &tally, const RuleName &rule, TimePoint deadline,
-                                 RequestSender maker) override;
-    void noteInnerAnswer(const RuleName &rule) override;
-    void book(CallTree &tree, const TreeUsage &usage) override;
+                                 RequestSender sender) override;
+    void onInnerAnswer(const RuleName &rule) override;
+    void recordUsage(CallTree &tree, const TreeUsage &usage) override;
     LoadReport load(const ServiceName &service) const override;
 
     void onOnceProceed(CallId call) override;
@@ -95,30 +102,31 @@
     {
         Announcement announcement;
         std::unique_ptr<IGate> gate;
-        TimePoint heardAt;
+        TimePoint announcedAt;
         std::unique_ptr<WakeTimer> tickTimer;
         bool isWithdrawn = false;
-        /// The server has said that it ends.
+        /// The server has announced its shutdown.
         bool isEndPlanned = false;
-        /// The daemon ends before calls of this service may: entries are told to go elsewhere.
-        bool endsTooSoon = false;
+        /// A call of this service was refused as the daemon stops before its deadline: load reports
+        /// say that the service is draining, so that entries choose other daemons.
+        bool reportsDraining = false;
         LossEstimate loss;
-        std::unique_ptr<ILocalRetryBudget> repeats;
+        std::unique_ptr<ILocalRetryBudget> retryBudget;
     };
     struct Call
     {
         CallMessage message;
         Reply reply;
-        CallLedgerPtr ledger;
+        CallBudgetPtr budget;
         CallTreePtr tree;
         TimePoint arrivedAt;
         TimePoint deadline;
         HttpCancellationPtr cancellation;
         bool isCancelled = false;
-        /// Waits for its key or ticket, before the gate.
+        /// Waits for the claim of its key or ticket, before it enters the gate.
         bool isClaiming = false;
-        /// Holds its key or ticket: the end of its run is told to the once service.
-        bool isHolding = false;
+        /// Holds the claim of its key or ticket: its end is reported to the once service.
+        bool holdsClaim = false;
     };
     Upstream *findUpstream(const ServiceName &service);
     CallContext makeContext(const Call &call) const;
@@ -126,28 +134,28 @@
     void perform(const ServiceName &service, const GateActions &actions);
     void startCall(const ServiceName &service, CallId id);
     void runCall(const ServiceName &service, CallId id);
-    /// Sends the call, and again while the server turns it away and repeats are left.
-    RunEnd sendToServer(const ServiceName &service, const Announcement &server, CallId id);
-    RunEnd exchange(const Announcement &server, CallId id, const Call &call);
+    /// Sends the call, and again while the server refuses it and the retry budget allows it.
+    RunResult sendToServer(const ServiceName &service, const Announcement &server, CallId id);
+    RunResult exchange(const Announcement &server, CallId id, const Call &call);
     bool isEndPlanned(const ServiceName &service);
-    void noteSend(const ServiceName &service, const RunEnd &end);
-    bool mayRepeat(const ServiceName &service, const Announcement &server, CallId id);
-    void tellDoubt(const UpstreamId &instance);
+    void recordSend(const ServiceName &service, const RunResult &run);
+    bool maySendAgain(const ServiceName &service, const Announcement &server, CallId id);
+    void reportServerMissing(const UpstreamId &instance);
     void endCall(CallId id, AnswerMessage answer);
     void refuseCall(CallId id, const Verdict &verdict);
     GatedCall stateOf(const Call &call) const;
-    Duration noteArrival(TimePoint now, const CallMessage &message, CallSource source);
+    Duration recordArrival(TimePoint now, const CallMessage &message, CallSource source);
     void enterGate(CallId id);
-    /// False: the call was refused, or waits until no other suspect runs.
-    bool passesQuarantine(CallId id, const Upstream &upstream);
-    /// The call has ended: if it was a suspect, those that wait have their turn.
-    void letNextSuspectIn(const ServiceName &service, CallId ended);
-    void endRun(CallId id, RunEnd end, Duration serviceTime);
+    /// Returns false if the call was refused or waits until no other suspect runs.
+    bool passesSuspectGate(CallId id, const Upstream &upstream);
+    /// The call has ended: if it was a suspect, admits the next waiting one.
+    void admitNextSuspect(const ServiceName &service, CallId ended);
+    void endRun(CallId id, RunResult run, Duration serviceTime);
     void armTick(const ServiceName &service);
     void tick(const ServiceName &service);
-    bool isGone(const Upstream &upstream) const;
+    bool isRemovable(const Upstream &upstream) const;
     Duration sweepInterval() const;
-    void dropGoneUpstreams();
+    void removeGoneUpstreams();
     void reportUpstreams();
 
     IEventLoop &m_loop;
@@ -165,13 +173,13 @@
     SuspectGate m_suspects;
     ProcessorLoad m_processor;
     OnUpstreams m_onUpstreams;
-    OnDoubt m_onDoubt;
+    OnServerMissing m_onServerMissing;
     std::unordered_map<ServiceName, Upstream> m_upstreams;
     std::unordered_map<CallId, Call> m_calls;
     std::unique_ptr<IParentFinder> m_parents;
     TimerId m_sweepTimer;
     bool m_isDraining = false;
-    TimePoint m_end = TimePoint::max();
+    TimePoint m_endsAt = TimePoint::max();
 };
 
 } // namespace ivyspar
--- a/src/app/internal/gate/suspectgate.cpp
+++ b/src/app/internal/gate/suspectgate.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-SuspectRuling refuse(const Assessment &standing)
+SuspectDecision refuse(const Assessment &standing)
 {
     const bool isFinal = standing.suspicion == Suspicion::Quarantined;
     const Reason reason = isFinal ? Reason::Quarantined : Reason::Suspected;
-    return { SuspectPass::Refuse, Verdict{ Outcome::NotRun, reason, standing.retryAfter } };
+    return { SuspectAction::Refuse, Verdict{ Outcome::NotRun, reason, standing.retryAfter } };
 }
 
 } // namespace
@@ -20,7 +20,7 @@
 {
 }
 
-SuspectRuling SuspectGate::admit(CallId call, CallMessage &message, const Announcement &server)
+SuspectDecision SuspectGate::admit(CallId call, CallMessage &message, const Announcement &server)
 {
     const Assessment standing = standingOf(message, server);
     if (standing.suspicion == Suspicion::None) {
@@ -38,10 +38,10 @@
     }
     isolation.wait(call, message.fingerprint);
     m_suspects[call] = Suspect{ message.service, true, standing.isTrial };
-    return { SuspectPass::Wait, {} };
+    return { SuspectAction::Wait, {} };
 }
 
-SuspectRuling SuspectGate::start(CallId call, CallMessage &message, const Announcement &server)
+SuspectDecision SuspectGate::start(CallId call, CallMessage &message, const Announcement &server)
 {
     const Assessment standing = standingOf(message, server);
     if (standing.suspicion == Suspicion::None) {
@@ -57,15 +57,15 @@
                                                   : refuse(standing);
 }
 
-SuspectRuling SuspectGate::begin(CallId call, const CallMessage &message,
-                                 const Assessment &standing)
+SuspectDecision SuspectGate::begin(CallId call, const CallMessage &message,
+                                   const Assessment &standing)
 {
     m_isolations[message.service].begin(call);
     m_suspects[call] = Suspect{ message.service, false, standing.isTrial };
     return {};
 }
 
-/// Nothing is hashed while nothing is suspected.
+/// Computes no fingerprint while there are no suspects.
 Assessment SuspectGate::standingOf(CallMessage &message, const Announcement &server) const
 {
     if (!m_quarantine.hasSuspects()) {
@@ -89,7 +89,7 @@
     return found == m_suspects.end() ? SuspectRun{} : SuspectRun{ true, found->second.isTrial };
 }
 
-bool SuspectGate::leave(CallId call)
+bool SuspectGate::onCallEnd(CallId call)
 {
     const auto found = m_suspects.find(call);
     if (found == m_suspects.end()) {
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -84,14 +84,14 @@
         failure.hasConnectionEnded = true;
         return tl::unexpected<HttpFailure>(failure);
     }
-    /// The server ends its connections in the middle of the next answer.
-    void breakOff(bool isServerUp)
+    /// The server closes its connection during the next answer.
+    void cutNextAnswer(bool isServerUp)
     {
         m_client.isUp = isServerUp;
         m_client.results.push_back(makeCut());
     }
-    /// The server is withdrawn and ends while it runs a call.
-    void endWhileItRuns(bool isPlanned)
+    /// The server is withdrawn and ends during a call.
+    void endServerDuringCall(bool isPlanned)
     {
         m_client.answer = [this, isPlanned](const MockHttpClient::Call &) {
             m_gates->withdraw(SERVICE, INSTANCE, isPlanned);
@@ -102,9 +102,9 @@
     }
 };
 
-TEST(GateSuspects, WhatWasUnderWayWhenTheServerCrashedIsTold)
+TEST(GateSuspects, CrashIsReportedWithTheRunningRequest)
 {
-    breakOff(false);
+    cutNextAnswer(false);
     call("/a");
     CHECK(m_verdicts.back().outcome == Outcome::Unknown);
     CHECK(m_verdicts.back().reason == Reason::ServerCrashed);
@@ -115,10 +115,10 @@
     CHECK(m_quarantine.crashes[0].second.kind.version == UpstreamVersion("v1"));
 }
 
-// Guards against innocent requests that are suspected for a reset connection or a broken answer.
-TEST(GateSuspects, ABrokenAnswerOfAServerThatWorksOnIsNoCrash)
+// Guards against requests that become suspects because of a reset connection or a broken answer.
+TEST(GateSuspects, BrokenAnswerOfRunningServerIsNoCrash)
 {
-    breakOff(true);
+    cutNextAnswer(true);
     call("/a");
     CHECK(m_verdicts.back().reason == Reason::BrokenAnswer);
     m_client.isUp = false;
@@ -128,23 +128,24 @@
     CHECK(m_quarantine.crashes.empty());
 }
 
-// Guards against innocent requests that are suspected as their server was replaced.
-TEST(GateSuspects, ThePlannedEndOfAServerIsNoCrash)
+// Guards against requests that become suspects because their server was replaced.
+TEST(GateSuspects, PlannedEndOfServerIsNoCrash)
 {
-    endWhileItRuns(true);
+    endServerDuringCall(true);
     CHECK(m_verdicts.back().reason == Reason::BrokenAnswer);
     CHECK(m_quarantine.crashes.empty());
 }
 
-// A server that is found silent a moment after its crash has not said that it leaves.
-TEST(GateSuspects, AWithdrawnServerMayHaveCrashed)
+// A server that stopped reporting because of a crash is withdrawn as well, without having announced
+// its shutdown.
+TEST(GateSuspects, ServerWithdrawnForSilenceMayHaveCrashed)
 {
-    endWhileItRuns(false);
+    endServerDuringCall(false);
     CHECK(m_verdicts.back().reason == Reason::ServerCrashed);
     LONGS_EQUAL(1, m_quarantine.crashes.size());
 }
 
-TEST(GateSuspects, OneInQuarantineReachesNoServer)
+TEST(GateSuspects, QuarantinedRequestReachesNoServer)
 {
     m_quarantine.set(fingerprintOfPath("/bad"), Suspicion::Quarantined);
     call("/bad");
@@ -157,7 +158,7 @@
     CHECK(m_quarantine.completions.back() == fingerprintOfPath("/good"));
 }
 
-TEST(GateSuspects, OneThatIsHeldHearsWhenToComeBack)
+TEST(GateSuspects, HeldRequestIsRefusedWithRetryAfter)
 {
     Assessment held;
     held.suspicion = Suspicion::Held;
@@ -169,7 +170,7 @@
     CHECK(m_verdicts.back().retryAfter == 1500ms);
 }
 
-// Guards against two suspects that are both held responsible for the crash that one of them caused.
+// Guards against two suspects that are both blamed for a crash that one of them caused.
 TEST(GateSuspects, OneSuspectRunsAtATime)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
@@ -190,8 +191,8 @@
     LONGS_EQUAL(3, m_verdicts.size());
 }
 
-// Guards against a request in demand that waits in line after it was cleared.
-TEST(GateSuspects, OneThatIsClearedWaitsNoLonger)
+// Guards against a frequent request that still waits for its turn after it was cleared.
+TEST(GateSuspects, ClearedRequestIsAdmittedAtOnce)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
     m_quarantine.set(fingerprintOfPath("/b"), Suspicion::Suspect);
@@ -210,7 +211,7 @@
     CHECK(order == expected);
 }
 
-TEST(GateSuspects, OneThatWaitsAndIsQuarantinedIsRefusedAtOnce)
+TEST(GateSuspects, WaitingRequestIsRefusedOnceQuarantined)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
     m_client.answer = [&](const MockHttpClient::Call &) -> HttpResult {
@@ -227,7 +228,7 @@
     LONGS_EQUAL(1, m_client.calls.size());
 }
 
-TEST(GateSuspects, OneThatWaitsMayLeave)
+TEST(GateSuspects, WaitingRequestCanBeCancelled)
 {
     m_quarantine.set(fingerprintOfPath("/a"), Suspicion::Suspect);
     m_client.answer = [&](const MockHttpClient::Call &) -> HttpResult {
@@ -243,36 +244,36 @@
     LONGS_EQUAL(0, m_gates->callCount());
 }
 
-// Guards against a request that crashes servers and is not counted as its callers leave early.
-TEST(GateSuspects, WhatWasGivenUpBeforeTheCrashIsToldToo)
+// Guards against a request whose crashes are not counted because its callers cancel early.
+TEST(GateSuspects, RequestAbandonedShortlyBeforeCrashIsReported)
 {
     m_client.failNext(HttpFailureStage::MaybeSent, HttpFailureCause::Cancelled);
     call("/left");
     m_loop.advance(100ms);
-    breakOff(false);
+    cutNextAnswer(false);
     call("/a");
     LONGS_EQUAL(2, m_quarantine.crashes.size());
     CHECK(m_quarantine.crashes[0].first == fingerprintOfPath("/left"));
     CHECK(m_quarantine.crashes[0].second.run == m_quarantine.crashes[1].second.run);
 }
 
-TEST(GateSuspects, WhatWasGivenUpLongBeforeIsNot)
+TEST(GateSuspects, RequestAbandonedLongBeforeCrashIsNotReported)
 {
     m_client.failNext(HttpFailureStage::MaybeSent, HttpFailureCause::Cancelled);
     call("/left");
     m_loop.advance(1s);
-    breakOff(false);
+    cutNextAnswer(false);
     call("/a");
     LONGS_EQUAL(1, m_quarantine.crashes.size());
 }
 
-TEST(GateSuspects, TheCrashOfATrialIsToldAsSuch)
+TEST(GateSuspects, CrashOfTrialIsReportedAsTrial)
 {
     Assessment trial;
     trial.suspicion = Suspicion::Suspect;
     trial.isTrial = true;
     m_quarantine.standings[fingerprintOfPath("/bad")] = trial;
-    breakOff(false);
+    cutNextAnswer(false);
     call("/bad");
     CHECK(m_quarantine.crashes.at(0).second.wasIsolated);
     CHECK(m_quarantine.crashes.at(0).second.isTrial);
