--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -479,7 +479,7 @@
     call.depth = incoming.depth;
     call.remaining = std::chrono::duration_cast<Duration>(incoming.deadline - m_loop.now());
     const bool isFirst = action.attempt == AttemptIndex(0);
-    call.letIn = isFirst ? incoming.letIn : DemandShare();
+    call.admittedShare = isFirst ? incoming.letIn : DemandShare();
     call.isRepeat = incoming.isRepeat || !isFirst;
     call.granted = action.granted;
     call.once = incoming.once;
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -184,7 +184,7 @@
         return Duration::zero();
     }
     const Duration lag = m_lag.now();
-    m_processor.onArrival(now, message.letIn, lag);
+    m_processor.onArrival(now, message.admittedShare, lag);
     if (source == CallSource::ThisDaemon) {
         return Duration::zero();
     }
@@ -208,10 +208,10 @@
     if (!passesQuarantine(id, *upstream)) {
         return;
     }
-    perform(
-        service,
-        upstream->gate->offer(
-            m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.letIn }));
+    perform(service,
+            upstream->gate->offer(
+                m_loop.now(),
+                GateRequest{ id, call.message.rank, call.deadline, call.message.admittedShare }));
 }
 
 bool GateService::passesQuarantine(CallId id, const Upstream &upstream)
@@ -310,7 +310,7 @@
     context.deadline = call.deadline;
     context.ledger = call.ledger;
     context.tree = call.tree;
-    context.letIn = call.message.letIn;
+    context.letIn = call.message.admittedShare;
     context.isRepeat = call.message.isRepeat;
     context.account = call.message.account;
     return context;
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -51,7 +51,7 @@
     Duration remaining{ 0 };
     /// Of requests like the caller's, which share its entry lets in. 0 in a repeated attempt: its
     /// first one has been counted.
-    DemandShare letIn;
+    DemandShare admittedShare;
     /// It repeats an attempt, or a repeat makes it: both draw on the bound on repeats.
     bool isRepeat = false;
     /// Attempts handed over for the calls below this one.
