--- a/src/app/internal/entry/icallsender.h
+++ b/src/app/internal/entry/icallsender.h
@@ -10,7 +10,7 @@
 /// The end of one attempt, as its entry sees it.
 struct AttemptAnswer
 {
-    AnswerMessage message;
+    ResponseMessage message;
     /// False when no daemon answered: the link failed or the peer is unknown.
     bool isFromDaemon = false;
 };
--- a/src/app/internal/entry/peercalls.cpp
+++ b/src/app/internal/entry/peercalls.cpp
@@ -69,7 +69,7 @@
 void PeerCalls::sendLocal(StreamId stream, CallMessage call)
 {
     const CallId id = m_gates.handle(std::move(call), CallSource::ThisDaemon,
-                                     [this, stream](AnswerMessage answer) {
+                                     [this, stream](ResponseMessage answer) {
                                          end(stream, AttemptAnswer{ std::move(answer), true });
                                      });
     const auto found = m_attempts.find(stream);
@@ -314,7 +314,7 @@
     }
     m_inbound.emplace(key, CallId());
     const CallId call =
-        m_gates.handle(std::move(message), CallSource::Link, [this, key](AnswerMessage answer) {
+        m_gates.handle(std::move(message), CallSource::Link, [this, key](ResponseMessage answer) {
             answerInbound(key, std::move(answer));
         });
     const auto found = m_inbound.find(key);
@@ -323,7 +323,7 @@
     }
 }
 
-void PeerCalls::answerInbound(const InboundKey &key, AnswerMessage answer)
+void PeerCalls::answerInbound(const InboundKey &key, ResponseMessage answer)
 {
     m_inbound.erase(key);
     answer.stream = key.second;
@@ -331,7 +331,7 @@
     (void)sendFrame(key.first, m_codec.encode(PeerMessage(std::move(answer))));
 }
 
-void PeerCalls::receive(LinkId link, AnswerMessage &message)
+void PeerCalls::receive(LinkId link, ResponseMessage &message)
 {
     const auto found = m_attempts.find(message.stream);
     if (found == m_attempts.end() || found->second.isLocal || found->second.link != link) {
--- a/src/app/internal/entry/peercalls.h
+++ b/src/app/internal/entry/peercalls.h
@@ -95,12 +95,12 @@
     void endWithout(StreamId stream, Outcome outcome, Reason reason);
     void receive(LinkId link, HelloMessage &message);
     void receive(LinkId link, CallMessage &message);
-    void receive(LinkId link, AnswerMessage &message);
+    void receive(LinkId link, ResponseMessage &message);
     void receive(LinkId link, CancelMessage &message);
     void receive(LinkId link, ProbeMessage &message);
     void receive(LinkId link, LoadMessage &message);
     void receive(LinkId link, ControlMessage &message);
-    void answerInbound(const InboundKey &key, AnswerMessage answer);
+    void answerInbound(const InboundKey &key, ResponseMessage answer);
 
     IEventLoop &m_loop;
     IPeerNetwork &m_network;
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -256,7 +256,7 @@
 
 void GateService::onOnceReply(const OnceReply &reply)
 {
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict = reply.verdict;
     answer.response = reply.response;
     answer.holder = reply.holder;
@@ -462,7 +462,7 @@
         found->second.isHolding = false;
         m_once.finished(id, end.verdict, end.response);
     }
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict = end.verdict;
     answer.response = std::move(end.response);
     answer.serviceTime = serviceTime;
@@ -564,12 +564,12 @@
                                  found->second.message.root)) {
         m_recorder.recordRefused(stateOf(found->second), verdict.reason);
     }
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict = verdict;
     endCall(id, std::move(answer));
 }
 
-void GateService::endCall(CallId id, AnswerMessage answer)
+void GateService::endCall(CallId id, ResponseMessage answer)
 {
     const auto found = m_calls.find(id);
     if (found == m_calls.end()) {
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -133,7 +133,7 @@
     void noteSend(const ServiceName &service, const RunEnd &end);
     bool mayRepeat(const ServiceName &service, const Announcement &server, CallId id);
     void tellDoubt(const UpstreamId &instance);
-    void endCall(CallId id, AnswerMessage answer);
+    void endCall(CallId id, ResponseMessage answer);
     void refuseCall(CallId id, const Verdict &verdict);
     GatedCall stateOf(const Call &call) const;
     Duration noteArrival(TimePoint now, const CallMessage &message, CallSource source);
--- a/src/app/internal/gate/igateservice.h
+++ b/src/app/internal/gate/igateservice.h
@@ -44,7 +44,7 @@
 class IGateService
 {
 public:
-    using Reply = std::function<void(AnswerMessage)>;
+    using Reply = std::function<void(ResponseMessage)>;
 
     virtual ~IGateService() = default;
 
--- a/src/app/tests/gateservicetest.cpp
+++ b/src/app/tests/gateservicetest.cpp
@@ -103,7 +103,7 @@
         call.service = service;
         call.remaining = remaining;
         m_gates->handle(std::move(call), CallSource::Link,
-                        [&](const AnswerMessage &answer) { verdicts.push_back(answer.verdict); });
+                        [&](const ResponseMessage &answer) { verdicts.push_back(answer.verdict); });
     };
     send(std::chrono::milliseconds(700));
     CHECK(verdicts.empty());
@@ -143,7 +143,7 @@
         CallMessage call;
         call.service = ServiceName("cassa");
         call.remaining = remaining;
-        m_gates->handle(std::move(call), source, [this](const AnswerMessage &answer) {
+        m_gates->handle(std::move(call), source, [this](const ResponseMessage &answer) {
             m_verdicts.push_back(answer.verdict);
         });
     }
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -76,7 +76,7 @@
         message.request = makeRequest(path);
         return m_gates->handle(
             std::move(message), CallSource::Link,
-            [this](const AnswerMessage &answer) { m_verdicts.push_back(answer.verdict); });
+            [this](const ResponseMessage &answer) { m_verdicts.push_back(answer.verdict); });
     }
     static HttpResult makeCut()
     {
--- a/src/app/tests/mocks/fakegateservice.h
+++ b/src/app/tests/mocks/fakegateservice.h
@@ -36,7 +36,7 @@
     void book(CallTree &tree, const TreeUsage &usage) override { addUsage(tree.usage, usage); }
     LoadReport load(const ServiceName & /*service*/) const override { return {}; }
 
-    void answer(CallId id, AnswerMessage message)
+    void answer(CallId id, ResponseMessage message)
     {
         const Reply reply = std::move(calls.at(id).second);
         message.stream = calls.at(id).first.stream;
--- a/src/app/tests/peercallstest.cpp
+++ b/src/app/tests/peercallstest.cpp
@@ -63,7 +63,7 @@
 
     void peerAnswers(LinkId from, StreamId stream, const std::string &body)
     {
-        AnswerMessage answer;
+        ResponseMessage answer;
         answer.stream = stream;
         answer.verdict.outcome = Outcome::Answered;
         answer.response.body = body;
@@ -207,19 +207,19 @@
 TEST(PeerCalls, IncomingCallIsAnsweredOnItsLink)
 {
     const LinkId incoming = incomingCall(StreamId(5));
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict.outcome = Outcome::Answered;
     gates.answer(gates.calls.begin()->first, answer);
     const auto sent = codec.decode(network.framesOn(incoming).back());
     CHECK(sent.has_value());
-    CHECK(std::get<AnswerMessage>(*sent).stream == StreamId(5));
+    CHECK(std::get<ResponseMessage>(*sent).stream == StreamId(5));
 }
 
 TEST(PeerCalls, CallToThisDaemonSkipsTheLink)
 {
     send(SELF, "1");
     LONGS_EQUAL(0, network.links.size());
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict.outcome = Outcome::Answered;
     gates.answer(gates.calls.begin()->first, answer);
     CHECK(answers.at(0).message.verdict.outcome == Outcome::Answered);
--- a/src/app/tests/turnedawaytest.cpp
+++ b/src/app/tests/turnedawaytest.cpp
@@ -83,7 +83,7 @@
     SilentObservers m_observers;
     std::unique_ptr<IUpstreamDialect> m_dialect = makeOwnUpstreamDialect();
     std::unique_ptr<GateService> m_gates;
-    AnswerMessage m_answer;
+    ResponseMessage m_answer;
 
     void start(bool isOn)
     {
@@ -102,7 +102,7 @@
         message.remaining = 700ms;
         message.admittedShare = WHOLE_DEMAND;
         m_gates->handle(std::move(message), CallSource::Link,
-                        [this](AnswerMessage answer) { m_answer = std::move(answer); });
+                        [this](ResponseMessage answer) { m_answer = std::move(answer); });
         return m_answer.verdict.outcome == Outcome::Answered;
     }
 
--- a/src/protocol/internal/peercodec.cpp
+++ b/src/protocol/internal/peercodec.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-enum class FrameKind : std::uint8_t { Hello = 1, Call, Answer, Cancel, Probe, Load, Control };
+enum class FrameKind : std::uint8_t { Hello = 1, Call, Response, Cancel, Probe, Load, Control };
 
 FieldWriter startFrame(FrameKind kind)
 {
@@ -144,9 +144,9 @@
     return endFrame(writer);
 }
 
-std::string encodeOne(const AnswerMessage &message)
+std::string encodeOne(const ResponseMessage &message)
 {
-    FieldWriter writer = startFrame(FrameKind::Answer);
+    FieldWriter writer = startFrame(FrameKind::Response);
     writer.add(message.stream);
     writer.add(std::uint64_t(message.verdict.outcome)).add(std::uint64_t(message.verdict.reason));
     addDuration(writer, message.verdict.retryAfter);
@@ -239,9 +239,9 @@
     return message;
 }
 
-AnswerMessage readAnswer(FieldReader &reader)
+ResponseMessage readResponse(FieldReader &reader)
 {
-    AnswerMessage message;
+    ResponseMessage message;
     reader.read(message.stream);
     reader.read(message.verdict.outcome, Outcome::Unknown);
     reader.read(message.verdict.reason, Reason::Last);
@@ -296,8 +296,8 @@
         return readHello(reader);
     case FrameKind::Call:
         return readCall(reader);
-    case FrameKind::Answer:
-        return readAnswer(reader);
+    case FrameKind::Response:
+        return readResponse(reader);
     case FrameKind::Cancel:
         return readCancel(reader);
     case FrameKind::Probe:
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -66,7 +66,7 @@
 };
 
 /// End of one attempt. Exactly one for each `CallMessage`, unless the link is lost.
-struct AnswerMessage
+struct ResponseMessage
 {
     StreamId stream;
     Verdict verdict;
@@ -83,7 +83,7 @@
     DaemonId holder;
 };
 
-/// The caller gave up. Answered by the call's `AnswerMessage` like any other end.
+/// The caller gave up. Answered by the call's `ResponseMessage` like any other end.
 struct CancelMessage
 {
     StreamId stream;
@@ -111,7 +111,7 @@
     std::string payload;
 };
 
-using PeerMessage = std::variant<HelloMessage, CallMessage, AnswerMessage, CancelMessage,
+using PeerMessage = std::variant<HelloMessage, CallMessage, ResponseMessage, CancelMessage,
                                  ProbeMessage, LoadMessage, ControlMessage>;
 
 } // namespace ivyspar
--- a/src/protocol/tests/peercodectest.cpp
+++ b/src/protocol/tests/peercodectest.cpp
@@ -28,21 +28,21 @@
     return call;
 }
 
-AnswerMessage makeAnswer()
+ResponseMessage makeResponse()
 {
-    AnswerMessage answer;
-    answer.stream = StreamId(7);
-    answer.verdict = Verdict{ Outcome::NotRun, Reason::QueueFull, std::chrono::milliseconds(30) };
-    answer.response = HttpResponse{ 503, { { "A", "b" } }, "body" };
-    answer.unspent = AttemptCount(11);
-    answer.serviceTime = std::chrono::microseconds(1234);
-    answer.load = LoadReport{ 5, 6, 7, Rank(99), DemandLoad(1300), true };
-    answer.usage = { { ServiceName("cassa"), std::chrono::microseconds(1234), DemandLoad(1300),
-                       LossShare(450), 4 },
-                     { ServiceName("scheda"), std::chrono::microseconds(9), DemandLoad(7),
-                       LossShare(0), 1 } };
-    answer.holder = DaemonId("d-3");
-    return answer;
+    ResponseMessage response;
+    response.stream = StreamId(7);
+    response.verdict = Verdict{ Outcome::NotRun, Reason::QueueFull, std::chrono::milliseconds(30) };
+    response.response = HttpResponse{ 503, { { "A", "b" } }, "body" };
+    response.unspent = AttemptCount(11);
+    response.serviceTime = std::chrono::microseconds(1234);
+    response.load = LoadReport{ 5, 6, 7, Rank(99), DemandLoad(1300), true };
+    response.usage = { { ServiceName("cassa"), std::chrono::microseconds(1234), DemandLoad(1300),
+                         LossShare(450), 4 },
+                       { ServiceName("scheda"), std::chrono::microseconds(9), DemandLoad(7),
+                         LossShare(0), 1 } };
+    response.holder = DaemonId("d-3");
+    return response;
 }
 
 } // namespace
@@ -77,31 +77,31 @@
     CHECK(call.request.body == std::string("\0\x80z", 3));
 }
 
-TEST(PeerCodec, AnswerKeepsEveryField)
+TEST(PeerCodec, ResponseKeepsEveryField)
 {
-    const auto decoded = codec.decode(codec.encode(makeAnswer()));
+    const auto decoded = codec.decode(codec.encode(makeResponse()));
     CHECK(decoded.has_value());
-    const auto &answer = std::get<AnswerMessage>(*decoded);
-    CHECK(answer.stream == StreamId(7));
-    CHECK(answer.verdict.outcome == Outcome::NotRun);
-    CHECK(answer.verdict.reason == Reason::QueueFull);
-    CHECK(answer.verdict.retryAfter == std::chrono::milliseconds(30));
-    CHECK(answer.response.status == 503);
-    CHECK(answer.response.headers.at(0).name == "A");
-    CHECK(answer.response.body == "body");
-    CHECK(answer.unspent == AttemptCount(11));
-    CHECK(answer.serviceTime == std::chrono::microseconds(1234));
-    CHECK(answer.load.inFlight == 5 && answer.load.queued == 6 && answer.load.limit == 7);
-    CHECK(answer.load.floor == Rank(99));
-    CHECK(answer.load.draining);
-    CHECK(answer.load.demand == DemandLoad(1300));
-    CHECK_EQUAL(2, answer.usage.size());
-    CHECK(answer.usage.at(1).service == ServiceName("scheda"));
-    CHECK(answer.usage.at(1).busy == std::chrono::microseconds(9));
-    CHECK(answer.usage.at(1).load == DemandLoad(7));
-    CHECK(answer.usage.at(0).loss == LossShare(450));
-    CHECK_EQUAL(4, answer.usage.at(0).calls);
-    CHECK(answer.holder == DaemonId("d-3"));
+    const auto &response = std::get<ResponseMessage>(*decoded);
+    CHECK(response.stream == StreamId(7));
+    CHECK(response.verdict.outcome == Outcome::NotRun);
+    CHECK(response.verdict.reason == Reason::QueueFull);
+    CHECK(response.verdict.retryAfter == std::chrono::milliseconds(30));
+    CHECK(response.response.status == 503);
+    CHECK(response.response.headers.at(0).name == "A");
+    CHECK(response.response.body == "body");
+    CHECK(response.unspent == AttemptCount(11));
+    CHECK(response.serviceTime == std::chrono::microseconds(1234));
+    CHECK(response.load.inFlight == 5 && response.load.queued == 6 && response.load.limit == 7);
+    CHECK(response.load.floor == Rank(99));
+    CHECK(response.load.draining);
+    CHECK(response.load.demand == DemandLoad(1300));
+    CHECK_EQUAL(2, response.usage.size());
+    CHECK(response.usage.at(1).service == ServiceName("scheda"));
+    CHECK(response.usage.at(1).busy == std::chrono::microseconds(9));
+    CHECK(response.usage.at(1).load == DemandLoad(7));
+    CHECK(response.usage.at(0).loss == LossShare(450));
+    CHECK_EQUAL(4, response.usage.at(0).calls);
+    CHECK(response.holder == DaemonId("d-3"));
 }
 
 TEST(PeerCodec, EveryPrefixIsRefused)
@@ -117,7 +117,7 @@
 TEST(PeerCodec, ChangedBytesNeverStopTheProcess)
 {
     std::mt19937 random(1);
-    const std::string frames[] = { codec.encode(makeCall()), codec.encode(makeAnswer()) };
+    const std::string frames[] = { codec.encode(makeCall()), codec.encode(makeResponse()) };
     for (int round = 0; round < 20000; ++round) {
         std::string frame = frames[random() % 2];
         const std::size_t changes = 1 + random() % 4;
