--- a/src/app/internal/gate/runend.cpp
+++ b/src/app/internal/gate/runend.cpp
@@ -48,21 +48,21 @@
 RunEnd judgeAnswer(const IUpstreamDialect &dialect, HttpResponse response)
 {
     RunEnd end;
-    switch (dialect.judge(response)) {
-    case UpstreamAnswer::Refused:
+    switch (dialect.classify(response)) {
+    case UpstreamResponseKind::Refused:
         end = notRun(Reason::UpstreamRefused);
         end.result = CallResult::Overloaded;
         return end;
-    case UpstreamAnswer::OtherInstance:
+    case UpstreamResponseKind::OtherInstance:
         end = notRun(Reason::NoServer);
         end.result = CallResult::Failure;
         end.isServerDoubted = true;
         return end;
-    case UpstreamAnswer::Broken:
+    case UpstreamResponseKind::Broken:
         end.verdict = Verdict{ Outcome::Unknown, Reason::BrokenAnswer, Duration::zero() };
         end.result = CallResult::Failure;
         return end;
-    case UpstreamAnswer::Ran:
+    case UpstreamResponseKind::Ran:
         break;
     }
     end.verdict.outcome = Outcome::Answered;
--- a/src/protocol/internal/ownupstreamdialect.cpp
+++ b/src/protocol/internal/ownupstreamdialect.cpp
@@ -25,11 +25,11 @@
     }
 }
 
-UpstreamAnswer OwnUpstreamDialect::judge(const HttpResponse &response) const
+UpstreamResponseKind OwnUpstreamDialect::classify(const HttpResponse &response) const
 {
     const std::string *outcome = findHeader(response.headers, headers::UPSTREAM_OUTCOME);
     const bool isRefused = response.status == SERVICE_UNAVAILABLE && outcome && *outcome == NOT_RUN;
-    return isRefused ? UpstreamAnswer::Refused : UpstreamAnswer::Ran;
+    return isRefused ? UpstreamResponseKind::Refused : UpstreamResponseKind::Ran;
 }
 
 /// An upstream passes on headers of the inner calls that it made. Taken at face value they would
--- a/src/protocol/iupstreamdialect.h
+++ b/src/protocol/iupstreamdialect.h
@@ -23,7 +23,7 @@
 };
 
 /// What an upstream's answer says of the call.
-enum class UpstreamAnswer {
+enum class UpstreamResponseKind {
     Ran,
     Refused, ///< The upstream says that it did not start the call.
     Broken, ///< Not an answer that an upstream gives: the call may have run.
@@ -46,7 +46,7 @@
 
     /// Whatever callers sent in the place of what is written here is gone already.
     virtual void address(const UpstreamSend &send, HttpRequest &request) const = 0;
-    virtual UpstreamAnswer judge(const HttpResponse &response) const = 0;
+    virtual UpstreamResponseKind classify(const HttpResponse &response) const = 0;
     /// Removes what must not reach the caller.
     virtual void clean(HttpResponse &response) const = 0;
     virtual std::optional<UpstreamLoad> load(const HttpResponse &response) const = 0;
