--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -521,7 +521,7 @@
 {
     const auto remaining = std::chrono::duration_cast<Duration>(call.deadline - m_loop.now());
     HttpRequest request = call.message.request;
-    m_dialect.address(
+    m_dialect.prepareRequest(
         UpstreamSend{ toHex(id.value()), remaining, server.instance, call.message.account },
         request);
     // The call may be gone when the exchange ends.
--- a/src/app/internal/gate/runend.cpp
+++ b/src/app/internal/gate/runend.cpp
@@ -68,7 +68,7 @@
     end.verdict.outcome = Outcome::Answered;
     end.result = isServerError(response.status) ? CallResult::Failure : CallResult::Success;
     end.response = std::move(response);
-    dialect.clean(end.response);
+    dialect.removeInternalHeaders(end.response);
     return end;
 }
 
--- a/src/app/internal/gate/upstreamwatch.cpp
+++ b/src/app/internal/gate/upstreamwatch.cpp
@@ -111,7 +111,7 @@
     }
     health.isSilent = false;
     health.isHealthy = result->status == OK;
-    health.instance = m_dialect.instance(*result);
+    health.instance = m_dialect.readInstance(*result);
     return health;
 }
 
--- a/src/protocol/internal/ownupstreamdialect.cpp
+++ b/src/protocol/internal/ownupstreamdialect.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void OwnUpstreamDialect::address(const UpstreamSend &send, HttpRequest &request) const
+void OwnUpstreamDialect::prepareRequest(const UpstreamSend &send, HttpRequest &request) const
 {
     request.headers.push_back({ headers::CONTEXT, send.context });
     const auto remainingMs =
@@ -34,7 +34,7 @@
 
 /// An upstream passes on headers of the inner calls that it made. Taken at face value they would
 /// tell the caller that its own request was not run, although it ran.
-void OwnUpstreamDialect::clean(HttpResponse &response) const
+void OwnUpstreamDialect::removeInternalHeaders(HttpResponse &response) const
 {
     for (const char *name :
          { headers::OUTCOME, headers::REASON, headers::ATTEMPTS, headers::RETRY_AFTER_MS,
@@ -43,12 +43,12 @@
     }
 }
 
-std::optional<UpstreamLoad> OwnUpstreamDialect::load(const HttpResponse & /*response*/) const
+std::optional<UpstreamLoad> OwnUpstreamDialect::readLoad(const HttpResponse & /*response*/) const
 {
     return std::nullopt;
 }
 
-UpstreamId OwnUpstreamDialect::instance(const HttpResponse & /*response*/) const
+UpstreamId OwnUpstreamDialect::readInstance(const HttpResponse & /*response*/) const
 {
     return {};
 }
--- a/src/protocol/iupstreamdialect.h
+++ b/src/protocol/iupstreamdialect.h
@@ -45,15 +45,15 @@
     virtual ~IUpstreamDialect() = default;
 
     /// Whatever callers sent in the place of what is written here is gone already.
-    virtual void address(const UpstreamSend &send, HttpRequest &request) const = 0;
+    virtual void prepareRequest(const UpstreamSend &send, HttpRequest &request) const = 0;
     virtual UpstreamResponseKind classify(const HttpResponse &response) const = 0;
     /// Removes what must not reach the caller.
-    virtual void clean(HttpResponse &response) const = 0;
-    virtual std::optional<UpstreamLoad> load(const HttpResponse &response) const = 0;
+    virtual void removeInternalHeaders(HttpResponse &response) const = 0;
+    virtual std::optional<UpstreamLoad> readLoad(const HttpResponse &response) const = 0;
     /// Name of the header that an upstream repeats from the request; empty if there is none.
     virtual std::string echoHeader() const = 0;
     /// The run of the upstream that answered a health check; empty if it does not say.
-    virtual UpstreamId instance(const HttpResponse &response) const = 0;
+    virtual UpstreamId readInstance(const HttpResponse &response) const = 0;
 };
 
 } // namespace ivyspar
