--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -573,7 +573,7 @@
         return m_dialect.makeRefusal(run.incoming.root, run.verdict, run.call.attempts());
     }
     HttpResponse response = run.response;
-    m_dialect.completeAnswer(run.incoming.root, run.call.attempts(), response);
+    m_dialect.addResultHeaders(run.incoming.root, run.call.attempts(), response);
     return response;
 }
 
--- a/src/protocol/internal/ownrequestdialect.cpp
+++ b/src/protocol/internal/ownrequestdialect.cpp
@@ -159,8 +159,8 @@
     return makeVerdictResponse(root, verdict, attempts);
 }
 
-void OwnRequestDialect::completeAnswer(RootId root, std::uint32_t attempts,
-                                       HttpResponse &response) const
+void OwnRequestDialect::addResultHeaders(RootId root, std::uint32_t attempts,
+                                         HttpResponse &response) const
 {
     response.headers.push_back({ headers::OUTCOME, toText(Outcome::Answered) });
     response.headers.push_back({ headers::REQUEST_ID, toText(root) });
--- a/src/protocol/internal/ownrequestdialect.h
+++ b/src/protocol/internal/ownrequestdialect.h
@@ -13,7 +13,8 @@
          const Configuration *configuration) const override;
     HttpResponse makeRefusal(RootId root, const Verdict &verdict,
                              std::uint32_t attempts) const override;
-    void completeAnswer(RootId root, std::uint32_t attempts, HttpResponse &response) const override;
+    void addResultHeaders(RootId root, std::uint32_t attempts,
+                          HttpResponse &response) const override;
 };
 
 } // namespace ivyspar
--- a/src/protocol/irequestdialect.h
+++ b/src/protocol/irequestdialect.h
@@ -64,8 +64,8 @@
     virtual HttpResponse makeRefusal(RootId root, const Verdict &verdict,
                                      std::uint32_t attempts) const = 0;
     /// Adds to an upstream's answer what callers are told besides.
-    virtual void completeAnswer(RootId root, std::uint32_t attempts,
-                                HttpResponse &response) const = 0;
+    virtual void addResultHeaders(RootId root, std::uint32_t attempts,
+                                  HttpResponse &response) const = 0;
 };
 
 } // namespace ivyspar
