--- a/src/protocol/internal/accountexchange.cpp
+++ b/src/protocol/internal/accountexchange.cpp
@@ -13,13 +13,13 @@
 /// First field of each message, so that other exchanges on the same links are told apart.
 constexpr char EXCHANGE[] = "accounts";
 /// Rates are sent in thousandths of a request a second.
-constexpr double MILLI = 1000;
+constexpr double MILLIS_PER_UNIT = 1000;
 /// Bounds on what a message may hold.
-constexpr std::size_t MOST_ITEMS = 4096;
-constexpr std::size_t MOST_NAME = 256;
-constexpr std::uint64_t LONGEST_MICROS = 3600ULL * 1'000'000;
+constexpr std::size_t MAX_ITEMS = 4096;
+constexpr std::size_t MAX_NAME_BYTES = 256;
+constexpr std::uint64_t MAX_DURATION_MICROS = 3600ULL * 1'000'000;
 
-enum class MessageKind : std::uint8_t { Ask = 1, Grant };
+enum class MessageKind : std::uint8_t { Request = 1, Response };
 
 FieldWriter startMessage(MessageKind kind, std::uint32_t number)
 {
@@ -41,42 +41,42 @@
         .add(std::uint64_t(demand.prefetch))
         .add(std::uint64_t(demand.held))
         .add(std::uint64_t(demand.returned))
-        .add(std::uint64_t(std::llround(demand.rate * MILLI)))
-        .add(std::uint64_t(std::llround(demand.longTermRate * MILLI)))
+        .add(std::uint64_t(std::llround(demand.rate * MILLIS_PER_UNIT)))
+        .add(std::uint64_t(std::llround(demand.longTermRate * MILLIS_PER_UNIT)))
         .add(demand.lease)
         .add(microsOf(demand.leaseLeft))
         .add(std::uint64_t(demand.locallyAdmitted));
     return writer.take();
 }
 
-PackedFields writePart(const TokenGrant &part)
+PackedFields writeGrant(const TokenGrant &grant)
 {
     FieldWriter writer;
-    writer.add(part.account)
-        .add(part.isFromHome)
-        .add(std::uint64_t(part.tokens))
-        .add(microsOf(part.emptyFor))
-        .add(microsOf(part.retryAfter))
-        .add(part.lease)
-        .add(microsOf(part.leaseDuration));
+    writer.add(grant.account)
+        .add(grant.isFromHome)
+        .add(std::uint64_t(grant.tokens))
+        .add(microsOf(grant.emptyFor))
+        .add(microsOf(grant.retryAfter))
+        .add(grant.lease)
+        .add(microsOf(grant.leaseDuration));
     return writer.take();
 }
 
-std::string encodeOne(const TokenRequest &ask)
+std::string encodeOne(const TokenRequest &request)
 {
-    FieldWriter writer = startMessage(MessageKind::Ask, ask.number);
-    writer.add(ask.isForDeputy);
-    for (const TokenDemand &demand : ask.demands) {
+    FieldWriter writer = startMessage(MessageKind::Request, request.number);
+    writer.add(request.isForDeputy);
+    for (const TokenDemand &demand : request.demands) {
         writer.add(writeDemand(demand));
     }
     return writer.take().bytes;
 }
 
-std::string encodeOne(const TokenResponse &grant)
+std::string encodeOne(const TokenResponse &response)
 {
-    FieldWriter writer = startMessage(MessageKind::Grant, grant.number);
-    for (const TokenGrant &part : grant.grants) {
-        writer.add(writePart(part));
+    FieldWriter writer = startMessage(MessageKind::Response, response.number);
+    for (const TokenGrant &grant : response.grants) {
+        writer.add(writeGrant(grant));
     }
     return writer.take().bytes;
 }
@@ -84,7 +84,7 @@
 void readAccount(FieldReader &reader, AccountName &account)
 {
     reader.read(account);
-    if (account.value().size() > MOST_NAME) {
+    if (account.value().size() > MAX_NAME_BYTES) {
         reader.fail();
     }
 }
@@ -93,7 +93,7 @@
 {
     std::uint64_t micros = 0;
     reader.read(micros);
-    duration = Duration(static_cast<Duration::rep>(std::min(micros, LONGEST_MICROS)));
+    duration = Duration(static_cast<Duration::rep>(std::min(micros, MAX_DURATION_MICROS)));
 }
 
 void readLease(FieldReader &reader, RateShare &lease)
@@ -108,7 +108,7 @@
 {
     std::uint32_t millis = 0;
     reader.read(millis);
-    rate = millis / MILLI;
+    rate = millis / MILLIS_PER_UNIT;
 }
 
 TokenDemand readDemand(FieldReader &reader)
@@ -127,17 +127,17 @@
     return demand;
 }
 
-TokenGrant readPart(FieldReader &reader)
+TokenGrant readGrant(FieldReader &reader)
 {
-    TokenGrant part;
-    readAccount(reader, part.account);
-    reader.read(part.isFromHome);
-    reader.read(part.tokens);
-    readMicros(reader, part.emptyFor);
-    readMicros(reader, part.retryAfter);
-    readLease(reader, part.lease);
-    readMicros(reader, part.leaseDuration);
-    return part;
+    TokenGrant grant;
+    readAccount(reader, grant.account);
+    reader.read(grant.isFromHome);
+    reader.read(grant.tokens);
+    readMicros(reader, grant.emptyFor);
+    readMicros(reader, grant.retryAfter);
+    readLease(reader, grant.lease);
+    readMicros(reader, grant.leaseDuration);
+    return grant;
 }
 
 template <typename Item, typename ReadItem>
@@ -146,13 +146,13 @@
     while (reader.isGood() && !reader.isAtEnd()) {
         FieldReader fields = reader.readArray();
         items.push_back(readItem(fields));
-        if (!fields.isGood() || items.size() > MOST_ITEMS) {
+        if (!fields.isGood() || items.size() > MAX_ITEMS) {
             reader.fail();
         }
     }
 }
 
-bool isOurs(FieldReader &reader)
+bool isThisExchange(FieldReader &reader)
 {
     std::string exchange;
     reader.read(exchange);
@@ -161,17 +161,17 @@
 
 AccountMessage readBody(MessageKind kind, FieldReader &reader)
 {
-    if (kind == MessageKind::Ask) {
-        TokenRequest ask;
-        reader.read(ask.number);
-        reader.read(ask.isForDeputy);
-        readItems(reader, ask.demands, readDemand);
-        return ask;
+    if (kind == MessageKind::Request) {
+        TokenRequest request;
+        reader.read(request.number);
+        reader.read(request.isForDeputy);
+        readItems(reader, request.demands, readDemand);
+        return request;
     }
-    TokenResponse grant;
-    reader.read(grant.number);
-    readItems(reader, grant.grants, readPart);
-    return grant;
+    TokenResponse response;
+    reader.read(response.number);
+    readItems(reader, response.grants, readGrant);
+    return response;
 }
 
 } // namespace
@@ -184,18 +184,18 @@
 bool isAccountMessage(const std::string &payload)
 {
     auto fields = FieldReader::open(payload);
-    return fields && isOurs(*fields);
+    return fields && isThisExchange(*fields);
 }
 
 RetVal<AccountMessage> decodeAccountMessage(const std::string &payload)
 {
     auto fields = FieldReader::open(payload);
-    if (!fields || !isOurs(*fields)) {
+    if (!fields || !isThisExchange(*fields)) {
         return makeError(ErrorCode::NotFound, "a message of another exchange");
     }
     FieldReader &reader = *fields;
-    MessageKind kind = MessageKind::Ask;
-    reader.read(kind, MessageKind::Grant);
+    MessageKind kind = MessageKind::Request;
+    reader.read(kind, MessageKind::Response);
     AccountMessage message = readBody(kind, reader);
     if (!reader.isGood()) {
         return makeError(ErrorCode::InvalidArgument, "malformed message of accounts");
--- a/src/protocol/internal/suspectexchange.cpp
+++ b/src/protocol/internal/suspectexchange.cpp
@@ -12,13 +12,13 @@
 /// First field of each message, so that other exchanges on the same links are told apart.
 constexpr char EXCHANGE[] = "suspects";
 /// A crash of the future would be remembered for ever, and one of long ago means nothing.
-constexpr std::uint64_t MOST_AGE_MICROS = 7ULL * 24 * 3600 * 1'000'000;
+constexpr std::uint64_t MAX_AGE_MICROS = 7ULL * 24 * 3600 * 1'000'000;
 /// Bounds on what a message may hold.
-constexpr std::size_t MOST_RECORDS = 4096;
-constexpr std::size_t MOST_ITEMS = 64;
-constexpr std::size_t MOST_TEXT = 256;
+constexpr std::size_t MAX_RECORDS = 4096;
+constexpr std::size_t MAX_ITEMS = 64;
+constexpr std::size_t MAX_TEXT_BYTES = 256;
 
-enum class MessageKind : std::uint8_t { Digest = 1, News, State };
+enum class MessageKind : std::uint8_t { Digest = 1, Update, Snapshot };
 
 FieldWriter startMessage(MessageKind kind)
 {
@@ -81,22 +81,24 @@
     return startMessage(MessageKind::Digest).add(digest.digest).take().bytes;
 }
 
-std::string encodeOne(const SuspectUpdate &news, TimePoint now)
+std::string encodeOne(const SuspectUpdate &update, TimePoint now)
 {
-    return startMessage(MessageKind::News).add(writeRecords(news.records, now)).take().bytes;
+    return startMessage(MessageKind::Update).add(writeRecords(update.records, now)).take().bytes;
 }
 
-std::string encodeOne(const SuspectSnapshot &state, TimePoint now)
+std::string encodeOne(const SuspectSnapshot &snapshot, TimePoint now)
 {
-    FieldWriter writer = startMessage(MessageKind::State);
-    writer.add(state.digest).add(state.isReplyRequested).add(writeRecords(state.records, now));
+    FieldWriter writer = startMessage(MessageKind::Snapshot);
+    writer.add(snapshot.digest)
+        .add(snapshot.isReplyRequested)
+        .add(writeRecords(snapshot.records, now));
     return writer.take().bytes;
 }
 
 template <typename Text> void readText(FieldReader &reader, Text &text)
 {
     reader.read(text);
-    if (text.value().size() > MOST_TEXT) {
+    if (text.value().size() > MAX_TEXT_BYTES) {
         reader.fail();
     }
 }
@@ -105,18 +107,18 @@
 {
     std::uint64_t age = 0;
     reader.read(age);
-    at = now - Duration(static_cast<Duration::rep>(std::min(age, MOST_AGE_MICROS)));
+    at = now - Duration(static_cast<Duration::rep>(std::min(age, MAX_AGE_MICROS)));
 }
 
-/// Reads a list of lists of fields, `most` of them.
+/// Reads a list of lists of fields, `maxItems` of them.
 template <typename ReadFields>
-void readItems(FieldReader &reader, std::size_t most, const ReadFields &readFields)
+void readItems(FieldReader &reader, std::size_t maxItems, const ReadFields &readFields)
 {
     FieldReader list = reader.readArray();
     for (std::size_t count = 0; list.isGood() && !list.isAtEnd(); ++count) {
         FieldReader fields = list.readArray();
         readFields(fields);
-        if (!fields.isGood() || count >= most) {
+        if (!fields.isGood() || count >= maxItems) {
             list.fail();
         }
     }
@@ -133,7 +135,7 @@
 
 void readKinds(FieldReader &reader, std::vector<ServerKind> &kinds)
 {
-    readItems(reader, MOST_ITEMS,
+    readItems(reader, MAX_ITEMS,
               [&](FieldReader &fields) { readKind(fields, kinds.emplace_back()); });
 }
 
@@ -151,7 +153,7 @@
     readText(reader, record.fingerprint);
     reader.read(record.epoch);
     readTime(reader, now, record.changedAt);
-    readItems(reader, MOST_ITEMS,
+    readItems(reader, MAX_ITEMS,
               [&](FieldReader &fields) { readCrash(fields, now, record.crashes.emplace_back()); });
     readKinds(reader, record.completed);
     readKinds(reader, record.untried);
@@ -160,29 +162,29 @@
 std::vector<SuspectRecord> readRecords(FieldReader &reader, TimePoint now)
 {
     std::vector<SuspectRecord> records;
-    readItems(reader, MOST_RECORDS,
+    readItems(reader, MAX_RECORDS,
               [&](FieldReader &fields) { readRecord(fields, now, records.emplace_back()); });
     return records;
 }
 
 SuspectMessage readBody(MessageKind kind, FieldReader &reader, TimePoint now)
 {
-    if (kind == MessageKind::News) {
+    if (kind == MessageKind::Update) {
         return SuspectUpdate{ readRecords(reader, now) };
     }
-    if (kind == MessageKind::State) {
-        SuspectSnapshot state;
-        reader.read(state.digest);
-        reader.read(state.isReplyRequested);
-        state.records = readRecords(reader, now);
-        return state;
+    if (kind == MessageKind::Snapshot) {
+        SuspectSnapshot snapshot;
+        reader.read(snapshot.digest);
+        reader.read(snapshot.isReplyRequested);
+        snapshot.records = readRecords(reader, now);
+        return snapshot;
     }
     SuspectDigest digest;
     reader.read(digest.digest);
     return digest;
 }
 
-bool isOurs(FieldReader &reader)
+bool isThisExchange(FieldReader &reader)
 {
     std::string exchange;
     reader.read(exchange);
@@ -199,18 +201,18 @@
 bool isSuspectMessage(const std::string &payload)
 {
     auto fields = FieldReader::open(payload);
-    return fields && isOurs(*fields);
+    return fields && isThisExchange(*fields);
 }
 
 RetVal<SuspectMessage> decodeSuspectMessage(const std::string &payload, TimePoint now)
 {
     auto fields = FieldReader::open(payload);
-    if (!fields || !isOurs(*fields)) {
+    if (!fields || !isThisExchange(*fields)) {
         return makeError(ErrorCode::NotFound, "a message of another exchange");
     }
     FieldReader &reader = *fields;
     MessageKind kind = MessageKind::Digest;
-    reader.read(kind, MessageKind::State);
+    reader.read(kind, MessageKind::Snapshot);
     SuspectMessage message = readBody(kind, reader, now);
     if (!reader.isGood()) {
         return makeError(ErrorCode::InvalidArgument, "malformed message of suspects");
--- a/src/protocol/tests/accountexchangetest.cpp
+++ b/src/protocol/tests/accountexchangetest.cpp
@@ -9,18 +9,18 @@
 TEST_GROUP(AccountExchange)
 {
     TokenDemand m_demand{ AccountName("kitchen"), 2, 3, 4, 5, 1.5, 0.25, RateShare(7000), 9s, 8 };
-    TokenGrant m_part{ AccountName("kitchen"), true, 6, 20ms, 300ms, RateShare(12), 10s };
+    TokenGrant m_grant{ AccountName("kitchen"), true, 6, 20ms, 300ms, RateShare(12), 10s };
 };
 
-TEST(AccountExchange, AnAskIsReadAsItWasWritten)
+TEST(AccountExchange, RequestKeepsAllFields)
 {
     const auto read = decodeAccountMessage(
         encodeAccountMessage(TokenRequest{ 41, true, { m_demand, TokenDemand() } }));
-    const auto &ask = std::get<TokenRequest>(*read);
-    CHECK_EQUAL(41, ask.number);
-    CHECK(ask.isForDeputy);
-    CHECK_EQUAL(2, ask.demands.size());
-    const TokenDemand &demand = ask.demands.front();
+    const auto &request = std::get<TokenRequest>(*read);
+    CHECK_EQUAL(41, request.number);
+    CHECK(request.isForDeputy);
+    CHECK_EQUAL(2, request.demands.size());
+    const TokenDemand &demand = request.demands.front();
     CHECK(demand.account == m_demand.account);
     CHECK_EQUAL(2, demand.waiting);
     CHECK_EQUAL(3, demand.prefetch);
@@ -33,28 +33,28 @@
     CHECK_EQUAL(8, demand.locallyAdmitted);
 }
 
-TEST(AccountExchange, AGrantIsReadAsItWasWritten)
+TEST(AccountExchange, ResponseKeepsAllFields)
 {
-    const auto read = decodeAccountMessage(encodeAccountMessage(TokenResponse{ 42, { m_part } }));
-    const auto &grant = std::get<TokenResponse>(*read);
-    CHECK_EQUAL(42, grant.number);
-    const TokenGrant &part = grant.grants.at(0);
-    CHECK(part.isFromHome);
-    CHECK_EQUAL(6, part.tokens);
-    CHECK(part.emptyFor == 20ms);
-    CHECK(part.retryAfter == 300ms);
-    CHECK(part.lease == RateShare(12));
-    CHECK(part.leaseDuration == 10s);
+    const auto read = decodeAccountMessage(encodeAccountMessage(TokenResponse{ 42, { m_grant } }));
+    const auto &response = std::get<TokenResponse>(*read);
+    CHECK_EQUAL(42, response.number);
+    const TokenGrant &grant = response.grants.at(0);
+    CHECK(grant.isFromHome);
+    CHECK_EQUAL(6, grant.tokens);
+    CHECK(grant.emptyFor == 20ms);
+    CHECK(grant.retryAfter == 300ms);
+    CHECK(grant.lease == RateShare(12));
+    CHECK(grant.leaseDuration == 10s);
 }
 
 // Guards against a daemon that grants, or believes in, more than the whole rate.
-TEST(AccountExchange, ALeaseOfMoreThanTheWholeRateIsMalformed)
+TEST(AccountExchange, LeaseAboveWholeRateIsMalformed)
 {
-    m_part.lease = RateShare(WHOLE_RATE.value() + 1);
-    CHECK_FALSE(decodeAccountMessage(encodeAccountMessage(TokenResponse{ 1, { m_part } })));
+    m_grant.lease = RateShare(WHOLE_RATE.value() + 1);
+    CHECK_FALSE(decodeAccountMessage(encodeAccountMessage(TokenResponse{ 1, { m_grant } })));
 }
 
-TEST(AccountExchange, WhatIsCutShortIsMalformed)
+TEST(AccountExchange, TruncatedMessageIsMalformed)
 {
     const std::string whole = encodeAccountMessage(TokenRequest{ 41, false, { m_demand } });
     for (std::size_t size = 0; size < whole.size(); ++size) {
@@ -62,7 +62,7 @@
     }
 }
 
-TEST(AccountExchange, OtherExchangesAreToldApart)
+TEST(AccountExchange, OtherExchangesAreDistinguished)
 {
     CHECK(isAccountMessage(encodeAccountMessage(TokenResponse{ 1, {} })));
     CHECK_FALSE(isSuspectMessage(encodeAccountMessage(TokenResponse{ 1, {} })));
--- a/src/protocol/tests/suspectexchangetest.cpp
+++ b/src/protocol/tests/suspectexchangetest.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-const TimePoint THEN{ 500s };
+const TimePoint SENDER_NOW{ 500s };
 /// The receiver's clock has another zero.
-const TimePoint NOW{ 9000s };
+const TimePoint RECEIVER_NOW{ 9000s };
 const ServerKind KIND{ ServiceName("catalogo"), UpstreamVersion("v1") };
 
 SuspectRecord makeRecord()
@@ -20,11 +20,11 @@
     SuspectRecord record;
     record.fingerprint = Fingerprint("4f00");
     record.epoch = 2;
-    record.crashes = { Crash{ UpstreamId("i-1"), KIND, THEN - 7s, false, false },
-                       Crash{ UpstreamId("i-2"), KIND, THEN - 1s, true, true } };
+    record.crashes = { Crash{ UpstreamId("i-1"), KIND, SENDER_NOW - 7s, false, false },
+                       Crash{ UpstreamId("i-2"), KIND, SENDER_NOW - 1s, true, true } };
     record.completed = { KIND };
     record.untried = { { ServiceName("catalogo"), UpstreamVersion("v2") } };
-    record.changedAt = THEN - 1s;
+    record.changedAt = SENDER_NOW - 1s;
     return record;
 }
 
@@ -32,67 +32,69 @@
 
 TEST_GROUP(SuspectExchange){};
 
-TEST(SuspectExchange, RecordsArriveWithTheirAges)
+TEST(SuspectExchange, UpdateKeepsRecordsAndAges)
 {
-    const std::string payload = encodeSuspectMessage(SuspectUpdate{ { makeRecord() } }, THEN);
+    const std::string payload = encodeSuspectMessage(SuspectUpdate{ { makeRecord() } }, SENDER_NOW);
     CHECK(isSuspectMessage(payload));
-    const auto read = decodeSuspectMessage(payload, NOW);
+    const auto read = decodeSuspectMessage(payload, RECEIVER_NOW);
     CHECK(read.has_value());
     const SuspectRecord &record = std::get<SuspectUpdate>(*read).records.at(0);
     CHECK(record.fingerprint == Fingerprint("4f00"));
     LONGS_EQUAL(2, record.epoch);
-    CHECK(record.crashes.at(0).at == NOW - 7s);
+    CHECK(record.crashes.at(0).at == RECEIVER_NOW - 7s);
     CHECK_FALSE(record.crashes.at(0).wasIsolated);
     CHECK(record.crashes.at(1).wasIsolated);
     CHECK(record.crashes.at(1).isTrial);
     CHECK(record.crashes.at(1).run == UpstreamId("i-2"));
     CHECK(record.completed.at(0) == KIND);
     CHECK(record.untried.at(0).version == UpstreamVersion("v2"));
-    CHECK(record.changedAt == NOW - 1s);
+    CHECK(record.changedAt == RECEIVER_NOW - 1s);
 }
 
-TEST(SuspectExchange, StatesAndDigestsAreKept)
+TEST(SuspectExchange, SnapshotsAndDigestsKeepTheirFields)
 {
-    const SuspectSnapshot state{ 77, true, { makeRecord(), makeRecord() } };
-    const auto read = decodeSuspectMessage(encodeSuspectMessage(state, THEN), NOW);
+    const SuspectSnapshot snapshot{ 77, true, { makeRecord(), makeRecord() } };
+    const auto read =
+        decodeSuspectMessage(encodeSuspectMessage(snapshot, SENDER_NOW), RECEIVER_NOW);
     CHECK(std::get<SuspectSnapshot>(*read).isReplyRequested);
     LONGS_EQUAL(2, std::get<SuspectSnapshot>(*read).records.size());
-    const auto digest = decodeSuspectMessage(encodeSuspectMessage(SuspectDigest{ 9 }, THEN), NOW);
+    const auto digest =
+        decodeSuspectMessage(encodeSuspectMessage(SuspectDigest{ 9 }, SENDER_NOW), RECEIVER_NOW);
     LONGS_EQUAL(9, std::get<SuspectDigest>(*digest).digest);
 }
 
-TEST(SuspectExchange, OtherExchangesAreToldApart)
+TEST(SuspectExchange, OtherExchangesAreDistinguished)
 {
     const std::string other = encodeDocumentMessage(DocumentRequest{ ConfigurationVersion(3) });
     CHECK_FALSE(isSuspectMessage(other));
-    CHECK(decodeSuspectMessage(other, NOW).error().code == ErrorCode::NotFound);
-    const std::string own = encodeSuspectMessage(SuspectDigest{ 1 }, THEN);
+    CHECK(decodeSuspectMessage(other, RECEIVER_NOW).error().code == ErrorCode::NotFound);
+    const std::string own = encodeSuspectMessage(SuspectDigest{ 1 }, SENDER_NOW);
     CHECK(decodeDocumentMessage(own).error().code == ErrorCode::NotFound);
 }
 
 // Guards against a message that ends the daemon or holds more than is bearable.
-TEST(SuspectExchange, DamagedMessagesAreRefusedOrHarmless)
+TEST(SuspectExchange, DamagedMessagesAreRejectedOrHarmless)
 {
     const std::string whole =
-        encodeSuspectMessage(SuspectSnapshot{ 7, false, { makeRecord() } }, THEN);
+        encodeSuspectMessage(SuspectSnapshot{ 7, false, { makeRecord() } }, SENDER_NOW);
     for (std::size_t length = 0; length < whole.size(); ++length) {
-        CHECK_FALSE(decodeSuspectMessage(whole.substr(0, length), NOW).has_value());
+        CHECK_FALSE(decodeSuspectMessage(whole.substr(0, length), RECEIVER_NOW).has_value());
     }
     SeededRandom random(5);
     for (int i = 0; i < 20000; ++i) {
         std::string damaged = whole;
         damaged[random.below(damaged.size())] = static_cast<char>(random.next());
-        (void)decodeSuspectMessage(damaged, NOW);
+        (void)decodeSuspectMessage(damaged, RECEIVER_NOW);
     }
 }
 
-TEST(SuspectExchange, RecordsOfNewsFitIntoADatagram)
+TEST(SuspectExchange, EightRecordsOfAnUpdateFitIntoADatagram)
 {
     SuspectRecord record = makeRecord();
     record.fingerprint = Fingerprint(std::string(32, 'f'));
     record.crashes.pop_back();
     record.untried.clear();
     record.crashes.front().run = UpstreamId("i-1234567890");
-    const SuspectUpdate news{ std::vector<SuspectRecord>(8, record) };
-    CHECK_COMPARE(encodeSuspectMessage(news, THEN).size(), <, 1100);
+    const SuspectUpdate update{ std::vector<SuspectRecord>(8, record) };
+    CHECK_COMPARE(encodeSuspectMessage(update, SENDER_NOW).size(), <, 1100);
 }
