--- a/src/protocol/internal/announcementreader.cpp
+++ b/src/protocol/internal/announcementreader.cpp
@@ -9,9 +9,9 @@
 using Json = nlohmann::json;
 
 constexpr std::uint64_t MAX_SLOTS = 1000000;
-constexpr std::size_t MAX_VERSION = 64;
+constexpr std::size_t MAX_VERSION_BYTES = 64;
 
-tl::unexpected<Error> wrong(const std::string &text)
+tl::unexpected<Error> invalidReport(const std::string &text)
 {
     return makeError(ErrorCode::InvalidArgument, text);
 }
@@ -39,7 +39,7 @@
 
 bool readVersion(const Json &document, std::string &version)
 {
-    return readText(document, "version", version) && version.size() <= MAX_VERSION;
+    return readText(document, "version", version) && version.size() <= MAX_VERSION_BYTES;
 }
 
 } // namespace
@@ -48,41 +48,41 @@
 {
     const Json document = Json::parse(json, nullptr, false);
     if (!document.is_object()) {
-        return wrong("expected a JSON object");
+        return invalidReport("expected a JSON object");
     }
-    UpstreamReport announcement;
+    UpstreamReport report;
     std::string service;
     if (!readText(document, "service", service)) {
-        return wrong("\"service\" must be a non-empty string");
+        return invalidReport("\"service\" must be a non-empty string");
     }
-    announcement.service = ServiceName(service);
+    report.service = ServiceName(service);
     std::string address;
     if (!readText(document, "address", address)) {
-        return wrong("\"address\" must be a string, IP:PORT");
+        return invalidReport("\"address\" must be a string, IP:PORT");
     }
     const auto endpoint = Endpoint::parse(address);
     if (!endpoint) {
-        return wrong("\"address\": " + endpoint.error().text);
+        return invalidReport("\"address\": " + endpoint.error().text);
     }
-    announcement.endpoint = *endpoint;
-    if (!readCount(document, "slots", announcement.slots)) {
-        return wrong("\"slots\" must be a whole number from 1 to 1000000");
+    report.endpoint = *endpoint;
+    if (!readCount(document, "slots", report.slots)) {
+        return invalidReport("\"slots\" must be a whole number from 1 to 1000000");
     }
-    if (!readCount(document, "connections", announcement.connections)) {
-        return wrong("\"connections\" must be a whole number from 1 to 1000000");
+    if (!readCount(document, "connections", report.connections)) {
+        return invalidReport("\"connections\" must be a whole number from 1 to 1000000");
     }
     std::string version;
     if (document.contains("version") && !readVersion(document, version)) {
-        return wrong("\"version\" must be a string of 1 to 64 characters");
+        return invalidReport("\"version\" must be a string of 1 to 64 characters");
     }
-    announcement.version = UpstreamVersion(version);
+    report.version = UpstreamVersion(version);
     const auto draining = document.find("draining");
     if (draining != document.end() && !draining->is_boolean()) {
-        return wrong("\"draining\" must be true or false");
+        return invalidReport("\"draining\" must be true or false");
     }
     const bool isDraining = draining != document.end() && draining->get<bool>();
-    announcement.phase = isDraining ? UpstreamPhase::Draining : UpstreamPhase::Ready;
-    return announcement;
+    report.phase = isDraining ? UpstreamPhase::Draining : UpstreamPhase::Ready;
+    return report;
 }
 
 } // namespace ivyspar
--- a/src/protocol/internal/documentexchange.cpp
+++ b/src/protocol/internal/documentexchange.cpp
@@ -49,8 +49,8 @@
     }
     std::uint64_t micros = 0;
     reader.read(micros);
-    constexpr auto LONGEST = std::uint64_t(std::numeric_limits<Duration::rep>::max());
-    return Duration(static_cast<Duration::rep>(std::min(micros, LONGEST)));
+    constexpr auto MAX_MICROS = std::uint64_t(std::numeric_limits<Duration::rep>::max());
+    return Duration(static_cast<Duration::rep>(std::min(micros, MAX_MICROS)));
 }
 
 DocumentMessage readBody(MessageKind kind, FieldReader &reader)
--- a/src/protocol/internal/fieldcodec.cpp
+++ b/src/protocol/internal/fieldcodec.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /// Room for a usual message without its body, in bytes.
-constexpr std::size_t USUAL_MESSAGE = 512;
+constexpr std::size_t TYPICAL_MESSAGE_BYTES = 512;
 
 } // namespace
 
 void FieldWriter::addHead(unsigned major, std::uint64_t argument)
 {
     if (m_count++ == 0) {
-        m_bytes.reserve(USUAL_MESSAGE);
+        m_bytes.reserve(TYPICAL_MESSAGE_BYTES);
     }
     cbor::appendHead(m_bytes, { major, argument });
 }
@@ -58,7 +58,7 @@
 
 FieldReader::FieldReader(std::string_view items, std::uint64_t count, bool isGood)
     : m_items(items)
-    , m_left(count)
+    , m_remaining(count)
     , m_isGood(isGood)
 {
 }
@@ -81,11 +81,11 @@
 bool FieldReader::readHead(unsigned major, std::uint64_t &argument)
 {
     cbor::Head head;
-    if (!m_isGood || m_left == 0 || !cbor::takeHead(m_items, head) || head.major != major) {
+    if (!m_isGood || m_remaining == 0 || !cbor::takeHead(m_items, head) || head.major != major) {
         m_isGood = false;
         return false;
     }
-    --m_left;
+    --m_remaining;
     argument = head.argument;
     return true;
 }
--- a/src/protocol/internal/fieldcodec.h
+++ b/src/protocol/internal/fieldcodec.h
@@ -58,7 +58,7 @@
     static std::optional<FieldReader> open(const std::string &bytes);
 
     bool isGood() const { return m_isGood; }
-    bool isAtEnd() const { return m_left == 0; }
+    bool isAtEnd() const { return m_remaining == 0; }
 
     template <typename T>
     std::enable_if_t<std::is_unsigned_v<T> && !std::is_same_v<T, bool>> read(T &value)
@@ -104,7 +104,7 @@
 
     /// What is left of the array's items.
     std::string_view m_items;
-    std::uint64_t m_left = 0;
+    std::uint64_t m_remaining = 0;
     bool m_isGood = true;
 };
 
--- a/src/protocol/internal/inventoryreader.cpp
+++ b/src/protocol/internal/inventoryreader.cpp
@@ -28,7 +28,7 @@
     for (TomlTable &table : file.tables("server")) {
         inventory.servers.push_back(readServer(table));
     }
-    file.failUnknownKeys();
+    file.reportUnknownKeys();
     return inventory;
 }
 
@@ -40,7 +40,7 @@
         domain.name = DomainName(*name);
     }
     domain.region = RegionName(table.name("region").value_or(""));
-    table.failUnknownKeys();
+    table.reportUnknownKeys();
     return domain;
 }
 
@@ -62,7 +62,7 @@
     }
     service.slots = slots.value_or(0);
     service.connections = connections.value_or(0);
-    table.failUnknownKeys();
+    table.reportUnknownKeys();
     return service;
 }
 
@@ -81,7 +81,7 @@
         checkReference(table, "domain", *domain, m_domains);
         server.domain = DomainName(*domain);
     }
-    table.failUnknownKeys();
+    table.reportUnknownKeys();
     return server;
 }
 
--- a/src/protocol/internal/membershipcodec.cpp
+++ b/src/protocol/internal/membershipcodec.cpp
@@ -27,7 +27,7 @@
 }
 
 /// A day: nothing is cold for longer, and sums of times stay far from overflowing.
-constexpr std::uint64_t MOST_COLD_MICROS = 86'400'000'000;
+constexpr std::uint64_t MAX_COLD_MICROS = 86'400'000'000;
 
 Duration::rep coldMicros(const UpstreamInfo &upstream)
 {
@@ -59,12 +59,12 @@
         reader.read(upstream.slots);
         reader.read(upstream.connections);
         reader.read(upstream.draining);
-        bool saysColdLeft = false;
+        bool hasColdLeft = false;
         std::uint64_t micros = 0;
-        reader.read(saysColdLeft);
+        reader.read(hasColdLeft);
         reader.read(micros);
-        if (saysColdLeft) {
-            upstream.coldLeft = Duration(std::min(micros, MOST_COLD_MICROS));
+        if (hasColdLeft) {
+            upstream.coldLeft = Duration(std::min(micros, MAX_COLD_MICROS));
         }
         member.upstreams.push_back(std::move(upstream));
     }
--- a/src/protocol/internal/ownreportdialect.cpp
+++ b/src/protocol/internal/ownreportdialect.cpp
@@ -26,15 +26,15 @@
     return readAnnouncement(request.body);
 }
 
-HttpResponse OwnReportDialect::acknowledge(const Ret &taken) const
+HttpResponse OwnReportDialect::acknowledge(const Ret &result) const
 {
-    if (taken) {
+    if (result) {
         return HttpResponse{ NO_CONTENT, {}, {} };
     }
-    const bool isWrongMethod = taken.error().code == ErrorCode::NotFound;
+    const bool isWrongMethod = result.error().code == ErrorCode::NotFound;
     return HttpResponse{ isWrongMethod ? METHOD_NOT_ALLOWED : BAD_REQUEST,
                          { { "Content-Type", "text/plain" } },
-                         taken.error().text + '\n' };
+                         result.error().text + '\n' };
 }
 
 } // namespace ivyspar
--- a/src/protocol/internal/ownrequestdialect.cpp
+++ b/src/protocol/internal/ownrequestdialect.cpp
@@ -113,9 +113,9 @@
         return false;
     }
     read.callerAttempt = static_cast<std::uint32_t>(attempt);
-    constexpr std::uint64_t LONGEST_MS = 86'400'000;
+    constexpr std::uint64_t MAX_CALLER_WAIT_MS = 86'400'000;
     read.wait = std::chrono::milliseconds(std::min(deadlineMs, ruleMs));
-    read.callerWait = std::chrono::milliseconds(std::min(deadlineMs, LONGEST_MS));
+    read.callerWait = std::chrono::milliseconds(std::min(deadlineMs, MAX_CALLER_WAIT_MS));
     return readOnce(request, read);
 }
 
--- a/src/protocol/internal/rulesreader.cpp
+++ b/src/protocol/internal/rulesreader.cpp
@@ -19,16 +19,16 @@
 constexpr DurationRange WAIT{ milliseconds(1), minutes(10) };
 // Long enough for a person to try again; the platform's log has to keep its records for longer.
 constexpr DurationRange KEY_LIFETIME{ minutes(1), MAX_KEY_LIFETIME };
-constexpr std::uint32_t ATTEMPTS_PER_CALL = 3;
+constexpr std::uint32_t DEFAULT_ATTEMPTS_PER_CALL = 3;
 constexpr std::uint32_t DEFAULT_CALLER_ATTEMPTS = 3;
-constexpr std::size_t MAX_METHOD = 32;
-constexpr std::size_t MAX_PATH = 1024;
+constexpr std::size_t MAX_METHOD_BYTES = 32;
+constexpr std::size_t MAX_PATH_BYTES = 1024;
 constexpr NumberRange RATE{ 1, 1'000'000 };
 constexpr char DIGEST_EXPECTED[] = "32 hexadecimal digits, as `ivyspar key` prints them";
 
 bool isMethod(const std::string &text)
 {
-    return !text.empty() && text.size() <= MAX_METHOD
+    return !text.empty() && text.size() <= MAX_METHOD_BYTES
         && std::all_of(text.begin(), text.end(),
                        [](unsigned char c) { return std::isupper(c) != 0; });
 }
@@ -40,7 +40,7 @@
 
 bool isPath(const std::string &text)
 {
-    return !text.empty() && text.size() <= MAX_PATH && text.front() == '/'
+    return !text.empty() && text.size() <= MAX_PATH_BYTES && text.front() == '/'
         && std::all_of(text.begin(), text.end(), isPathCharacter);
 }
 
@@ -77,7 +77,7 @@
         rules.rules.push_back(readRule(table, rules.classes));
     }
     readAccounts(file, rules);
-    file.failUnknownKeys();
+    file.reportUnknownKeys();
     return rules;
 }
 
@@ -115,7 +115,7 @@
     if (!table.has("rate") && table.has("burst")) {
         table.fail("burst", "there is no rate", "a rate too, or no burst");
     }
-    table.failUnknownKeys();
+    table.reportUnknownKeys();
     return account;
 }
 
@@ -149,7 +149,7 @@
         }
         spec.priority = Priority(static_cast<std::uint8_t>(*priority));
     }
-    table.failUnknownKeys();
+    table.reportUnknownKeys();
     return spec;
 }
 
@@ -161,13 +161,13 @@
         rule.name = RuleName(*name);
     }
     readMatch(table, rule);
-    readClassOf(table, classes, rule);
+    readClassReference(table, classes, rule);
     rule.wait = table.duration("wait", WAIT).value_or(Duration::zero());
     readBudget(table, rule);
     readRepetition(table, rule);
     readKeyLifetime(table, rule);
     rule.isAnonymous = table.flag("anonymous", false);
-    table.failUnknownKeys();
+    table.reportUnknownKeys();
     return rule;
 }
 
@@ -206,8 +206,8 @@
     }
 }
 
-void RulesReader::readClassOf(TomlTable &table, const std::vector<ClassSpec> &classes,
-                              RuleSpec &rule)
+void RulesReader::readClassReference(TomlTable &table, const std::vector<ClassSpec> &classes,
+                                     RuleSpec &rule)
 {
     const auto name = table.name("class");
     if (!name) {
@@ -231,7 +231,7 @@
     const auto calls = table.optionalNumber("calls", CALLS);
     rule.calls = calls.value_or(1);
     const auto attempts = table.optionalNumber("attempts", ATTEMPTS);
-    rule.attempts = AttemptCount(attempts.value_or(ATTEMPTS_PER_CALL * rule.calls));
+    rule.attempts = AttemptCount(attempts.value_or(DEFAULT_ATTEMPTS_PER_CALL * rule.calls));
     // A smaller budget could not complete even a request without any failure.
     if (attempts && *attempts < rule.calls) {
         table.fail("attempts",
--- a/src/protocol/internal/rulesreader.h
+++ b/src/protocol/internal/rulesreader.h
@@ -20,7 +20,8 @@
     ClassSpec readClass(TomlTable &table);
     RuleSpec readRule(TomlTable &table, const std::vector<ClassSpec> &classes);
     void readMatch(TomlTable &table, RuleSpec &rule);
-    void readClassOf(TomlTable &table, const std::vector<ClassSpec> &classes, RuleSpec &rule);
+    void readClassReference(TomlTable &table, const std::vector<ClassSpec> &classes,
+                            RuleSpec &rule);
     void readBudget(TomlTable &table, RuleSpec &rule);
     void readRepetition(TomlTable &table, RuleSpec &rule);
     void readKeyLifetime(TomlTable &table, RuleSpec &rule);
--- a/src/protocol/internal/tomlconfigurationreader.cpp
+++ b/src/protocol/internal/tomlconfigurationreader.cpp
@@ -72,7 +72,7 @@
                      [](const FileProblem &a, const FileProblem &b) { return a.line < b.line; });
 }
 
-std::vector<FileProblem> joined(FileProblems first, FileProblems second)
+std::vector<FileProblem> mergeProblems(FileProblems first, FileProblems second)
 {
     sortByLine(first.problems);
     sortByLine(second.problems);
@@ -108,7 +108,7 @@
     }
 
     ReadConfiguration result;
-    result.problems = joined(std::move(inventoryProblems), std::move(rulesProblems));
+    result.problems = mergeProblems(std::move(inventoryProblems), std::move(rulesProblems));
     if (result.problems.empty()) {
         result.configuration = std::move(configuration);
     }
--- a/src/protocol/internal/tomltable.cpp
+++ b/src/protocol/internal/tomltable.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t MAX_NAME = 64;
+constexpr std::size_t MAX_NAME_BYTES = 64;
 const char NAME_EXPECTED[] = "a text of 1 to 64 letters, digits, '.', '_' and '-'";
 
 bool isNameCharacter(unsigned char c)
@@ -19,20 +19,20 @@
 
 bool isName(const std::string &text)
 {
-    return !text.empty() && text.size() <= MAX_NAME
+    return !text.empty() && text.size() <= MAX_NAME_BYTES
         && std::all_of(text.begin(), text.end(), isNameCharacter);
 }
 
 std::string expectedText(NumberRange range)
 {
-    return "a whole number from " + std::to_string(range.least) + " to "
-        + std::to_string(range.greatest);
+    return "a whole number from " + std::to_string(range.minimum) + " to "
+        + std::to_string(range.maximum);
 }
 
 std::string expectedText(const DurationRange &range)
 {
-    return "a text with a unit (us, ms, s, min, h) from \"" + toText(range.least) + "\" to \""
-        + toText(range.greatest) + '"';
+    return "a text with a unit (us, ms, s, min, h) from \"" + toText(range.minimum) + "\" to \""
+        + toText(range.maximum) + '"';
 }
 
 std::uint32_t lineOf(const toml::node &node)
@@ -102,7 +102,7 @@
         fail(key, "is not a whole number", expectedText(range));
         return std::nullopt;
     }
-    if (*value < range.least || *value > range.greatest) {
+    if (*value < range.minimum || *value > range.maximum) {
         fail(key, std::to_string(*value) + " is out of range", expectedText(range));
         return std::nullopt;
     }
@@ -138,24 +138,24 @@
         fail(key, duration.error().text, expectedText(range));
         return std::nullopt;
     }
-    if (*duration < range.least || *duration > range.greatest) {
+    if (*duration < range.minimum || *duration > range.maximum) {
         fail(key, '"' + *text + "\" is out of range", expectedText(range));
         return std::nullopt;
     }
     return *duration;
 }
 
-bool TomlTable::flag(const char *key, bool otherwise)
+bool TomlTable::flag(const char *key, bool defaultValue)
 {
     const toml::node *node = take(key);
     if (!node) {
-        return otherwise;
+        return defaultValue;
     }
     const auto value = node->value_exact<bool>();
     if (!value) {
         fail(key, "is not a truth value", "true or false");
     }
-    return value.value_or(otherwise);
+    return value.value_or(defaultValue);
 }
 
 std::vector<TomlTable> TomlTable::tables(const char *key)
@@ -186,7 +186,7 @@
     if (has(key)) {
         return tables(key);
     }
-    m_known.emplace_back(key);
+    m_knownKeys.emplace_back(key);
     return {};
 }
 
@@ -223,15 +223,15 @@
     m_problems.add(line(key), pathOf(key), problem, expected);
 }
 
-void TomlTable::failUnknownKeys()
+void TomlTable::reportUnknownKeys()
 {
     std::string expected = "one of";
-    for (const std::string &known : m_known) {
+    for (const std::string &known : m_knownKeys) {
         expected += ' ' + known;
     }
     for (const auto &[key, node] : m_table) {
         const std::string name(key.str());
-        if (std::find(m_known.begin(), m_known.end(), name) == m_known.end()) {
+        if (std::find(m_knownKeys.begin(), m_knownKeys.end(), name) == m_knownKeys.end()) {
             m_problems.add(key.source().begin.line, pathOf(name), "unknown key", expected);
         }
     }
@@ -239,7 +239,7 @@
 
 const toml::node *TomlTable::take(const char *key)
 {
-    m_known.emplace_back(key);
+    m_knownKeys.emplace_back(key);
     return m_table.get(key);
 }
 
--- a/src/protocol/internal/tomltable.h
+++ b/src/protocol/internal/tomltable.h
@@ -24,14 +24,14 @@
 
 struct NumberRange
 {
-    std::int64_t least;
-    std::int64_t greatest;
+    std::int64_t minimum;
+    std::int64_t maximum;
 };
 
 struct DurationRange
 {
-    Duration least;
-    Duration greatest;
+    Duration minimum;
+    Duration maximum;
 };
 
 /// Takes typed values out of one TOML table and reports what is wrong with them. A value that was
@@ -49,7 +49,7 @@
     std::optional<std::uint32_t> optionalNumber(const char *key, NumberRange range);
     std::optional<Duration> duration(const char *key, const DurationRange &range);
     std::optional<Duration> optionalDuration(const char *key, const DurationRange &range);
-    bool flag(const char *key, bool otherwise);
+    bool flag(const char *key, bool defaultValue);
     /// The tables of `[[key]]`, at least one.
     std::vector<TomlTable> tables(const char *key);
     /// The same; none if there is no such key.
@@ -63,7 +63,7 @@
     /// Reports a problem with the value of `key`.
     void fail(const char *key, const std::string &problem, const std::string &expected);
     /// Reports all keys that no function asked for.
-    void failUnknownKeys();
+    void reportUnknownKeys();
 
 private:
     const toml::node *take(const char *key);
@@ -77,7 +77,7 @@
     const toml::table &m_table;
     std::string m_path;
     FileProblems &m_problems;
-    std::vector<std::string> m_known;
+    std::vector<std::string> m_knownKeys;
 };
 
 /// Names that may appear only once in a file.
--- a/src/protocol/ireportdialect.h
+++ b/src/protocol/ireportdialect.h
@@ -15,7 +15,7 @@
     /// Whether the request is a report; others at the same listener are calls.
     virtual bool isReport(const HttpRequest &request) const = 0;
     virtual RetVal<UpstreamReport> read(const HttpRequest &request) const = 0;
-    virtual HttpResponse acknowledge(const Ret &taken) const = 0;
+    virtual HttpResponse acknowledge(const Ret &result) const = 0;
 };
 
 } // namespace ivyspar
