--- a/src/protocol/tests/announcementreadertest.cpp
+++ b/src/protocol/tests/announcementreadertest.cpp
@@ -16,13 +16,13 @@
 
 TEST_GROUP(AnnouncementReader){};
 
-TEST(AnnouncementReader, TheVersionMayBeLeftOut)
+TEST(AnnouncementReader, VersionIsOptional)
 {
     CHECK(readAnnouncement(announce(""))->version == UpstreamVersion());
     CHECK(readAnnouncement(announce(R"(,"version":"v2")"))->version == UpstreamVersion("v2"));
 }
 
-TEST(AnnouncementReader, AVersionThatCannotBePassedOnIsRefused)
+TEST(AnnouncementReader, InvalidVersionIsRejected)
 {
     const std::string longest(64, 'v');
     CHECK(readAnnouncement(announce(",\"version\":\"" + longest + '"')).has_value());
--- a/src/protocol/tests/claimcodectest.cpp
+++ b/src/protocol/tests/claimcodectest.cpp
@@ -24,7 +24,7 @@
 
 TEST_GROUP(ClaimCodec){};
 
-TEST(ClaimCodec, BatchSurvives)
+TEST(ClaimCodec, BatchRoundTrips)
 {
     const std::string bytes = encodeClaims(makeBatch());
     const auto decoded = decodeClaims(bytes);
@@ -35,7 +35,7 @@
     CHECK(decoded->entries[0].key == makeBatch().entries[0].key);
 }
 
-TEST(ClaimCodec, BadBytesAreRefusedWithoutACrash)
+TEST(ClaimCodec, MalformedBytesAreRejectedWithoutCrash)
 {
     SeededRandom random(1);
     for (int i = 0; i < 20000; ++i) {
--- a/src/protocol/tests/configurationcodectest.cpp
+++ b/src/protocol/tests/configurationcodectest.cpp
@@ -40,7 +40,7 @@
     CHECK(decoded->position == record.position);
 }
 
-TEST(ConfigurationCodec, TooLongTextsAreRefused)
+TEST(ConfigurationCodec, OversizedTextsAreRejected)
 {
     ConfigurationRecord record = makeRecord();
     record.inventory.assign(MAX_CONFIGURATION_BYTES, 'x');
@@ -50,7 +50,7 @@
     CHECK_FALSE(decodeConfigurationRecord(std::string(MAX_CONFIGURATION_RECORD_BYTES + 1, 'x')));
 }
 
-TEST(ConfigurationCodec, DamagedRecordsAreErrors)
+TEST(ConfigurationCodec, DamagedRecordsAreRejected)
 {
     SeededRandom random(5);
     const std::string good = encodeConfigurationRecord(makeRecord()).value();
@@ -64,7 +64,7 @@
     CHECK_FALSE(decodeConfigurationRecord(good.substr(0, good.size() - 1)).has_value());
 }
 
-TEST(ConfigurationCodec, DigestTellsWhichFileATextIsIn)
+TEST(ConfigurationCodec, DigestDependsOnFileBoundary)
 {
     CHECK(configurationDigest("ab", "c") != configurationDigest("a", "bc"));
     CHECK(configurationDigest("", "abc") != configurationDigest("abc", ""));
@@ -83,7 +83,7 @@
     STRCMP_EQUAL("rules", accepted.rules.c_str());
 }
 
-TEST(ConfigurationCodec, OfferKeepsAllFieldsAndOthersMessagesAreLeft)
+TEST(ConfigurationCodec, OfferKeepsAllFieldsAndForeignMessagesAreNotFound)
 {
     const ConfigurationOffer offer{ ConfigurationVersion(3), true };
     const auto decoded = decodeConfigurationMessage(encodeConfigurationMessage(offer).value());
--- a/src/protocol/tests/configurationmutationtest.cpp
+++ b/src/protocol/tests/configurationmutationtest.cpp
@@ -47,7 +47,7 @@
     return text;
 }
 
-void checkVerdict(const ConfigurationText &text)
+void checkReadOrReported(const ConfigurationText &text)
 {
     const ReadConfiguration result =
         makeConfigurationReader()->read(text, "i", "r", ConfigurationVersion(1));
@@ -58,20 +58,20 @@
 
 TEST_GROUP(ConfigurationMutation){};
 
-TEST(ConfigurationMutation, RandomBytesGetAVerdict)
+TEST(ConfigurationMutation, RandomBytesAreReadOrReported)
 {
     SeededRandom random(1);
     for (int i = 0; i < RUNS; ++i) {
-        checkVerdict({ randomBytes(random), randomBytes(random) });
+        checkReadOrReported({ randomBytes(random), randomBytes(random) });
     }
 }
 
-TEST(ConfigurationMutation, MutatedExamplesGetAVerdict)
+TEST(ConfigurationMutation, MutatedExamplesAreReadOrReported)
 {
     const ConfigurationText example{ readExample("inventory.toml"), readExample("rules.toml") };
     CHECK_FALSE(example.inventory.empty());
     SeededRandom random(2);
     for (int i = 0; i < RUNS; ++i) {
-        checkVerdict({ mutated(example.inventory, random), mutated(example.rules, random) });
+        checkReadOrReported({ mutated(example.inventory, random), mutated(example.rules, random) });
     }
 }
--- a/src/protocol/tests/configurationreadertest.cpp
+++ b/src/protocol/tests/configurationreadertest.cpp
@@ -122,7 +122,7 @@
     CHECK(get.method.empty());
 }
 
-TEST(ConfigurationReader, NamesEachProblemOfAnInventory)
+TEST(ConfigurationReader, ReportsEachProblemOfAnInventory)
 {
     checkInventory("slots = 8", "slots = 8\nslot = 9",
                    "8: service[1].slot: unknown key; expected "
@@ -152,7 +152,7 @@
     checkInventory("slots = 8", "slots = 8\nslots = 9", "8: ");
 }
 
-TEST(ConfigurationReader, NamesEachProblemOfRules)
+TEST(ConfigurationReader, ReportsEachProblemOfRules)
 {
     checkRules("wait = \"2s\"", "wait = 2", "13: rule[1].wait: the unit is missing; expected");
     checkRules("wait = \"2s\"", "wait = \"2\"", "13: rule[1].wait: \"2\" is not a duration");
@@ -197,7 +197,7 @@
     checkRules("[[class]]", "class_default = 1\n[[class]]", "1: class_default: unknown key");
 }
 
-TEST(ConfigurationReader, NamesAllProblemsInOrder)
+TEST(ConfigurationReader, ReportsAllProblemsInOrder)
 {
     const std::string inventory =
         replaced(replaced(INVENTORY, "slots = 8", "slots = 0"), "domain = \"hall\"", "dom = 1");
@@ -210,7 +210,7 @@
     STRCMP_EQUAL("r.toml", result.problems[3].file.c_str());
 }
 
-TEST(ConfigurationReader, EmptyAndForeignFilesAreProblems)
+TEST(ConfigurationReader, EmptyAndNonTomlFilesAreReported)
 {
     CHECK_EQUAL(4U, read("", RULES).problems.size());
     CHECK_EQUAL(2U, read(INVENTORY, "").problems.size());
@@ -223,7 +223,7 @@
 
 // The parser's behaviour is undefined for an accent in place of white space. The reader keeps such
 // characters away from it: a wrong file is reported, and comments may hold anything.
-TEST(ConfigurationReader, CharactersOutsideAsciiBelongIntoComments)
+TEST(ConfigurationReader, NonAsciiIsAllowedOnlyInComments)
 {
     const char *expected = ": a character outside ASCII; expected ASCII, except in comments";
     checkInventory("slots = 8", "slots\u00e9= 8", std::string("7") + expected);
@@ -234,7 +234,7 @@
     STRCMP_EQUAL("", allProblems(commented).c_str());
 }
 
-TEST(ConfigurationReader, ExamplesAreRight)
+TEST(ConfigurationReader, ExampleConfigurationsAreValid)
 {
     for (const std::string name : { "tallowood", "bottega" }) {
         const ReadConfiguration result =
--- a/src/protocol/tests/documentexchangetest.cpp
+++ b/src/protocol/tests/documentexchangetest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-DocumentOffer passOn(const DocumentOffer &offer)
+DocumentOffer roundTrip(const DocumentOffer &offer)
 {
     const auto read = decodeDocumentMessage(encodeDocumentMessage(offer));
     CHECK(read.has_value());
@@ -19,16 +19,16 @@
 
 TEST_GROUP(DocumentExchange){};
 
-TEST(DocumentExchange, OffersTellHowCurrentTheyAre)
+TEST(DocumentExchange, OfferKeepsVersionAndAge)
 {
-    const DocumentOffer offer = passOn({ ConfigurationVersion(7), milliseconds(120) });
+    const DocumentOffer offer = roundTrip({ ConfigurationVersion(7), milliseconds(120) });
     CHECK(offer.version == ConfigurationVersion(7));
     CHECK(offer.age == milliseconds(120));
-    CHECK_FALSE(passOn({ ConfigurationVersion(7), {} }).age.has_value());
-    CHECK(passOn({ ConfigurationVersion(7), milliseconds(-5) }).age == Duration::zero());
+    CHECK_FALSE(roundTrip({ ConfigurationVersion(7), {} }).age.has_value());
+    CHECK(roundTrip({ ConfigurationVersion(7), milliseconds(-5) }).age == Duration::zero());
 }
 
-TEST(DocumentExchange, AMalformedAgeMakesTheOfferBad)
+TEST(DocumentExchange, MalformedAgeMakesOfferInvalid)
 {
     FieldWriter writer;
     writer.add(std::string("document")).add(std::uint64_t(1)).add(std::uint64_t(7));
@@ -38,7 +38,7 @@
     CHECK(read.error().code == ErrorCode::InvalidArgument);
 }
 
-TEST(DocumentExchange, AnAgeBeyondAllBoundsIsNoNews)
+TEST(DocumentExchange, AgeBeyondDurationRangeStaysLarge)
 {
     FieldWriter writer;
     writer.add(std::string("document")).add(std::uint64_t(1)).add(std::uint64_t(7));
--- a/src/protocol/tests/membershipcodectest.cpp
+++ b/src/protocol/tests/membershipcodectest.cpp
@@ -48,7 +48,7 @@
 
 TEST_GROUP(MembershipCodec){};
 
-TEST(MembershipCodec, EveryMessageSurvives)
+TEST(MembershipCodec, EveryMessageRoundTrips)
 {
     for (const MembershipMessage &message : oneOfEach()) {
         const std::string bytes = encodeMembership(message);
@@ -64,7 +64,7 @@
     CHECK(member.counter == 5 && member.domain == DomainName("eagle-farm"));
 }
 
-TEST(MembershipCodec, BadBytesAreRefusedWithoutACrash)
+TEST(MembershipCodec, MalformedBytesAreRejectedWithoutCrash)
 {
     SeededRandom random(1);
     const std::vector<MembershipMessage> messages = oneOfEach();
--- a/src/protocol/tests/peercodectest.cpp
+++ b/src/protocol/tests/peercodectest.cpp
@@ -104,7 +104,7 @@
     CHECK(response.holder == DaemonId("d-3"));
 }
 
-TEST(PeerCodec, EveryPrefixIsRefused)
+TEST(PeerCodec, TruncatedFramesAreRejected)
 {
     const std::string frame = codec.encode(makeCall());
     for (std::size_t size = 0; size < frame.size(); ++size) {
@@ -114,7 +114,7 @@
 
 // A peer sends frames with flipped bytes. Each is refused or decodes to some message; none stops
 // the process. The sanitizer build makes this strict.
-TEST(PeerCodec, ChangedBytesNeverStopTheProcess)
+TEST(PeerCodec, CorruptedFramesDoNotCrash)
 {
     std::mt19937 random(1);
     const std::string frames[] = { codec.encode(makeCall()), codec.encode(makeResponse()) };
@@ -133,12 +133,12 @@
 
 // A peer sends an array nested two million times. The recursive parser of the library would run
 // out of stack; the bounded walk before it refuses the frame.
-TEST(PeerCodec, DeepNestingIsRefused)
+TEST(PeerCodec, DeepNestingIsRejected)
 {
     CHECK_FALSE(codec.decode(std::string(2000000, '\x81')).has_value());
 }
 
-TEST(PeerCodec, HugeLengthIsRefused)
+TEST(PeerCodec, HugeLengthIsRejected)
 {
     CHECK_FALSE(codec.decode(std::string("\x9b\x7f\xff\xff\xff\xff\xff\xff\xff", 9)).has_value());
     CHECK_FALSE(codec.decode(std::string("\x5b\x7f\xff\xff\xff\xff\xff\xff\xff", 9)).has_value());
