--- a/src/protocol/accountexchange.h
+++ b/src/protocol/accountexchange.h
@@ -7,11 +7,11 @@
 
 namespace ivyspar {
 
-/// Payload of a `ControlMessage`. Names accounts, never keys.
+/// Payload of a `ControlMessage`. Contains names of accounts, never their keys.
 std::string encodeAccountMessage(const AccountMessage &message);
-/// Whether the payload is of this exchange.
+/// Whether the payload belongs to this exchange; it may still be malformed.
 bool isAccountMessage(const std::string &payload);
-/// `NotFound` for a payload that belongs to another exchange, `InvalidArgument` for a bad one.
+/// `NotFound` for a payload of another exchange, `InvalidArgument` for a malformed one.
 RetVal<AccountMessage> decodeAccountMessage(const std::string &payload);
 
 } // namespace ivyspar
--- a/src/protocol/configurationexchange.h
+++ b/src/protocol/configurationexchange.h
@@ -8,20 +8,20 @@
 
 namespace ivyspar {
 
-/// What a daemon holds, sent to a peer.
+/// The version that the sender has accepted.
 struct ConfigurationOffer
 {
     ConfigurationVersion version;
-    /// The sender can vouch for the position of its version in the log.
+    /// The sender knows the position of its version in the log.
     bool hasPosition = false;
 };
 
-/// Asks for the version that the peer holds.
+/// Requests the version that the receiver has accepted; answered by a `ConfigurationPush`.
 struct ConfigurationRequest
 {
 };
 
-/// The version that the sender holds.
+/// The accepted version of the sender with its texts.
 struct ConfigurationPush
 {
     AcceptedConfiguration accepted;
@@ -30,10 +30,11 @@
 using ConfigurationMessage =
     std::variant<ConfigurationOffer, ConfigurationRequest, ConfigurationPush>;
 
-/// Payload of a `ControlMessage`. `InvalidArgument` when the texts are too long.
+/// Payload of a `ControlMessage`. `InvalidArgument` if inventory and rules together are longer than
+/// `MAX_CONFIGURATION_BYTES`.
 RetVal<std::string> encodeConfigurationMessage(const ConfigurationMessage &message);
 
-/// `NotFound` for a payload that belongs to another exchange, `InvalidArgument` for a bad one.
+/// `NotFound` for a payload of another exchange, `InvalidArgument` for a malformed one.
 RetVal<ConfigurationMessage> decodeConfigurationMessage(const std::string &payload);
 
 } // namespace ivyspar
--- a/src/protocol/configurationreaderfactory.h
+++ b/src/protocol/configurationreaderfactory.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// The reader of TOML files. Stateless: one may serve many threads.
+/// Makes a reader of TOML files. It has no state, so threads may share it.
 std::unique_ptr<IConfigurationReader> makeConfigurationReader();
 
 } // namespace ivyspar
--- a/src/protocol/documentexchange.h
+++ b/src/protocol/documentexchange.h
@@ -14,11 +14,12 @@
 struct DocumentOffer
 {
     ConfigurationVersion version;
-    /// So long ago the log held nothing newer; nothing if the sender doesn't know.
+    /// Time since the log was last known to hold nothing newer; nothing if the sender does not
+    /// know.
     std::optional<Duration> age;
 };
 
-/// Asks for a document that is newer than this version.
+/// Requests a document that is newer than this version.
 struct DocumentRequest
 {
     ConfigurationVersion version;
@@ -34,7 +35,7 @@
 /// Payload of a `ControlMessage`.
 std::string encodeDocumentMessage(const DocumentMessage &message);
 
-/// `NotFound` for a payload that belongs to another exchange, `InvalidArgument` for a bad one.
+/// `NotFound` for a payload of another exchange, `InvalidArgument` for a malformed one.
 RetVal<DocumentMessage> decodeDocumentMessage(const std::string &payload);
 
 } // namespace ivyspar
--- a/src/protocol/headers.h
+++ b/src/protocol/headers.h
@@ -10,9 +10,9 @@
 constexpr char TICKET[] = "Ivyspar-Ticket";
 /// Key of the caller's client account.
 constexpr char KEY[] = "Ivyspar-Key";
-/// Handed to the upstream with each request; the upstream repeats it on the calls that it makes.
+/// Sent to the upstream with each request; the upstream copies it into the calls that it makes.
 constexpr char CONTEXT[] = "Ivyspar-Context";
-/// Handed to the upstream: name of the caller's client account.
+/// Sent to the upstream: name of the caller's client account.
 constexpr char ACCOUNT[] = "Ivyspar-Account";
 
 // To callers.
@@ -23,7 +23,7 @@
 constexpr char RETRY_AFTER_MS[] = "Ivyspar-Retry-After-Ms";
 
 // From upstreams.
-/// `not-run` on a 503 says that the upstream refused before it started.
+/// `not-run` with status 503: the upstream refused the request before it started it.
 constexpr char UPSTREAM_OUTCOME[] = "Ivyspar-Upstream-Outcome";
 
 } // namespace ivyspar::headers
--- a/src/protocol/iconfigurationreader.h
+++ b/src/protocol/iconfigurationreader.h
@@ -7,14 +7,14 @@
 
 namespace ivyspar {
 
-/// One thing that is wrong in a file.
+/// One error in a configuration file.
 struct FileProblem
 {
     std::string file;
-    std::uint32_t line = 0; ///< From 1; 0 when the whole file is meant.
-    std::string key; ///< Dotted, such as `service[2].slots`, counted from 1; may be empty.
+    std::uint32_t line = 0; ///< From 1; 0 if the error concerns the whole file.
+    std::string key; ///< Dotted key such as `service[2].slots`, indexed from 1; may be empty.
     std::string problem;
-    std::string expected; ///< What would be right.
+    std::string expected; ///< What is valid in its place.
 
     /// `file:line: key: problem; expected …`
     std::string text() const;
@@ -28,9 +28,9 @@
 
 struct ReadConfiguration
 {
-    /// Null when there are problems.
+    /// Null if there are problems.
     ConfigurationPtr configuration;
-    /// All problems, in order of file and line.
+    /// All problems, ordered by file and line.
     std::vector<FileProblem> problems;
 };
 
--- a/src/protocol/idocumentreader.h
+++ b/src/protocol/idocumentreader.h
@@ -7,16 +7,16 @@
 
 namespace ivyspar {
 
-/// Reads a configuration that is written as one whole document with its version.
+/// Reads a configuration that is one document, including its version.
 class IDocumentReader
 {
 public:
     virtual ~IDocumentReader() = default;
 
-    /// Fails with `InvalidArgument` and a line that names what is wrong.
+    /// `InvalidArgument` with a one-line description for an invalid document.
     virtual RetVal<ConfigurationPtr> read(const std::string &document) const = 0;
-    /// The document as it may be passed on to other daemons, which read it as this one would: with
-    /// salted hashes in the place of keys. Only for documents that can be read.
+    /// The document with salted hashes in place of keys, for other daemons, which read the same
+    /// configuration from it. The document must be valid.
     virtual std::string withoutSecrets(const std::string &document) const = 0;
 };
 
--- a/src/protocol/internal/accountexchange.cpp
+++ b/src/protocol/internal/accountexchange.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// First field of each message, so that other exchanges on the same links are told apart.
+/// First field of each message; distinguishes the exchanges that share a link.
 constexpr char EXCHANGE[] = "accounts";
-/// Rates are sent in thousandths of a request a second.
+/// Rates are encoded in thousandths of a request per second.
 constexpr double MILLIS_PER_UNIT = 1000;
-/// Bounds on what a message may hold.
+/// Limits on the content of a message.
 constexpr std::size_t MAX_ITEMS = 4096;
 constexpr std::size_t MAX_NAME_BYTES = 256;
 constexpr std::uint64_t MAX_DURATION_MICROS = 3600ULL * 1'000'000;
@@ -191,14 +191,14 @@
 {
     auto fields = FieldReader::open(payload);
     if (!fields || !isThisExchange(*fields)) {
-        return makeError(ErrorCode::NotFound, "a message of another exchange");
+        return makeError(ErrorCode::NotFound, "control message belongs to another exchange");
     }
     FieldReader &reader = *fields;
     MessageKind kind = MessageKind::Request;
     reader.read(kind, MessageKind::Response);
     AccountMessage message = readBody(kind, reader);
     if (!reader.isGood()) {
-        return makeError(ErrorCode::InvalidArgument, "malformed message of accounts");
+        return makeError(ErrorCode::InvalidArgument, "malformed account message");
     }
     return message;
 }
--- a/src/protocol/internal/announcementreader.h
+++ b/src/protocol/internal/announcementreader.h
@@ -8,7 +8,7 @@
 namespace ivyspar {
 
 /// Reads the JSON with which an upstream announces itself; docs/INTERFACES.md describes it.
-/// Fails with `InvalidArgument` and a text for the upstream's developer.
+/// `InvalidArgument` with a text for the upstream's developer if it is malformed.
 RetVal<UpstreamReport> readAnnouncement(const std::string &json);
 
 } // namespace ivyspar
--- a/src/protocol/internal/boundedcbor.cpp
+++ b/src/protocol/internal/boundedcbor.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// The library's parser recurses into nested items and reserves what a length claims.
+/// Must hold before the library parses the bytes: its parser recurses into nested items and
+/// reserves memory for any length that an item claims.
 bool isBounded(const std::string &bytes)
 {
     std::string_view rest(bytes);
--- a/src/protocol/internal/boundedcbor.h
+++ b/src/protocol/internal/boundedcbor.h
@@ -7,11 +7,11 @@
 
 namespace ivyspar {
 
-/// Parses one CBOR value that takes up the whole of `bytes`. Nothing on anything malformed or
-/// nested deeper than our messages are. Never throws.
+/// Parses `bytes` as exactly one CBOR value. Nothing if it is malformed or nested too deeply. Never
+/// throws.
 std::optional<nlohmann::json> parseCbor(const std::string &bytes);
 
-/// CBOR bytes of a value made by us.
+/// Encodes a value as CBOR. Its texts must be valid UTF-8.
 std::string toCbor(const nlohmann::json &value);
 
 } // namespace ivyspar
--- a/src/protocol/internal/cborfields.h
+++ b/src/protocol/internal/cborfields.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// The number of that key; nothing when it is missing, of another type or too large.
+/// The unsigned number at `key`; nothing if it is missing, of another type or too large for `T`.
 template <typename T> std::optional<T> unsignedField(const nlohmann::json &map, const char *key)
 {
     const auto found = map.find(key);
@@ -22,7 +22,7 @@
     return static_cast<T>(value);
 }
 
-/// The text of that key; nothing when it is missing, of another type or longer than `maxBytes`.
+/// The text at `key`; nothing if it is missing, of another type or longer than `maxBytes`.
 inline std::optional<std::string> textField(const nlohmann::json &map, const char *key,
                                             std::size_t maxBytes)
 {
--- a/src/protocol/internal/cborhead.cpp
+++ b/src/protocol/internal/cborhead.cpp
@@ -24,7 +24,8 @@
     return number;
 }
 
-/// Takes what stands behind a head and is no item of its own. Returns the items that belong to it.
+/// Removes the bytes that follow a head and are no items. Sets `items` to the number of items that
+/// are nested in it. False if the length exceeds the input, or for a tag.
 bool takeContent(std::string_view &bytes, const Head &head, std::uint64_t &items)
 {
     items = 0;
@@ -76,9 +77,9 @@
     return true;
 }
 
-/// A frame of 2 MB that opens an array with each byte would exhaust the stack of a walk that calls
-/// itself, and stop the process. This one has a bounded stack of its own, and refuses lengths
-/// beyond the input, so that no memory is reserved for them.
+/// Not recursive: a frame of 2 MB that opens an array with each byte would exhaust the stack and
+/// crash the process. Lengths beyond the input are rejected, so that no memory is reserved for
+/// them.
 bool takeItem(std::string_view &bytes)
 {
     std::array<std::uint64_t, MAX_DEPTH> open{ 1 };
--- a/src/protocol/internal/cborhead.h
+++ b/src/protocol/internal/cborhead.h
@@ -23,13 +23,13 @@
     std::uint64_t argument = 0;
 };
 
-/// Takes a head off the front of `bytes`. False at the end of the input and for indefinite lengths,
-/// which we never write.
+/// Removes a head from the front of `bytes`. False at the end of the input and for indefinite
+/// lengths, which are never written.
 bool takeHead(std::string_view &bytes, Head &head);
-/// Takes a whole item off the front, with all that it holds. False if it is cut off, has a length
-/// beyond the input or a tag, or is nested deeper than our messages are.
+/// Removes an item with all nested ones from the front of `bytes`. False if it is truncated, has a
+/// length beyond the input or a tag, or is nested too deeply.
 bool takeItem(std::string_view &bytes);
-/// Writes a head in its shortest form.
+/// Appends a head in its shortest form.
 void appendHead(std::string &bytes, const Head &head);
 
 } // namespace ivyspar::cbor
--- a/src/protocol/internal/claimcodec.h
+++ b/src/protocol/internal/claimcodec.h
@@ -10,7 +10,7 @@
 /// CBOR bytes of one record of the claim stream.
 std::string encodeClaims(const ClaimBatch &batch);
 
-/// Fails with `InvalidArgument` on anything malformed, and never throws.
+/// `InvalidArgument` for a malformed record. Never throws.
 RetVal<ClaimBatch> decodeClaims(const std::string &bytes);
 
 } // namespace ivyspar
--- a/src/protocol/internal/configurationexchange.cpp
+++ b/src/protocol/internal/configurationexchange.cpp
@@ -98,7 +98,8 @@
     if (const auto *push = std::get_if<ConfigurationPush>(&message)) {
         if (push->accepted.inventory.size() + push->accepted.rules.size()
             > MAX_CONFIGURATION_BYTES) {
-            return makeError(ErrorCode::InvalidArgument, "configuration too large");
+            return makeError(ErrorCode::InvalidArgument,
+                             "inventory and rules are too large for a configuration message");
         }
     }
     return std::visit([](const auto &each) { return toCbor(toJson(each)); }, message);
--- a/src/protocol/internal/configurationrecordcodec.cpp
+++ b/src/protocol/internal/configurationrecordcodec.cpp
@@ -92,7 +92,8 @@
     auto rules = textField(*map, RULES, MAX_CONFIGURATION_BYTES);
     const auto position = unsignedField<std::uint64_t>(*map, POSITION);
     if (!id || !base || !digest || !inventory || !rules || !position) {
-        return makeError(ErrorCode::InvalidArgument, "configuration record lacks a field");
+        return makeError(ErrorCode::InvalidArgument,
+                         "a field of the configuration record is missing or malformed");
     }
     ConfigurationRecord record;
     record.kind = *kind;
--- a/src/protocol/internal/configurationrecordcodec.h
+++ b/src/protocol/internal/configurationrecordcodec.h
@@ -7,18 +7,18 @@
 
 namespace ivyspar {
 
-/// Bound on inventory and rules together. An inventory of 1000 servers takes about 100 kB.
+/// Limit on inventory and rules together. An inventory of 1000 servers takes about 100 kB.
 constexpr std::size_t MAX_CONFIGURATION_BYTES = 512 * 1024;
 constexpr std::size_t MAX_CHANGE_ID_BYTES = 128;
-/// Bound on an encoded record.
+/// Limit on an encoded record.
 constexpr std::size_t MAX_CONFIGURATION_RECORD_BYTES = MAX_CONFIGURATION_BYTES + 4096;
 
-/// `InvalidArgument` when the texts or the change id are longer than the bounds.
+/// `InvalidArgument` if the texts or the change id exceed their limits.
 RetVal<std::string> encodeConfigurationRecord(const ConfigurationRecord &record);
 
-/// `InvalidArgument` for anything that is not a record. Fields that are not known are ignored.
-/// Of a kind that is not known nothing is read: such records must never change the version, or
-/// programs of different age would come to different verdicts.
+/// `InvalidArgument` for anything that is not a record of a known kind. Unknown fields are ignored.
+/// A record of an unknown kind must never change the version: daemons of different releases would
+/// otherwise accept different configurations.
 RetVal<ConfigurationRecord> decodeConfigurationRecord(const std::string &bytes);
 
 } // namespace ivyspar
--- a/src/protocol/internal/documentexchange.cpp
+++ b/src/protocol/internal/documentexchange.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// First field of each message, so that other exchanges on the same links are told apart.
+/// First field of each message; distinguishes the exchanges that share a link.
 constexpr char EXCHANGE[] = "document";
 
 enum class MessageKind : std::uint8_t { Offer = 1, Request, Push };
@@ -79,13 +79,13 @@
 {
     auto fields = FieldReader::open(payload);
     if (!fields) {
-        return makeError(ErrorCode::NotFound, "not a message of ours");
+        return makeError(ErrorCode::NotFound, "control message is not a CBOR array");
     }
     FieldReader &reader = *fields;
     std::string exchange;
     reader.read(exchange);
     if (!reader.isGood() || exchange != EXCHANGE) {
-        return makeError(ErrorCode::NotFound, "a message of another exchange");
+        return makeError(ErrorCode::NotFound, "control message belongs to another exchange");
     }
     MessageKind kind = MessageKind::Offer;
     reader.read(kind, MessageKind::Push);
--- a/src/protocol/internal/fieldcodec.cpp
+++ b/src/protocol/internal/fieldcodec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Room for a usual message without its body, in bytes.
+/// Reserved for the fields of a typical message without its body.
 constexpr std::size_t TYPICAL_MESSAGE_BYTES = 512;
 
 } // namespace
--- a/src/protocol/internal/fieldcodec.h
+++ b/src/protocol/internal/fieldcodec.h
@@ -12,7 +12,7 @@
 
 namespace ivyspar {
 
-/// The fields of a message, or of a part of one, as a CBOR array.
+/// The fields of a message, or of a part of it, encoded as a CBOR array.
 struct PackedFields
 {
     std::string bytes;
@@ -20,14 +20,14 @@
 
 /// Appends the fields of a message to a CBOR array.
 ///
-/// Written and read without a tree of values in between: with one, each of the two messages of a
-/// call took some fifty allocations, and its bodies were copied byte by byte.
+/// Fields are encoded and decoded without an intermediate tree of values, with which each of the
+/// two messages of a call took some fifty allocations and bodies were copied byte by byte.
 class FieldWriter
 {
 public:
     FieldWriter &add(std::uint64_t value);
     FieldWriter &add(bool value);
-    /// As bytes: CBOR text must be UTF-8, and what comes from outside need not be.
+    /// Encoded as a byte string: CBOR text must be UTF-8, which external input need not be.
     FieldWriter &add(const std::string &value);
     FieldWriter &add(const PackedFields &fields);
     template <typename T, typename Tag> FieldWriter &add(const StrongType<T, Tag> &value)
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The array with all that was added.
+    /// Returns the array of all added fields and clears the writer.
     PackedFields take();
 
 private:
@@ -49,12 +49,12 @@
     std::string m_bytes;
 };
 
-/// Takes fields from a CBOR array in order. The first one that is missing or of a wrong type or
-/// range makes the whole message bad; the reads after it do nothing. The bytes must outlive it.
+/// Reads the fields of a CBOR array in order. The first one that is missing or of a wrong type or
+/// range makes the reader bad; later reads then do nothing. The bytes must outlive the reader.
 class FieldReader
 {
 public:
-    /// Nothing if `bytes` is not one array, well formed and of bounded depth.
+    /// Nothing unless `bytes` is exactly one well-formed array of limited depth.
     static std::optional<FieldReader> open(const std::string &bytes);
 
     bool isGood() const { return m_isGood; }
@@ -89,20 +89,20 @@
         value = static_cast<Enum>(m_isGood ? plain : 0);
     }
 
-    /// The next field, an array. If it is none, the message is bad, and so is what is returned.
+    /// Reader of the next field, an array. If it is not one, both readers are bad.
     FieldReader readArray();
 
-    /// A part of the message was bad.
+    /// Marks the message as malformed.
     void fail() { m_isGood = false; }
 
 private:
     FieldReader(std::string_view items, std::uint64_t count, bool isGood);
 
     bool readNumber(std::uint64_t &number);
-    /// Reads the head of the next field if it is of that major type.
+    /// Reads the head of the next field, which must be of that major type.
     bool readHead(unsigned major, std::uint64_t &argument);
 
-    /// What is left of the array's items.
+    /// Bytes from the next field on.
     std::string_view m_items;
     std::uint64_t m_remaining = 0;
     bool m_isGood = true;
--- a/src/protocol/internal/inventoryreader.cpp
+++ b/src/protocol/internal/inventoryreader.cpp
@@ -53,7 +53,7 @@
     }
     const auto slots = table.number("slots", SLOTS);
     const auto connections = table.number("connections", CONNECTIONS);
-    // Each request in work needs a connection of its own: the slots past them would stay empty.
+    // Each request in progress needs its own connection, so further slots would never be used.
     if (slots && connections && *connections < *slots) {
         table.fail("connections",
                    std::to_string(*connections) + " connections cannot fill "
--- a/src/protocol/internal/inventoryreader.h
+++ b/src/protocol/internal/inventoryreader.h
@@ -5,8 +5,8 @@
 
 namespace ivyspar {
 
-/// Takes an inventory out of its TOML document. Afterwards the names that it defines are known,
-/// also those of entries that have problems.
+/// Reads an inventory from its TOML document. Also collects the names that it defines, including
+/// those of entries with problems.
 class InventoryReader
 {
 public:
--- a/src/protocol/internal/membershipcodec.cpp
+++ b/src/protocol/internal/membershipcodec.cpp
@@ -26,7 +26,7 @@
     }
 }
 
-/// A day: nothing is cold for longer, and sums of times stay far from overflowing.
+/// One day: no server is cold for longer, and sums of such times cannot overflow.
 constexpr std::uint64_t MAX_COLD_MICROS = 86'400'000'000;
 
 Duration::rep coldMicros(const UpstreamInfo &upstream)
@@ -34,7 +34,7 @@
     return upstream.coldLeft.value_or(Duration::zero()).count();
 }
 
-/// The id, incarnation and counter are those of the update that carries the record.
+/// Without id, incarnation and counter, which the update with the record contains.
 PackedFields writeRecord(const Member &member)
 {
     FieldWriter writer;
--- a/src/protocol/internal/membershipcodec.h
+++ b/src/protocol/internal/membershipcodec.h
@@ -7,10 +7,10 @@
 
 namespace ivyspar {
 
-/// CBOR bytes of a message between membership objects: the payload of a control frame.
+/// Encodes a membership message as CBOR: the payload of a `ControlMessage`.
 std::string encodeMembership(const MembershipMessage &message);
 
-/// Fails with `InvalidArgument` on anything malformed, and never throws.
+/// `InvalidArgument` for a malformed message. Never throws.
 RetVal<MembershipMessage> decodeMembership(const std::string &bytes);
 
 } // namespace ivyspar
--- a/src/protocol/internal/ownreportdialect.h
+++ b/src/protocol/internal/ownreportdialect.h
@@ -4,7 +4,7 @@
 
 namespace ivyspar {
 
-/// Announcements, as docs/INTERFACES.md describes them.
+/// Announcements of upstreams; docs/INTERFACES.md describes them.
 class OwnReportDialect : public IReportDialect
 {
 public:
--- a/src/protocol/internal/ownrequestdialect.cpp
+++ b/src/protocol/internal/ownrequestdialect.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Longest `Idempotency-Key` in bytes.
+/// Limit on the length of an `Idempotency-Key`.
 constexpr std::size_t MAX_KEY_BYTES = 200;
 
 tl::unexpected<EarlyRefusal> refuse(RootId root, Reason reason)
@@ -20,7 +20,8 @@
         EarlyRefusal{ root, Verdict{ Outcome::NotRun, reason, Duration::zero() } });
 }
 
-/// A whole number in a header; `fallback` without the header. False on anything else.
+/// Reads a whole number from a header; `fallback` if there is no such header. False for anything
+/// else.
 bool readNumber(const HttpRequest &request, const char *name, std::uint64_t fallback,
                 std::uint64_t &number)
 {
@@ -34,7 +35,7 @@
     return error == std::errc() && end == last && !text->empty();
 }
 
-/// Splits `/service/path?query` into the service and what its upstream receives.
+/// Splits `/service/path?query` into the service and the target for its upstream.
 bool splitTarget(const std::string &target, std::string &service, std::string &rest)
 {
     if (target.empty() || target.front() != '/') {
@@ -54,7 +55,7 @@
     return target.substr(0, target.find('?'));
 }
 
-/// What only concerns ivyspar does not go to the upstream as the caller wrote it.
+/// Removes headers that are meant for the daemon or that it sets itself.
 void removeOwnHeaders(std::vector<HttpHeader> &headers)
 {
     for (const char *name :
@@ -64,7 +65,7 @@
     }
 }
 
-/// Finds the rule, by the host if the configuration has one for it, else by the service that the
+/// Finds the rule, by host if the configuration has one for it, otherwise by the service that the
 /// path names. False if the target is malformed.
 bool findTarget(const HttpRequest &request, const Configuration &configuration, CallerRequest &read)
 {
@@ -79,7 +80,7 @@
     }
     read.rule = findRule(configuration.rules, ServiceName(service), request.method,
                          pathOf(read.forwarded.target));
-    // It names this daemon, and is another one where the caller comes again.
+    // The header names this daemon and would differ if the caller repeats the request at another.
     removeHeader(read.forwarded.headers, "Host");
     return true;
 }
--- a/src/protocol/internal/ownupstreamdialect.cpp
+++ b/src/protocol/internal/ownupstreamdialect.cpp
@@ -32,8 +32,8 @@
     return isRefused ? UpstreamResponseKind::Refused : UpstreamResponseKind::Ran;
 }
 
-/// An upstream passes on headers of the inner calls that it made. Taken at face value they would
-/// tell the caller that its own request was not run, although it ran.
+/// An upstream may copy headers from the responses to its own calls. They would tell the caller
+/// that its request was not run although it was.
 void OwnUpstreamDialect::removeInternalHeaders(HttpResponse &response) const
 {
     for (const char *name :
--- a/src/protocol/internal/peercodec.h
+++ b/src/protocol/internal/peercodec.h
@@ -4,8 +4,8 @@
 
 namespace ivyspar {
 
-/// Frames are CBOR arrays: the kind, then the fields in a fixed order. Elements after the known
-/// ones are ignored, so that later versions can append fields.
+/// Frames are CBOR arrays of the kind and the fields in a fixed order. Further elements are
+/// ignored, so that later versions can append fields.
 class PeerCodec : public IPeerCodec
 {
 public:
--- a/src/protocol/internal/rulesreader.cpp
+++ b/src/protocol/internal/rulesreader.cpp
@@ -17,7 +17,7 @@
 constexpr NumberRange ATTEMPTS{ 1, 10'000 };
 constexpr NumberRange CALLER_ATTEMPTS{ 1, 100 };
 constexpr DurationRange WAIT{ milliseconds(1), minutes(10) };
-// Long enough for a person to try again; the platform's log has to keep its records for longer.
+// Long enough for a person to retry; the platform's log must retain its records for longer.
 constexpr DurationRange KEY_LIFETIME{ minutes(1), MAX_KEY_LIFETIME };
 constexpr std::uint32_t DEFAULT_ATTEMPTS_PER_CALL = 3;
 constexpr std::uint32_t DEFAULT_CALLER_ATTEMPTS = 3;
@@ -124,7 +124,7 @@
     for (const std::string &hex : table.texts("keys")) {
         const auto digest = digestFromHex(hex);
         if (!digest) {
-            table.fail("keys", "holds something else than hashes of keys", DIGEST_EXPECTED);
+            table.fail("keys", "contains an entry that is not a digest of a key", DIGEST_EXPECTED);
             return;
         }
         m_keys.add(table, "keys", hex);
@@ -232,7 +232,7 @@
     rule.calls = calls.value_or(1);
     const auto attempts = table.optionalNumber("attempts", ATTEMPTS);
     rule.attempts = AttemptCount(attempts.value_or(DEFAULT_ATTEMPTS_PER_CALL * rule.calls));
-    // A smaller budget could not complete even a request without any failure.
+    // With fewer attempts not even a request without failures could complete.
     if (attempts && *attempts < rule.calls) {
         table.fail("attempts",
                    std::to_string(*attempts) + " attempts are not enough for "
@@ -272,7 +272,7 @@
         table.fail("key_lifetime", "no key is remembered for this rule",
                    "repeat = \"once\", or no key_lifetime");
     }
-    // A key that is forgotten while its request still runs would let a second one start.
+    // If a key were forgotten while its request still runs, a second one could start.
     if (lifetime && *lifetime < rule.wait) {
         table.fail("key_lifetime", "is shorter than the wait of " + toText(rule.wait),
                    "at least the wait");
--- a/src/protocol/internal/rulesreader.h
+++ b/src/protocol/internal/rulesreader.h
@@ -5,11 +5,11 @@
 
 namespace ivyspar {
 
-/// Takes rules out of their TOML document.
+/// Reads rules from their TOML document.
 class RulesReader
 {
 public:
-    /// `services` may be null when the inventory could not be read: they are not checked then.
+    /// `services` is null if the inventory could not be read; services are not checked then.
     RulesReader(FileProblems &problems, const UniqueNames *services);
 
     Rules read(const toml::table &document);
@@ -35,7 +35,7 @@
     UniqueNames m_classes;
     UniqueNames m_names;
     UniqueNames m_accounts;
-    /// Of digests: each belongs to one account.
+    /// Digests of keys, each of which belongs to one account.
     UniqueNames m_keys;
     KeySalt m_salt{};
     std::map<std::uint32_t, std::uint32_t> m_linesOfPriorities;
--- a/src/protocol/internal/suspectexchange.cpp
+++ b/src/protocol/internal/suspectexchange.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-/// First field of each message, so that other exchanges on the same links are told apart.
+/// First field of each message; distinguishes the exchanges that share a link.
 constexpr char EXCHANGE[] = "suspects";
-/// A crash of the future would be remembered for ever, and one of long ago means nothing.
+/// Larger ages are reduced to this: a crash so old has no effect any more, and an age that
+/// overflows would put the crash into the future, where it never expires.
 constexpr std::uint64_t MAX_AGE_MICROS = 7ULL * 24 * 3600 * 1'000'000;
-/// Bounds on what a message may hold.
+/// Limits on the content of a message.
 constexpr std::size_t MAX_RECORDS = 4096;
 constexpr std::size_t MAX_ITEMS = 64;
 constexpr std::size_t MAX_TEXT_BYTES = 256;
@@ -110,7 +111,7 @@
     at = now - Duration(static_cast<Duration::rep>(std::min(age, MAX_AGE_MICROS)));
 }
 
-/// Reads a list of lists of fields, `maxItems` of them.
+/// Reads an array of at most `maxItems` arrays of fields.
 template <typename ReadFields>
 void readItems(FieldReader &reader, std::size_t maxItems, const ReadFields &readFields)
 {
@@ -208,14 +209,14 @@
 {
     auto fields = FieldReader::open(payload);
     if (!fields || !isThisExchange(*fields)) {
-        return makeError(ErrorCode::NotFound, "a message of another exchange");
+        return makeError(ErrorCode::NotFound, "control message belongs to another exchange");
     }
     FieldReader &reader = *fields;
     MessageKind kind = MessageKind::Digest;
     reader.read(kind, MessageKind::Snapshot);
     SuspectMessage message = readBody(kind, reader, now);
     if (!reader.isGood()) {
-        return makeError(ErrorCode::InvalidArgument, "malformed message of suspects");
+        return makeError(ErrorCode::InvalidArgument, "malformed suspect message");
     }
     return message;
 }
--- a/src/protocol/internal/tomlconfigurationreader.cpp
+++ b/src/protocol/internal/tomlconfigurationreader.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A change has to fit into one record of the platform's log.
+/// Inventory and rules together must fit into one record of the platform's log.
 constexpr std::size_t MAX_FILE_BYTES = 256 * 1024;
 
 bool isAscii(char c)
@@ -19,10 +19,10 @@
     return static_cast<unsigned char>(c) < 0x80;
 }
 
-/// toml++ 3.3 runs into `__builtin_unreachable` where it meets most characters outside ASCII in
-/// place of white space: a file with an accent in a wrong place could do anything. No value of ours
-/// needs such a character, so they are problems, and in comments they are blanked out: the parser
-/// sees none. A `#` within quotes is taken for a comment here, but no value may hold one.
+/// Replaces characters outside ASCII, and reports those outside of comments as problems: toml++ 3.3
+/// reaches `__builtin_unreachable` on most of them in place of white space, which is undefined
+/// behaviour, and no valid value contains any. A `#` within quotes counts as the start of a comment
+/// here, but no valid value contains one.
 std::string toAscii(std::string text, FileProblems &problems)
 {
     std::uint32_t line = 1;
@@ -102,7 +102,7 @@
     if (const auto rules = parse(text.rules, rulesProblems)) {
         configuration->rules = rulesReader.read(*rules);
         configuration->priorities = PriorityOrder(configuration->rules);
-        // Keys that two accounts hold are among the problems already.
+        // A key of two accounts has already been reported as a problem.
         configuration->keys =
             KeyIndex::make(configuration->rules.accounts, rulesReader.salt()).value_or(KeyIndex());
     }
--- a/src/protocol/internal/tomltable.cpp
+++ b/src/protocol/internal/tomltable.cpp
@@ -153,7 +153,7 @@
     }
     const auto value = node->value_exact<bool>();
     if (!value) {
-        fail(key, "is not a truth value", "true or false");
+        fail(key, "is not a boolean", "true or false");
     }
     return value.value_or(defaultValue);
 }
--- a/src/protocol/internal/tomltable.h
+++ b/src/protocol/internal/tomltable.h
@@ -34,12 +34,12 @@
     Duration maximum;
 };
 
-/// Takes typed values out of one TOML table and reports what is wrong with them. A value that was
-/// reported is absent from the result.
+/// Reads typed values from one TOML table and reports invalid ones as problems. An invalid value is
+/// absent from the result.
 class TomlTable
 {
 public:
-    /// `path` is the table's own dotted key; empty for the whole file.
+    /// `path` is the dotted key of the table; empty for the root table.
     TomlTable(const toml::table &table, std::string path, FileProblems &problems);
 
     /// Required; one to 64 letters, digits, `.`, `_` and `-`.
@@ -52,17 +52,17 @@
     bool flag(const char *key, bool defaultValue);
     /// The tables of `[[key]]`, at least one.
     std::vector<TomlTable> tables(const char *key);
-    /// The same; none if there is no such key.
+    /// As `tables`, but empty if there is no such key.
     std::vector<TomlTable> optionalTables(const char *key);
-    /// A list of texts, at least one.
+    /// A list of at least one text.
     std::vector<std::string> texts(const char *key);
 
     bool has(const char *key) const;
-    /// Line of the value, or of the table when it has no such key.
+    /// Line of the value, or of the table if it has no such key.
     std::uint32_t line(const char *key) const;
     /// Reports a problem with the value of `key`.
     void fail(const char *key, const std::string &problem, const std::string &expected);
-    /// Reports all keys that no function asked for.
+    /// Reports all keys that were not read before.
     void reportUnknownKeys();
 
 private:
@@ -80,18 +80,18 @@
     std::vector<std::string> m_knownKeys;
 };
 
-/// Names that may appear only once in a file.
+/// Names that must be unique in a file.
 class UniqueNames
 {
 public:
-    /// Reports the name if it is there already.
+    /// Reports a problem if the name has been added before.
     void add(TomlTable &table, const char *key, const std::string &name);
-    /// Without any name all are taken as known, as their absence is a problem of its own.
+    /// True for all names if none was added, as that is reported separately.
     bool isKnown(const std::string &name) const
     {
         return m_lines.empty() || m_lines.count(name) > 0;
     }
-    /// All names, for the text of problems.
+    /// All names, for the description of a problem.
     std::string list() const;
 
 private:
--- a/src/protocol/internal/verdictresponse.h
+++ b/src/protocol/internal/verdictresponse.h
@@ -9,12 +9,12 @@
 
 namespace ivyspar {
 
-/// A request id as callers see it: 16 hexadecimal digits.
+/// A request id as callers receive it: 16 hexadecimal digits.
 std::string toText(RootId root);
-/// Nothing unless `text` is 16 hexadecimal digits and not all zero.
+/// False unless `text` is 16 hexadecimal digits that are not all zero.
 bool parseRootId(const std::string &text, RootId &root);
 
-/// The answer to a request that has no upstream's answer. docs/INTERFACES.md lists the statuses.
+/// The response to a request that got none from an upstream. docs/INTERFACES.md lists the statuses.
 HttpResponse makeVerdictResponse(RootId root, const Verdict &verdict, std::uint32_t attempts);
 
 } // namespace ivyspar
--- a/src/protocol/ipeercodec.h
+++ b/src/protocol/ipeercodec.h
@@ -7,14 +7,14 @@
 
 namespace ivyspar {
 
-/// Turns messages between daemons into frames and back (CBOR).
+/// Encodes messages between daemons as CBOR frames and decodes them.
 class IPeerCodec
 {
 public:
     virtual ~IPeerCodec() = default;
 
     virtual std::string encode(const PeerMessage &message) const = 0;
-    /// Fails with `InvalidArgument` on anything malformed, and never throws.
+    /// `InvalidArgument` for a malformed frame. Never throws.
     virtual RetVal<PeerMessage> decode(const std::string &frame) const = 0;
 };
 
--- a/src/protocol/irequestdialect.h
+++ b/src/protocol/irequestdialect.h
@@ -14,56 +14,57 @@
 
 namespace ivyspar {
 
-/// What a caller's request says, in the product's terms.
+/// A caller's request, decoded.
 struct CallerRequest
 {
-    /// 0 when the request has no id of its own.
+    /// 0 if the request has no valid id.
     RootId root;
     /// Points into the configuration that the request was read with.
     const RuleSpec *rule = nullptr;
-    /// What the upstream receives, but for what is added at each attempt.
+    /// The request for the upstream, without the headers that are added at each attempt.
     HttpRequest forwarded;
-    /// How long the caller waits, as far as the rule allows.
+    /// Time until the deadline: the caller's, at most the rule's.
     Duration wait{ 0 };
-    /// How long the caller itself says it waits; the rule's time if it does not say.
+    /// Time until the caller's own deadline, which may be longer than `wait`; the rule's if the
+    /// caller sets none.
     Duration callerWait{ 0 };
-    /// From 1: how often the caller has sent this request.
+    /// How many times the caller has sent this request, this one included.
     std::uint32_t callerAttempt = 1;
     std::optional<OnceTerms> once;
-    /// Token of the call during which an upstream made this one; empty if there is none.
+    /// Token of the call during which an upstream made this request; empty if there is none.
     std::string context;
-    /// Key of the caller's account, if the caller showed one. Not part of `forwarded`.
+    /// Key of the caller's client account, if the request has one. Not part of `forwarded`.
     std::optional<AccountKey> key;
 };
 
-/// Where a request comes from.
+/// Origin of a request.
 struct RequestOrigin
 {
     /// The service whose server runs on this host; empty if it is not known.
     ServiceName hostService;
 };
 
-/// A request that is answered without being routed.
+/// Refusal of a request before it is routed.
 struct EarlyRefusal
 {
     RootId root;
     Verdict verdict;
 };
 
-/// How callers write requests and how they are answered. Translates, decides nothing.
+/// Decodes the requests of callers and encodes what they are told. Makes no decisions.
 class IRequestDialect
 {
 public:
     virtual ~IRequestDialect() = default;
 
-    /// `configuration` may be null. The refusal's verdict says what is wrong with the request.
+    /// `configuration` may be null. The refusal's verdict has the reason.
     virtual tl::expected<CallerRequest, EarlyRefusal>
     read(const HttpRequest &request, const RequestOrigin &origin,
          const Configuration *configuration) const = 0;
-    /// The answer to a request that has no upstream's answer.
+    /// The response to a request that got none from an upstream.
     virtual HttpResponse makeRefusal(RootId root, const Verdict &verdict,
                                      std::uint32_t attempts) const = 0;
-    /// Adds to an upstream's answer what callers are told besides.
+    /// Adds headers with the outcome for the caller to an upstream's response.
     virtual void addResultHeaders(RootId root, std::uint32_t attempts,
                                   HttpResponse &response) const = 0;
 };
--- a/src/protocol/iupstreamdialect.h
+++ b/src/protocol/iupstreamdialect.h
@@ -12,25 +12,25 @@
 /// One send of a call to an upstream.
 struct UpstreamSend
 {
-    /// Token by which calls that the upstream makes can be told to belong to this one.
+    /// Token that the upstream copies into the calls that it makes for this one.
     std::string context;
     /// Time left until the caller's deadline.
     Duration remaining{ 0 };
-    /// The run of the upstream that is to take the call; empty if it has no name.
+    /// Instance id of the upstream's run that is to process the call; empty if it has none.
     UpstreamId instance;
-    /// The caller's account; empty if it has none or it is not known.
+    /// The caller's client account; empty if it has none or it is not known.
     AccountName account;
 };
 
-/// What an upstream's answer says of the call.
+/// What an upstream's response says about the call.
 enum class UpstreamResponseKind {
     Ran,
-    Refused, ///< The upstream says that it did not start the call.
-    Broken, ///< Not an answer that an upstream gives: the call may have run.
-    OtherInstance, ///< Another run of an upstream has the address; the call was not started.
+    Refused, ///< The upstream reports that it did not start the call.
+    Broken, ///< Not a valid response of an upstream; the call may have run.
+    OtherInstance, ///< Another run of an upstream has this address; the call was not started.
 };
 
-/// What an upstream says of its own load.
+/// Load that an upstream reports with a response.
 struct UpstreamLoad
 {
     std::uint32_t running = 0;
@@ -38,21 +38,24 @@
     std::uint32_t slots = 0;
 };
 
-/// How calls are written to upstreams and their answers read. Translates, decides nothing.
+/// Encodes calls for upstreams and decodes their responses. Makes no decisions.
 class IUpstreamDialect
 {
 public:
     virtual ~IUpstreamDialect() = default;
 
-    /// Whatever callers sent in the place of what is written here is gone already.
+    /// Adds the headers for the upstream. Headers of these names that the caller sent have already
+    /// been removed.
     virtual void prepareRequest(const UpstreamSend &send, HttpRequest &request) const = 0;
     virtual UpstreamResponseKind classify(const HttpResponse &response) const = 0;
-    /// Removes what must not reach the caller.
+    /// Removes headers that must not reach the caller.
     virtual void removeInternalHeaders(HttpResponse &response) const = 0;
+    /// Nothing if the response reports no load.
     virtual std::optional<UpstreamLoad> readLoad(const HttpResponse &response) const = 0;
-    /// Name of the header that an upstream repeats from the request; empty if there is none.
+    /// Name of the header that an upstream copies from the request into its response; empty if
+    /// there is none.
     virtual std::string echoHeader() const = 0;
-    /// The run of the upstream that answered a health check; empty if it does not say.
+    /// Instance id of the upstream's run that responded to a health check; empty if not reported.
     virtual UpstreamId readInstance(const HttpResponse &response) const = 0;
 };
 
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -16,10 +16,10 @@
 
 namespace ivyspar {
 
-/// Version of the frames between daemons. A daemon ignores fields that it does not know.
+/// Version of the frames between daemons. Unknown trailing fields are ignored.
 constexpr std::uint32_t PEER_PROTOCOL_VERSION = 1;
 
-/// First frame on a link, from both sides.
+/// First frame in each direction of a link.
 struct HelloMessage
 {
     std::uint32_t protocol = PEER_PROTOCOL_VERSION;
@@ -28,7 +28,7 @@
     DomainName domain;
 };
 
-/// How a call may run at most once.
+/// Terms of a call that must run at most once.
 struct OnceTerms
 {
     IdempotencyKey key;
@@ -49,47 +49,47 @@
     Depth depth;
     /// Time left until the caller's deadline when this frame was sent.
     Duration remaining{ 0 };
-    /// Of requests like the caller's, which share its entry lets in. 0 in a repeated attempt: its
-    /// first one has been counted.
+    /// Share of such requests that the entry daemon admits. 0 for a repeated attempt, as the first
+    /// one has been counted.
     DemandShare admittedShare;
-    /// It repeats an attempt, or a repeat makes it: both draw on the bound on repeats.
+    /// The attempt is a repeat, or is made by one; both count against the limit on repeats.
     bool isRepeat = false;
-    /// Attempts handed over for the calls below this one.
+    /// Attempts granted to the calls below this one.
     AttemptCount granted;
-    /// Present when the rule says at most once and the caller gave a key or a ticket.
+    /// Set if the rule's repetition is `Once` and the caller sent a key or a ticket.
     std::optional<OnceTerms> once;
     HttpRequest request;
-    /// Of the request; empty if it has not been worked out.
+    /// Fingerprint of the request; empty if it was not computed.
     Fingerprint fingerprint;
-    /// The caller's account; empty if it has none or it is not known.
+    /// The caller's client account; empty if it has none or it is not known.
     AccountName account;
 };
 
-/// End of one attempt. Exactly one for each `CallMessage`, unless the link is lost.
+/// End of one attempt. Each `CallMessage` gets exactly one, unless the link is lost.
 struct ResponseMessage
 {
     StreamId stream;
     Verdict verdict;
-    /// Meaningful when the verdict is `Answered`.
+    /// Valid only if the verdict's outcome is `Answered`.
     HttpResponse response;
-    /// Of the attempts granted, those that were not spent.
+    /// Granted attempts that were not used.
     AttemptCount unspent;
-    /// Time that the upstream took; zero when it was not asked.
+    /// Time that the upstream took; zero if the call was not sent to it.
     Duration serviceTime{ 0 };
     LoadReport load;
-    /// What the call and those below it cost, and how their services are.
+    /// Service time that the call and the calls below it used, with the load of those services.
     TreeUsage usage;
-    /// The daemon that holds the key's result, for reason `KeyBusy`; empty if none.
+    /// For reason `KeyBusy`: the daemon that holds the result of the key; empty if none.
     DaemonId holder;
 };
 
-/// The caller gave up. Answered by the call's `ResponseMessage` like any other end.
+/// The caller no longer waits. The call still ends with its `ResponseMessage`.
 struct CancelMessage
 {
     StreamId stream;
 };
 
-/// Asks for a load report of a service's gate, answered by `LoadMessage`.
+/// Requests the load of a service's gate; answered by a `LoadMessage`.
 struct ProbeMessage
 {
     StreamId stream;
@@ -103,10 +103,11 @@
     LoadReport load;
 };
 
-/// Opaque payload for the control thread: membership and configuration exchange.
+/// Opaque payload for the control thread, such as membership, configuration, account and suspect
+/// messages.
 struct ControlMessage
 {
-    /// The sender's peer endpoint, so that the receiver can answer on a link of its own.
+    /// The sending daemon, so that the receiver can reply on a link of its own.
     DaemonId from;
     std::string payload;
 };
--- a/src/protocol/suspectexchange.h
+++ b/src/protocol/suspectexchange.h
@@ -7,13 +7,14 @@
 
 namespace ivyspar {
 
-/// Payload of a `ControlMessage`. Times are written as ages at `now`.
+/// Payload of a `ControlMessage`. Times are encoded as ages at `now`, as the clocks of sender and
+/// receiver differ.
 std::string encodeSuspectMessage(const SuspectMessage &message, TimePoint now);
 
-/// Whether the payload is one of these, good or bad.
+/// Whether the payload belongs to this exchange; it may still be malformed.
 bool isSuspectMessage(const std::string &payload);
 
-/// `NotFound` for a payload that belongs to another exchange, `InvalidArgument` for a bad one.
+/// `NotFound` for a payload of another exchange, `InvalidArgument` for a malformed one.
 RetVal<SuspectMessage> decodeSuspectMessage(const std::string &payload, TimePoint now);
 
 } // namespace ivyspar
--- a/src/protocol/tests/accountexchangetest.cpp
+++ b/src/protocol/tests/accountexchangetest.cpp
@@ -47,7 +47,7 @@
     CHECK(grant.leaseDuration == 10s);
 }
 
-// Guards against a daemon that grants, or believes in, more than the whole rate.
+// Guards against daemons that grant or accept more than the whole rate.
 TEST(AccountExchange, LeaseAboveWholeRateIsMalformed)
 {
     m_grant.lease = RateShare(WHOLE_RATE.value() + 1);
--- a/src/protocol/tests/configurationmutationtest.cpp
+++ b/src/protocol/tests/configurationmutationtest.cpp
@@ -27,7 +27,7 @@
     return text;
 }
 
-/// Replaces, drops or doubles a few stretches.
+/// Replaces, removes or duplicates parts of the text at random, up to four times.
 std::string mutated(std::string text, IRandom &random)
 {
     for (std::uint64_t i = random.below(4) + 1; i > 0 && !text.empty(); --i) {
--- a/src/protocol/tests/configurationreadertest.cpp
+++ b/src/protocol/tests/configurationreadertest.cpp
@@ -172,7 +172,7 @@
                "23: rule[2].hedge: a hedge runs the request twice");
     checkRules("repeat = \"idempotent\"\nhedge = true", "repeat = \"often\"",
                "22: rule[2].repeat: \"often\" is unknown; expected never, once or idempotent");
-    checkRules("hedge = true", "hedge = 1", "23: rule[2].hedge: is not a truth value");
+    checkRules("hedge = true", "hedge = 1", "23: rule[2].hedge: is not a boolean");
     checkRules("key_lifetime = \"10min\"", "", "7: rule[1].key_lifetime: is missing for repeat");
     checkRules("key_lifetime = \"10min\"", "key_lifetime = \"30s\"",
                "15: rule[1].key_lifetime: \"30s\" is out of range");
@@ -221,8 +221,8 @@
     checkOne(read(std::string(1000, '['), RULES), "i.toml:1: ");
 }
 
-// The parser's behaviour is undefined for an accent in place of white space. The reader keeps such
-// characters away from it: a wrong file is reported, and comments may hold anything.
+// The TOML parser's behaviour is undefined for characters outside ASCII in place of white space, so
+// the reader must report them first. In comments they are allowed.
 TEST(ConfigurationReader, NonAsciiIsAllowedOnlyInComments)
 {
     const char *expected = ": a character outside ASCII; expected ASCII, except in comments";
--- a/src/protocol/tests/mocks/mockconfigurationreader.h
+++ b/src/protocol/tests/mocks/mockconfigurationreader.h
@@ -4,7 +4,7 @@
 
 namespace ivyspar {
 
-/// Reads everything but an inventory that starts with `unreadable`.
+/// Accepts any texts, except an inventory that starts with `unreadable`.
 class MockConfigurationReader : public IConfigurationReader
 {
 public:
--- a/src/protocol/tests/peercodectest.cpp
+++ b/src/protocol/tests/peercodectest.cpp
@@ -112,8 +112,8 @@
     }
 }
 
-// A peer sends frames with flipped bytes. Each is refused or decodes to some message; none stops
-// the process. The sanitizer build makes this strict.
+// Frames with changed bytes must be rejected or decode to some message. The sanitizer build also
+// detects invalid memory accesses.
 TEST(PeerCodec, CorruptedFramesDoNotCrash)
 {
     std::mt19937 random(1);
@@ -131,8 +131,7 @@
     }
 }
 
-// A peer sends an array nested two million times. The recursive parser of the library would run
-// out of stack; the bounded walk before it refuses the frame.
+// An array that is nested two million times would exhaust the stack of a recursive parser.
 TEST(PeerCodec, DeepNestingIsRejected)
 {
     CHECK_FALSE(codec.decode(std::string(2000000, '\x81')).has_value());
--- a/src/protocol/tests/suspectexchangetest.cpp
+++ b/src/protocol/tests/suspectexchangetest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const TimePoint SENDER_NOW{ 500s };
-/// The receiver's clock has another zero.
+/// The clocks of sender and receiver differ.
 const TimePoint RECEIVER_NOW{ 9000s };
 const ServerKind KIND{ ServiceName("catalogo"), UpstreamVersion("v1") };
 
@@ -72,7 +72,7 @@
     CHECK(decodeDocumentMessage(own).error().code == ErrorCode::NotFound);
 }
 
-// Guards against a message that ends the daemon or holds more than is bearable.
+// Guards against malformed messages that crash the daemon or exhaust its memory.
 TEST(SuspectExchange, DamagedMessagesAreRejectedOrHarmless)
 {
     const std::string whole =
