--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -486,7 +486,7 @@
     call.depth = incoming.depth;
     call.remaining = std::chrono::duration_cast<Duration>(incoming.deadline - m_loop.now());
     const bool isFirst = action.attempt == AttemptIndex(0);
-    call.letIn = isFirst ? incoming.letIn : DemandShare();
+    call.admittedShare = isFirst ? incoming.letIn : DemandShare();
     call.isRepeat = incoming.isRepeat || !isFirst;
     call.granted = action.granted;
     call.once = incoming.once;
@@ -581,7 +581,7 @@
         return m_dialect.makeRefusal(active.incoming.root, active.verdict, active.call.attempts());
     }
     HttpResponse response = active.response;
-    m_dialect.completeAnswer(active.incoming.root, active.call.attempts(), response);
+    m_dialect.addResultHeaders(active.incoming.root, active.call.attempts(), response);
     return response;
 }
 
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -186,7 +186,7 @@
         return Duration::zero();
     }
     const Duration lag = m_lag.now();
-    m_processor.onArrival(now, message.letIn, lag);
+    m_processor.onArrival(now, message.admittedShare, lag);
     if (source == CallSource::ThisDaemon) {
         return Duration::zero();
     }
@@ -210,10 +210,10 @@
     if (!passesSuspectGate(id, *upstream)) {
         return;
     }
-    perform(
-        service,
-        upstream->gate->offer(
-            m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.letIn }));
+    perform(service,
+            upstream->gate->offer(
+                m_loop.now(),
+                GateRequest{ id, call.message.rank, call.deadline, call.message.admittedShare }));
 }
 
 bool GateService::passesSuspectGate(CallId id, const Upstream &upstream)
@@ -258,7 +258,7 @@
 
 void GateService::onOnceReply(const OnceReply &reply)
 {
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict = reply.verdict;
     answer.response = reply.response;
     answer.holder = reply.holder;
@@ -313,7 +313,7 @@
     context.deadline = call.deadline;
     context.budget = call.budget;
     context.tree = call.tree;
-    context.letIn = call.message.letIn;
+    context.letIn = call.message.admittedShare;
     context.isRepeat = call.message.isRepeat;
     context.account = call.message.account;
     return context;
@@ -465,7 +465,7 @@
         found->second.holdsClaim = false;
         m_once.finished(id, run.verdict, run.response);
     }
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict = run.verdict;
     answer.response = std::move(run.response);
     answer.serviceTime = serviceTime;
@@ -526,7 +526,7 @@
 {
     const auto remaining = std::chrono::duration_cast<Duration>(call.deadline - m_loop.now());
     HttpRequest request = call.message.request;
-    m_dialect.address(
+    m_dialect.prepareRequest(
         UpstreamSend{ toHex(id.value()), remaining, server.instance, call.message.account },
         request);
     // The call may have been removed when the exchange ends.
@@ -570,12 +570,12 @@
                                  found->second.message.root)) {
         m_recorder.recordRefused(stateOf(found->second), verdict.reason);
     }
-    AnswerMessage answer;
+    ResponseMessage answer;
     answer.verdict = verdict;
     endCall(id, std::move(answer));
 }
 
-void GateService::endCall(CallId id, AnswerMessage answer)
+void GateService::endCall(CallId id, ResponseMessage answer)
 {
     const auto found = m_calls.find(id);
     if (found == m_calls.end()) {
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -141,7 +141,7 @@
     void recordSend(const ServiceName &service, const RunResult &run);
     bool maySendAgain(const ServiceName &service, const Announcement &server, CallId id);
     void reportServerMissing(const UpstreamId &instance);
-    void endCall(CallId id, AnswerMessage answer);
+    void endCall(CallId id, ResponseMessage answer);
     void refuseCall(CallId id, const Verdict &verdict);
     GatedCall stateOf(const Call &call) const;
     Duration recordArrival(TimePoint now, const CallMessage &message, CallSource source);
--- a/src/app/internal/gate/runresult.cpp
+++ b/src/app/internal/gate/runresult.cpp
@@ -48,27 +48,27 @@
 RunResult resultOfResponse(const IUpstreamDialect &dialect, HttpResponse response)
 {
     RunResult run;
-    switch (dialect.judge(response)) {
-    case UpstreamAnswer::Refused:
+    switch (dialect.classify(response)) {
+    case UpstreamResponseKind::Refused:
         run = notRun(Reason::UpstreamRefused);
         run.result = CallResult::Overloaded;
         return run;
-    case UpstreamAnswer::OtherInstance:
+    case UpstreamResponseKind::OtherInstance:
         run = notRun(Reason::NoServer);
         run.result = CallResult::Failure;
         run.isServerMissing = true;
         return run;
-    case UpstreamAnswer::Broken:
+    case UpstreamResponseKind::Broken:
         run.verdict = Verdict{ Outcome::Unknown, Reason::BrokenAnswer, Duration::zero() };
         run.result = CallResult::Failure;
         return run;
-    case UpstreamAnswer::Ran:
+    case UpstreamResponseKind::Ran:
         break;
     }
     run.verdict.outcome = Outcome::Answered;
     run.result = isServerError(response.status) ? CallResult::Failure : CallResult::Success;
     run.response = std::move(response);
-    dialect.clean(run.response);
+    dialect.removeInternalHeaders(run.response);
     return run;
 }
 
--- a/src/app/internal/gate/upstreammonitor.cpp
+++ b/src/app/internal/gate/upstreammonitor.cpp
@@ -113,7 +113,7 @@
     }
     health.isSilent = false;
     health.isHealthy = result->status == OK;
-    health.instance = m_dialect.instance(*result);
+    health.instance = m_dialect.readInstance(*result);
     return health;
 }
 
--- a/src/app/tests/gateservicetest.cpp
+++ b/src/app/tests/gateservicetest.cpp
@@ -101,7 +101,7 @@
         call.service = service;
         call.remaining = remaining;
         m_gates->handle(std::move(call), CallSource::Link,
-                        [&](const AnswerMessage &answer) { verdicts.push_back(answer.verdict); });
+                        [&](const ResponseMessage &answer) { verdicts.push_back(answer.verdict); });
     };
     send(std::chrono::milliseconds(700));
     CHECK(verdicts.empty());
@@ -141,7 +141,7 @@
         CallMessage call;
         call.service = ServiceName("cassa");
         call.remaining = remaining;
-        m_gates->handle(std::move(call), source, [this](const AnswerMessage &answer) {
+        m_gates->handle(std::move(call), source, [this](const ResponseMessage &answer) {
             m_verdicts.push_back(answer.verdict);
         });
     }
--- a/src/app/tests/mocks/fakegateservice.h
+++ b/src/app/tests/mocks/fakegateservice.h
@@ -39,7 +39,7 @@
     }
     LoadReport load(const ServiceName & /*service*/) const override { return {}; }
 
-    void answer(CallId id, AnswerMessage message)
+    void answer(CallId id, ResponseMessage message)
     {
         const Reply reply = std::move(calls.at(id).second);
         message.stream = calls.at(id).first.stream;
--- a/src/protocol/internal/ownupstreamdialect.cpp
+++ b/src/protocol/internal/ownupstreamdialect.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void OwnUpstreamDialect::address(const UpstreamSend &send, HttpRequest &request) const
+void OwnUpstreamDialect::prepareRequest(const UpstreamSend &send, HttpRequest &request) const
 {
     request.headers.push_back({ headers::CONTEXT, send.context });
     const auto remainingMs =
@@ -25,16 +25,16 @@
     }
 }
 
-UpstreamAnswer OwnUpstreamDialect::judge(const HttpResponse &response) const
+UpstreamResponseKind OwnUpstreamDialect::classify(const HttpResponse &response) const
 {
     const std::string *outcome = findHeader(response.headers, headers::UPSTREAM_OUTCOME);
     const bool isRefused = response.status == SERVICE_UNAVAILABLE && outcome && *outcome == NOT_RUN;
-    return isRefused ? UpstreamAnswer::Refused : UpstreamAnswer::Ran;
+    return isRefused ? UpstreamResponseKind::Refused : UpstreamResponseKind::Ran;
 }
 
-/// An upstream passes on headers of the inner calls that it made. Taken at face value they would
-/// tell the caller that its own request was not run, although it ran.
-void OwnUpstreamDialect::clean(HttpResponse &response) const
+/// An upstream may copy headers from the responses to its own calls. They would tell the caller
+/// that its request was not run although it was.
+void OwnUpstreamDialect::removeInternalHeaders(HttpResponse &response) const
 {
     for (const char *name :
          { headers::OUTCOME, headers::REASON, headers::ATTEMPTS, headers::RETRY_AFTER_MS,
@@ -43,12 +43,12 @@
     }
 }
 
-std::optional<UpstreamLoad> OwnUpstreamDialect::load(const HttpResponse & /*response*/) const
+std::optional<UpstreamLoad> OwnUpstreamDialect::readLoad(const HttpResponse & /*response*/) const
 {
     return std::nullopt;
 }
 
-UpstreamId OwnUpstreamDialect::instance(const HttpResponse & /*response*/) const
+UpstreamId OwnUpstreamDialect::readInstance(const HttpResponse & /*response*/) const
 {
     return {};
 }
--- a/src/protocol/internal/peercodec.cpp
+++ b/src/protocol/internal/peercodec.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-enum class FrameKind : std::uint8_t { Hello = 1, Call, Answer, Cancel, Probe, Load, Control };
+enum class FrameKind : std::uint8_t { Hello = 1, Call, Response, Cancel, Probe, Load, Control };
 
 FieldWriter startFrame(FrameKind kind)
 {
@@ -132,7 +132,7 @@
     writer.add(message.stream).add(message.root).add(message.service).add(message.rule);
     writer.add(message.rank).add(message.depth);
     addDuration(writer, message.remaining);
-    writer.add(message.letIn)
+    writer.add(message.admittedShare)
         .add(message.isRepeat)
         .add(message.granted)
         .add(message.request.method)
@@ -144,9 +144,9 @@
     return endFrame(writer);
 }
 
-std::string encodeOne(const AnswerMessage &message)
+std::string encodeOne(const ResponseMessage &message)
 {
-    FieldWriter writer = startFrame(FrameKind::Answer);
+    FieldWriter writer = startFrame(FrameKind::Response);
     writer.add(message.stream);
     writer.add(std::uint64_t(message.verdict.outcome)).add(std::uint64_t(message.verdict.reason));
     addDuration(writer, message.verdict.retryAfter);
@@ -222,7 +222,7 @@
     reader.read(message.rank);
     reader.read(message.depth);
     readDuration(reader, message.remaining);
-    reader.read(message.letIn);
+    reader.read(message.admittedShare);
     reader.read(message.isRepeat);
     reader.read(message.granted);
     reader.read(message.request.method);
@@ -239,9 +239,9 @@
     return message;
 }
 
-AnswerMessage readAnswer(FieldReader &reader)
+ResponseMessage readResponse(FieldReader &reader)
 {
-    AnswerMessage message;
+    ResponseMessage message;
     reader.read(message.stream);
     reader.read(message.verdict.outcome, Outcome::Unknown);
     reader.read(message.verdict.reason, Reason::Last);
@@ -296,8 +296,8 @@
         return readHello(reader);
     case FrameKind::Call:
         return readCall(reader);
-    case FrameKind::Answer:
-        return readAnswer(reader);
+    case FrameKind::Response:
+        return readResponse(reader);
     case FrameKind::Cancel:
         return readCancel(reader);
     case FrameKind::Probe:
