--- a/src/app/internal/logs/asynclogs.cpp
+++ b/src/app/internal/logs/asynclogs.cpp
@@ -115,7 +115,7 @@
     }
     const TimePoint now = steadyNow();
     const std::lock_guard lock(m_mutex);
-    return m_budget.leavesOut(now, kind, importance, root);
+    return m_budget.wouldDrop(now, kind, importance, root);
 }
 
 void AsyncLogs::write(Decision decision)
--- a/src/app/internal/logs/logbudget.cpp
+++ b/src/app/internal/logs/logbudget.cpp
@@ -22,7 +22,7 @@
 {
     startSecond(now);
     if (!hasRoom(decision.importance, decision.root)) {
-        count(decision.kind, decision.importance);
+        countSuppressed(decision.kind, decision.importance);
         return false;
     }
     const bool isRoutine = decision.importance == Importance::Routine;
@@ -32,17 +32,17 @@
     return true;
 }
 
-bool LogBudget::leavesOut(TimePoint now, DecisionKind kind, Importance importance, RootId root)
+bool LogBudget::wouldDrop(TimePoint now, DecisionKind kind, Importance importance, RootId root)
 {
     startSecond(now);
     if (hasRoom(importance, root)) {
         return false;
     }
-    count(kind, importance);
+    countSuppressed(kind, importance);
     return true;
 }
 
-void LogBudget::count(DecisionKind kind, Importance importance)
+void LogBudget::countSuppressed(DecisionKind kind, Importance importance)
 {
     m_routineSeen += importance == Importance::Routine ? 1 : 0;
     ++m_suppressed[toText(kind)];
--- a/src/app/internal/logs/logbudget.h
+++ b/src/app/internal/logs/logbudget.h
@@ -29,14 +29,14 @@
     /// Whether the line may be written.
     bool take(TimePoint now, const Decision &decision);
     /// Whether such a line would not be taken; it is then counted as left out.
-    bool leavesOut(TimePoint now, DecisionKind kind, Importance importance, RootId root);
+    bool wouldDrop(TimePoint now, DecisionKind kind, Importance importance, RootId root);
     /// The lines that were left out since the last call; empty within the second that goes on.
     SuppressedCounts takeSuppressed(TimePoint now);
 
 private:
     void startSecond(TimePoint now);
     /// A line was left out.
-    void count(DecisionKind kind, Importance importance);
+    void countSuppressed(DecisionKind kind, Importance importance);
     bool hasRoom(Importance importance, RootId root) const;
 
     LogBudgetOptions m_options;
