--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -236,7 +236,7 @@
         });
     };
     port.setListed = [this](std::size_t daemons) {
-        onTraffic([daemons](TrafficNode &traffic) { traffic.setListed(daemons); });
+        onTraffic([daemons](TrafficNode &traffic) { traffic.setDirectorySize(daemons); });
     };
     port.confirm = [this](TimePoint asOf) { m_confirmation.advance(asOf); };
     port.liftQuarantine = [this](Fingerprint fingerprint, std::function<void(bool)> callback) {
