--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr int EXIT_STOPPED = 1;
+constexpr int EXIT_RUNTIME_ERROR = 1;
 /// Time for the goodbye to leave this host before the process ends.
-constexpr Duration GOODBYE = std::chrono::milliseconds(200);
+constexpr Duration GOODBYE_TIME = std::chrono::milliseconds(200);
 
 Incarnation currentIncarnation()
 {
@@ -65,21 +65,21 @@
     if (!operators) {
         std::fprintf(stderr, "ivyspar: %s\n", operators.error().text.c_str());
         stopThreads();
-        return EXIT_STOPPED;
+        return EXIT_RUNTIME_ERROR;
     }
     bound->operators = *operators;
     if (const Ret written = writeReady(*bound); !written) {
         std::fprintf(stderr, "ivyspar: %s\n", written.error().text.c_str());
         stopThreads();
-        return EXIT_STOPPED;
+        return EXIT_RUNTIME_ERROR;
     }
-    tell(LogLevel::Info, "started");
+    logLifecycle(LogLevel::Info, "started");
     waitForStop();
-    tell(LogLevel::Info, "stopping");
+    logLifecycle(LogLevel::Info, "stopping");
     const bool isDrained = drain();
-    tell(LogLevel::Info, isDrained ? "drained" : "calls were still running when the time was over");
+    logLifecycle(LogLevel::Info, isDrained ? "drained" : "calls were still running when the time was over");
     stopThreads();
-    return isDrained && !m_isDuplicate ? 0 : EXIT_STOPPED;
+    return isDrained && !m_isDuplicate ? 0 : EXIT_RUNTIME_ERROR;
 }
 
 void Daemon::waitForStop()
@@ -98,7 +98,7 @@
 }
 
 /// One line for people and one for the decision log.
-void Daemon::tell(LogLevel level, const char *outcome, const std::string &detail)
+void Daemon::logLifecycle(LogLevel level, const char *outcome, const std::string &detail)
 {
     m_observers.log.write(level, detail.empty() ? outcome : std::string(outcome) + ": " + detail);
     if (!m_observers.decisions.isEnabled()) {
@@ -118,16 +118,16 @@
 {
     const auto read = m_platform.reread();
     if (!read) {
-        tell(LogLevel::Info, "reload", "these settings do not change while the daemon runs");
+        logLifecycle(LogLevel::Info, "reload", "these settings do not change while the daemon runs");
         return;
     }
     if (!read->errors.empty()) {
-        tell(LogLevel::Error, "reload", "the settings are not used: " + read->errors.front());
+        logLifecycle(LogLevel::Error, "reload", "the settings are not used: " + read->errors.front());
         return;
     }
     m_settings.hostService = read->settings.hostService;
-    tell(LogLevel::Info, "reload", "the service of this host is " + m_settings.hostService.value());
-    onTraffic([service = m_settings.hostService](TrafficNode &traffic) {
+    logLifecycle(LogLevel::Info, "reload", "the service of this host is " + m_settings.hostService.value());
+    postToTraffic([service = m_settings.hostService](TrafficNode &traffic) {
         traffic.setHostService(service);
     });
 }
@@ -158,7 +158,7 @@
 void Daemon::runControl(const ListeningEndpoints &bound, std::promise<RetVal<Endpoint>> &started)
 {
     m_control = std::make_unique<ControlNode>(*m_controlLoop, m_settings, m_platform,
-                                              makeSelf(bound), makeTrafficPort(), m_observers);
+                                              makeOwnMember(bound), makeTrafficPort(), m_observers);
     const auto endpoint = m_control->listen(bound.peer);
     m_control->start();
     started.set_value(endpoint);
@@ -166,7 +166,7 @@
     m_control.reset();
 }
 
-Member Daemon::makeSelf(const ListeningEndpoints &bound) const
+Member Daemon::makeOwnMember(const ListeningEndpoints &bound) const
 {
     Member self;
     self.id = m_self.id;
@@ -183,20 +183,20 @@
 {
     TrafficEvents events;
     events.onUpstreams = [this](std::vector<UpstreamInfo> upstreams) {
-        onControl([upstreams = std::move(upstreams)](ControlNode &control) {
+        postToControl([upstreams = std::move(upstreams)](ControlNode &control) {
             control.setUpstreams(upstreams);
         });
     };
     events.onControl = [this](ControlMessage message) {
-        onControl(
+        postToControl(
             [message = std::move(message)](ControlNode &control) { control.receive(message); });
     };
     events.onUnreachable = [this](DaemonId daemon) {
-        onControl(
+        postToControl(
             [daemon = std::move(daemon)](ControlNode &control) { control.onUnreachable(daemon); });
     };
     events.onPayload = [this](DaemonId to, std::string payload) {
-        onControl([to = std::move(to), payload = std::move(payload)](ControlNode &control) {
+        postToControl([to = std::move(to), payload = std::move(payload)](ControlNode &control) {
             control.send(to, payload);
         });
     };
@@ -207,40 +207,40 @@
 {
     TrafficPort port;
     port.setMembers = [this](std::vector<Member> members) {
-        onTraffic(
+        postToTraffic(
             [members = std::move(members)](TrafficNode &traffic) { traffic.setMembers(members); });
     };
     port.setConfiguration = [this](ConfigurationPtr configuration) {
-        onTraffic([configuration = std::move(configuration)](TrafficNode &traffic) {
+        postToTraffic([configuration = std::move(configuration)](TrafficNode &traffic) {
             traffic.setConfiguration(configuration);
         });
     };
     port.send = [this](DaemonId target, Endpoint endpoint, std::string payload) {
-        onTraffic([target = std::move(target), endpoint = std::move(endpoint),
+        postToTraffic([target = std::move(target), endpoint = std::move(endpoint),
                    payload = std::move(payload)](TrafficNode &traffic) {
             traffic.sendControl(target, endpoint, payload);
         });
     };
     port.fetchStatus = [this](std::function<void(TrafficStatus)> callback) {
-        onTraffic(
+        postToTraffic(
             [callback = std::move(callback)](TrafficNode &traffic) { callback(traffic.status()); });
     };
     port.receiveSuspects = [this](DaemonId from, std::string payload) {
-        onTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
+        postToTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
             traffic.receiveSuspects(from, payload);
         });
     };
     port.receiveAccounts = [this](DaemonId from, std::string payload) {
-        onTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
+        postToTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
             traffic.receiveAccounts(from, payload);
         });
     };
     port.setListed = [this](std::size_t daemons) {
-        onTraffic([daemons](TrafficNode &traffic) { traffic.setDirectorySize(daemons); });
+        postToTraffic([daemons](TrafficNode &traffic) { traffic.setDirectorySize(daemons); });
     };
     port.confirm = [this](TimePoint asOf) { m_confirmation.advance(asOf); };
     port.liftQuarantine = [this](Fingerprint fingerprint, std::function<void(bool)> callback) {
-        onTraffic([fingerprint = std::move(fingerprint), callback = std::move(callback)](
+        postToTraffic([fingerprint = std::move(fingerprint), callback = std::move(callback)](
                       TrafficNode &traffic) { callback(traffic.liftQuarantine(fingerprint)); });
     };
     port.stopForDuplicate = [this] {
@@ -252,7 +252,7 @@
     return port;
 }
 
-void Daemon::onTraffic(std::function<void(TrafficNode &)> task)
+void Daemon::postToTraffic(std::function<void(TrafficNode &)> task)
 {
     m_trafficLoop->post([this, task = std::move(task)] {
         if (m_traffic) {
@@ -261,7 +261,7 @@
     });
 }
 
-void Daemon::onControl(std::function<void(ControlNode &)> task)
+void Daemon::postToControl(std::function<void(ControlNode &)> task)
 {
     m_controlLoop->post([this, task = std::move(task)] {
         if (m_control) {
@@ -304,9 +304,9 @@
     runAndWait(*m_trafficLoop, [&] { isDrained = m_traffic->drainCalls(end); });
     runAndWait(*m_controlLoop, [this] {
         m_control->leave();
-        m_controlLoop->sleepFor(GOODBYE);
+        m_controlLoop->sleepFor(GOODBYE_TIME);
     });
-    runAndWait(*m_trafficLoop, [this] { m_traffic->closeLinks(GOODBYE); });
+    runAndWait(*m_trafficLoop, [this] { m_traffic->closeLinks(GOODBYE_TIME); });
     return isDrained;
 }
 
@@ -314,7 +314,7 @@
 {
     // Fibers of the control thread end while their loop still runs, also when the start failed.
     if (m_controlThread.joinable()) {
-        runAndWait(*m_controlLoop, [this] { m_control->stop(GOODBYE); });
+        runAndWait(*m_controlLoop, [this] { m_control->stop(GOODBYE_TIME); });
     }
     m_trafficLoop->stop();
     m_controlLoop->stop();
@@ -343,7 +343,7 @@
     const auto logs = openDaemonLogs(logSettings, *metrics);
     if (!logs) {
         std::fprintf(stderr, "ivyspar: %s\n", logs.error().text.c_str());
-        return EXIT_STOPPED;
+        return EXIT_RUNTIME_ERROR;
     }
     Daemon daemon(settings, platform, *metrics, **logs);
     return daemon.run();
--- a/src/app/internal/daemon.h
+++ b/src/app/internal/daemon.h
@@ -31,16 +31,16 @@
     RetVal<Endpoint> startControl(const ListeningEndpoints &bound);
     void runTraffic(std::promise<RetVal<ListeningEndpoints>> &started);
     void runControl(const ListeningEndpoints &bound, std::promise<RetVal<Endpoint>> &started);
-    Member makeSelf(const ListeningEndpoints &bound) const;
+    Member makeOwnMember(const ListeningEndpoints &bound) const;
     TrafficEvents makeTrafficEvents();
     TrafficPort makeTrafficPort();
-    void onTraffic(std::function<void(TrafficNode &)> task);
-    void onControl(std::function<void(ControlNode &)> task);
+    void postToTraffic(std::function<void(TrafficNode &)> task);
+    void postToControl(std::function<void(ControlNode &)> task);
     /// Runs `task` in a fiber of the loop and waits for its end.
     static void runAndWait(IEventLoop &loop, const std::function<void()> &task);
     /// Handles signals and changes of the settings until one says stop.
     void waitForStop();
-    void tell(LogLevel level, const char *outcome, const std::string &detail = {});
+    void logLifecycle(LogLevel level, const char *outcome, const std::string &detail = {});
     void reload();
     bool drain();
     void stopThreads();
