--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -187,7 +187,7 @@
             control.setUpstreams(upstreams);
         });
     };
-    events.onControl = [this](ControlMessage message) {
+    events.onControlMessage = [this](ControlMessage message) {
         postToControl(
             [message = std::move(message)](ControlNode &control) { control.receive(message); });
     };
@@ -195,7 +195,7 @@
         postToControl(
             [daemon = std::move(daemon)](ControlNode &control) { control.onUnreachable(daemon); });
     };
-    events.onPayload = [this](DaemonId to, std::string payload) {
+    events.onOutgoingPayload = [this](DaemonId to, std::string payload) {
         postToControl([to = std::move(to), payload = std::move(payload)](ControlNode &control) {
             control.send(to, payload);
         });
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint16_t CREATED = 201;
 constexpr std::uint16_t METHOD_NOT_ALLOWED = 405;
 
-constexpr Duration DRAIN_POLL = std::chrono::milliseconds(5);
+constexpr Duration DRAIN_POLL_INTERVAL = std::chrono::milliseconds(5);
 /// Of the time for a planned stop, what is left for the ends of connections.
 constexpr Duration CLOSING_TIME = std::chrono::milliseconds(200);
 
@@ -134,9 +134,9 @@
         m_once = std::make_unique<NoOnceService>();
     }
     m_quarantine = std::make_unique<QuarantineService>(
-        loop, *m_random, observers, m_events.onPayload, makeQuarantineOptions(settings));
+        loop, *m_random, observers, m_events.onOutgoingPayload, makeQuarantineOptions(settings));
     m_accounts = std::make_unique<AccountService>(loop, *m_random, confirmation, observers,
-                                                  m_events.onPayload, makeAccountOptions(settings));
+                                                  m_events.onOutgoingPayload, makeAccountOptions(settings));
     m_gates = std::make_unique<GateService>(loop, *m_client, *m_random, *m_once, *m_quarantine,
                                             *m_upstreamDialect, makeLocalGate, observers,
                                             makeGateServiceOptions(settings));
@@ -153,7 +153,7 @@
 {
     m_peerCalls =
         std::make_unique<PeerCalls>(m_loop, *m_network, *m_codec, *m_gates, observers, self);
-    m_peerCalls->setOnControl(m_events.onControl);
+    m_peerCalls->setOnControl(m_events.onControlMessage);
     m_peerCalls->setOnUnreachable(m_events.onUnreachable);
     m_entry = std::make_unique<EntryService>(
         m_loop, *m_requestDialect, EntryPolicies{ *m_router, *m_retries, *m_random }, *m_peerCalls,
@@ -282,7 +282,7 @@
 void TrafficNode::waitForCallers(TimePoint end)
 {
     while (m_entry->callerCount() > 0 && m_loop.now() < end) {
-        m_loop.sleepFor(DRAIN_POLL);
+        m_loop.sleepFor(DRAIN_POLL_INTERVAL);
     }
 }
 
@@ -293,7 +293,7 @@
     // listeners stay open for these.
     const TimePoint last = end - CLOSING_TIME;
     while (m_gates->callCount() + m_entry->requestCount() > 0 && m_loop.now() < last) {
-        m_loop.sleepFor(DRAIN_POLL);
+        m_loop.sleepFor(DRAIN_POLL_INTERVAL);
     }
     const bool isDone = m_gates->callCount() + m_entry->requestCount() == 0;
     m_callerServer->drain(timeUntil(end));
@@ -304,7 +304,7 @@
 /// At least enough for what is ready to be sent.
 Duration TrafficNode::timeUntil(TimePoint end) const
 {
-    return std::max(std::chrono::duration_cast<Duration>(end - m_loop.now()), DRAIN_POLL);
+    return std::max(std::chrono::duration_cast<Duration>(end - m_loop.now()), DRAIN_POLL_INTERVAL);
 }
 
 void TrafficNode::closeLinks(Duration timeout)
--- a/src/app/internal/trafficnode.h
+++ b/src/app/internal/trafficnode.h
@@ -27,10 +27,10 @@
 struct TrafficEvents
 {
     std::function<void(std::vector<UpstreamInfo>)> onUpstreams;
-    std::function<void(ControlMessage)> onControl;
+    std::function<void(ControlMessage)> onControlMessage;
     std::function<void(DaemonId)> onUnreachable;
     /// A control payload for another daemon.
-    std::function<void(DaemonId, std::string)> onPayload;
+    std::function<void(DaemonId, std::string)> onOutgoingPayload;
 };
 
 /// Figures of the traffic thread for `/status`.
