--- a/src/app/internal/commands/checkcommand.cpp
+++ b/src/app/internal/commands/checkcommand.cpp
@@ -59,11 +59,11 @@
         parsed.errors.emplace_back("expected two files: INVENTORY RULES");
     }
     if (!parsed.errors.empty()) {
-        return failUsage("check", parsed.errors);
+        return reportUsageErrors("check", parsed.errors);
     }
     const ConfigurationFiles files = loadConfiguration(parsed.operands[0], parsed.operands[1]);
     if (!files.errors.empty()) {
-        return failUsage("check", files.errors);
+        return reportUsageErrors("check", files.errors);
     }
     printSummary(*files.configuration);
     printNotes(*files.configuration);
--- a/src/app/internal/commands/commandline.cpp
+++ b/src/app/internal/commands/commandline.cpp
@@ -26,7 +26,7 @@
         return 0;
     }
     if (!arguments.empty()) {
-        return failUsage("version", { "unexpected argument \"" + arguments.front() + '"' });
+        return reportUsageErrors("version", { "unexpected argument \"" + arguments.front() + '"' });
     }
     std::puts("ivyspar " IVYSPAR_VERSION);
     return 0;
@@ -80,7 +80,7 @@
 int failUnknownCommand(const std::string &name)
 {
     std::fprintf(stderr, "ivyspar: unknown command \"%s\"\n%s", name.c_str(), HELP);
-    return EXIT_USAGE;
+    return EXIT_USAGE_ERROR;
 }
 
 int runHelp(const Arguments &arguments)
@@ -98,14 +98,14 @@
 
 } // namespace
 
-int failUsage(const std::string &command, const std::vector<std::string> &errors)
+int reportUsageErrors(const std::string &command, const std::vector<std::string> &errors)
 {
     for (const std::string &error : errors) {
         std::fprintf(stderr, "ivyspar %s: %s\n", command.c_str(), error.c_str());
     }
     std::fprintf(stderr, "ivyspar %s: %zu %s; see ivyspar %s --help\n", command.c_str(),
                  errors.size(), errors.size() == 1 ? "error" : "errors", command.c_str());
-    return EXIT_USAGE;
+    return EXIT_USAGE_ERROR;
 }
 
 int runCommandLine(int argc, char **argv)
@@ -113,7 +113,7 @@
     const Arguments arguments(argv + (argc > 0 ? 1 : 0), argv + argc);
     if (arguments.empty()) {
         std::fputs(HELP, stderr);
-        return EXIT_USAGE;
+        return EXIT_USAGE_ERROR;
     }
     const Command *command = findCommand(arguments.front());
     if (!command) {
--- a/src/app/internal/commands/commands.h
+++ b/src/app/internal/commands/commands.h
@@ -7,8 +7,8 @@
 
 using Arguments = std::vector<std::string>;
 
-constexpr int EXIT_RUNTIME = 1;
-constexpr int EXIT_USAGE = 2;
+constexpr int EXIT_RUNTIME_ERROR = 1;
+constexpr int EXIT_USAGE_ERROR = 2;
 
 /// The subcommands. Each takes the arguments after its name and returns the exit code.
 int runDaemonCommand(const Arguments &arguments);
@@ -19,7 +19,7 @@
 int runKeyCommand(const Arguments &arguments);
 int runLiftCommand(const Arguments &arguments);
 
-/// Prints each error on a line of its own, then where help is to be found. Returns `EXIT_USAGE`.
-int failUsage(const std::string &command, const std::vector<std::string> &errors);
+/// Prints each error on a line of its own, then where help is to be found. Returns `EXIT_USAGE_ERROR`.
+int reportUsageErrors(const std::string &command, const std::vector<std::string> &errors);
 
 } // namespace ivyspar
--- a/src/app/internal/commands/daemoncommand.cpp
+++ b/src/app/internal/commands/daemoncommand.cpp
@@ -41,7 +41,7 @@
         return 0;
     }
     if (!result.errors.empty()) {
-        return failUsage("daemon", result.errors);
+        return reportUsageErrors("daemon", result.errors);
     }
     return runDaemon(result.settings, *makeOwnPlatform());
 }
--- a/src/app/internal/commands/explaincommand.cpp
+++ b/src/app/internal/commands/explaincommand.cpp
@@ -99,7 +99,7 @@
         summary.collect(log);
     }
     std::fputs(toSummary(summary).c_str(), stdout);
-    return summary.seconds().empty() ? EXIT_RUNTIME : 0;
+    return summary.seconds().empty() ? EXIT_RUNTIME_ERROR : 0;
 }
 
 int explainOne(const std::string &id, const std::vector<std::string> &files)
@@ -114,7 +114,7 @@
         history.collect(file, log);
     }
     std::fputs(toExplanation(history).c_str(), stdout);
-    return history.events().empty() ? EXIT_RUNTIME : 0;
+    return history.events().empty() ? EXIT_RUNTIME_ERROR : 0;
 }
 
 } // namespace
@@ -129,7 +129,7 @@
     const std::vector<std::string> errors =
         parsed.errors.empty() ? findErrors(parsed.operands) : parsed.errors;
     if (!errors.empty()) {
-        return failUsage("explain", errors);
+        return reportUsageErrors("explain", errors);
     }
     const std::vector<std::string> files = filesOf(parsed.operands);
     return FLAGS_summary ? explainAll(files) : explainOne(parsed.operands.front(), files);
--- a/src/app/internal/commands/keycommand.cpp
+++ b/src/app/internal/commands/keycommand.cpp
@@ -45,7 +45,7 @@
         errors.emplace_back("unexpected argument \"" + parsed.operands.front() + '"');
     }
     if (!errors.empty()) {
-        return failUsage("key", errors);
+        return reportUsageErrors("key", errors);
     }
     const AccountKey key = makeAccountKey();
     std::printf("key      %s\nhash     %s\nkey_salt %s\n", key.value().c_str(),
--- a/src/app/internal/commands/liftcommand.cpp
+++ b/src/app/internal/commands/liftcommand.cpp
@@ -43,7 +43,7 @@
         postToOperatorEndpoint(endpoint, "/quarantine/lift/" + fingerprint, timeout);
     if (!answer) {
         std::fprintf(stderr, "ivyspar lift: %s\n", answer.error().text.c_str());
-        return EXIT_RUNTIME;
+        return EXIT_RUNTIME_ERROR;
     }
     std::fputs(answer->c_str(), stdout);
     return 0;
@@ -67,7 +67,7 @@
     const Duration timeout =
         values.duration("timeout", FLAGS_timeout, milliseconds(100), minutes(10));
     return errors.empty() ? lift(endpoint, parsed.operands.front(), timeout)
-                          : failUsage("lift", errors);
+                          : reportUsageErrors("lift", errors);
 }
 
 } // namespace ivyspar
--- a/src/app/internal/commands/publishcommand.cpp
+++ b/src/app/internal/commands/publishcommand.cpp
@@ -35,7 +35,7 @@
         return 0;
     }
     if (!result.errors.empty()) {
-        return failUsage("publish", result.errors);
+        return reportUsageErrors("publish", result.errors);
     }
     return runPublish(result.settings);
 }
--- a/src/app/internal/commands/statuscommand.cpp
+++ b/src/app/internal/commands/statuscommand.cpp
@@ -35,7 +35,7 @@
 int fail(const Error &error)
 {
     std::fprintf(stderr, "ivyspar status: %s\n", error.text.c_str());
-    return EXIT_RUNTIME;
+    return EXIT_RUNTIME_ERROR;
 }
 
 int printStatus(const Endpoint &endpoint, Duration timeout)
@@ -73,7 +73,7 @@
     const Endpoint endpoint = values.remoteEndpoint("operator", FLAGS_operator);
     const Duration timeout =
         values.duration("timeout", FLAGS_timeout, milliseconds(100), minutes(10));
-    return errors.empty() ? printStatus(endpoint, timeout) : failUsage("status", errors);
+    return errors.empty() ? printStatus(endpoint, timeout) : reportUsageErrors("status", errors);
 }
 
 } // namespace ivyspar
