--- a/src/app/internal/commands/explaintext.cpp
+++ b/src/app/internal/commands/explaintext.cpp
@@ -100,7 +100,7 @@
     }
     text += "\nCause: " + findCause(events) + '\n';
     text += listText("What daemons came to believe from a second before to a second after:",
-                     history.beliefs());
+                     history.stateChanges());
     text += suppressionText(history.suppressions());
     return text + notes;
 }
--- a/src/app/internal/commands/requesthistory.cpp
+++ b/src/app/internal/commands/requesthistory.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::array<const char *, 6> BELIEFS{ "configuration", "membership", "quarantine",
+constexpr std::array<const char *, 6> STATE_CHANGE_EVENTS{ "configuration", "membership", "quarantine",
                                                "upstream",      "dependency", "lifecycle" };
 /// Changes of belief that are older were known to all when the request came.
-constexpr double BEFORE_SECONDS = 1;
+constexpr double WINDOW_MARGIN_SECONDS = 1;
 
 /// Seconds since 1970 of a time like 2026-12-02T20:30:24.662Z; 0 if it is not one.
 double secondsOf(const std::string &time)
@@ -32,9 +32,9 @@
     return static_cast<double>(timegm(&parts)) + seconds;
 }
 
-bool isBelief(const HistoryEvent &event)
+bool isStateChange(const HistoryEvent &event)
 {
-    return std::any_of(BELIEFS.begin(), BELIEFS.end(),
+    return std::any_of(STATE_CHANGE_EVENTS.begin(), STATE_CHANGE_EVENTS.end(),
                        [&](const char *name) { return event.event == name; });
 }
 
@@ -82,25 +82,25 @@
             m_events.push_back(std::move(*event));
         } else if (event->event == "suppressed") {
             m_suppressions.push_back(std::move(*event));
-        } else if (isBelief(*event)) {
-            m_beliefs.push_back(std::move(*event));
+        } else if (isStateChange(*event)) {
+            m_stateChanges.push_back(std::move(*event));
         }
     }
     m_sources.push_back(std::move(source));
     sortByTime(m_events);
-    sortByTime(m_beliefs);
+    sortByTime(m_stateChanges);
     sortByTime(m_suppressions);
 }
 
-std::vector<HistoryEvent> RequestHistory::around(const std::vector<HistoryEvent> &events) const
+std::vector<HistoryEvent> RequestHistory::aroundRequest(const std::vector<HistoryEvent> &events) const
 {
     std::vector<HistoryEvent> found;
     if (m_events.empty()) {
         return found;
     }
-    const double first = secondsOf(m_events.front().time) - BEFORE_SECONDS;
+    const double first = secondsOf(m_events.front().time) - WINDOW_MARGIN_SECONDS;
     // What was left out in a second is told in the next one.
-    const double last = secondsOf(m_events.back().time) + BEFORE_SECONDS;
+    const double last = secondsOf(m_events.back().time) + WINDOW_MARGIN_SECONDS;
     for (const HistoryEvent &event : events) {
         const double time = secondsOf(event.time);
         if (time >= first && time <= last) {
@@ -110,14 +110,14 @@
     return found;
 }
 
-std::vector<HistoryEvent> RequestHistory::beliefs() const
+std::vector<HistoryEvent> RequestHistory::stateChanges() const
 {
-    return around(m_beliefs);
+    return aroundRequest(m_stateChanges);
 }
 
 std::vector<HistoryEvent> RequestHistory::suppressions() const
 {
-    return around(m_suppressions);
+    return aroundRequest(m_suppressions);
 }
 
 } // namespace ivyspar
--- a/src/app/internal/commands/requesthistory.h
+++ b/src/app/internal/commands/requesthistory.h
@@ -34,18 +34,18 @@
     /// Ordered by time, as the hosts' clocks have it.
     const std::vector<HistoryEvent> &events() const { return m_events; }
     /// Changes of belief from a second before the request to its end.
-    std::vector<HistoryEvent> beliefs() const;
+    std::vector<HistoryEvent> stateChanges() const;
     /// Lines that daemons left out in the second of the request or the one before it.
     std::vector<HistoryEvent> suppressions() const;
     const std::vector<HistorySource> &sources() const { return m_sources; }
 
 private:
-    std::vector<HistoryEvent> around(const std::vector<HistoryEvent> &events) const;
+    std::vector<HistoryEvent> aroundRequest(const std::vector<HistoryEvent> &events) const;
 
     std::string m_id;
     std::string m_root;
     std::vector<HistoryEvent> m_events;
-    std::vector<HistoryEvent> m_beliefs;
+    std::vector<HistoryEvent> m_stateChanges;
     std::vector<HistoryEvent> m_suppressions;
     std::vector<HistorySource> m_sources;
 };
