--- a/src/app/internal/commands/explaintext.cpp
+++ b/src/app/internal/commands/explaintext.cpp
@@ -69,7 +69,7 @@
     return text + " Lines of this request may be among them.\n";
 }
 
-std::string sourceText(const std::vector<HistorySource> &sources)
+std::string sourceNotes(const std::vector<HistorySource> &sources)
 {
     std::string text;
     for (const HistorySource &source : sources) {
@@ -88,7 +88,7 @@
 std::string toExplanation(const RequestHistory &history)
 {
     const std::vector<HistoryEvent> &events = history.events();
-    const std::string notes = sourceText(history.sources());
+    const std::string notes = sourceNotes(history.sources());
     if (events.empty()) {
         return "no line of request " + history.root()
             + " was found; it may have been left out, or have met other daemons\n" + notes;
--- a/src/app/internal/commands/failuresummary.cpp
+++ b/src/app/internal/commands/failuresummary.cpp
@@ -29,7 +29,7 @@
 }
 
 /// Most lines are of no interest: parsing them all would take minutes for a busy day.
-bool mayTellOf(const std::string &line, const char *event)
+bool mayContainEvent(const std::string &line, const char *event)
 {
     return line.find(event) != std::string::npos;
 }
@@ -56,7 +56,7 @@
         + group.cause + ", as " + group.example + '\n';
 }
 
-std::string secondsText(const std::map<std::string, SecondCount> &seconds)
+std::string worstSecondsText(const std::map<std::string, SecondCount> &seconds)
 {
     using Second = std::pair<std::string, SecondCount>;
     std::vector<Second> worst(seconds.begin(), seconds.end());
@@ -78,7 +78,7 @@
 {
     std::string line;
     while (std::getline(log, line)) {
-        if (!mayTellOf(line, "\"answer\"") && !mayTellOf(line, "\"refuse\"")) {
+        if (!mayContainEvent(line, "\"answer\"") && !mayContainEvent(line, "\"refuse\"")) {
             continue;
         }
         auto event = parseHistoryEvent(line);
@@ -100,8 +100,8 @@
 {
     std::string line;
     while (std::getline(log, line)) {
-        const bool isRun = mayTellOf(line, "\"run\"") || mayTellOf(line, "\"refuse\"");
-        const bool isSuppressed = mayTellOf(line, "\"suppressed\"");
+        const bool isRun = mayContainEvent(line, "\"run\"") || mayContainEvent(line, "\"refuse\"");
+        const bool isSuppressed = mayContainEvent(line, "\"suppressed\"");
         auto event = isRun || isSuppressed ? parseHistoryEvent(line) : std::nullopt;
         if (!event) {
             continue;
@@ -158,7 +158,7 @@
         for (const FailureGroup &group : summary.groups()) {
             text += groupText(group, all.failed);
         }
-        text += secondsText(summary.seconds());
+        text += worstSecondsText(summary.seconds());
     }
     if (summary.suppressed() > 0) {
         text += format("\n%zu lines were left out, as the logs' budget was spent: what they told "
--- a/src/app/internal/commands/operatorclient.cpp
+++ b/src/app/internal/commands/operatorclient.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-RetVal<std::string> ask(const Endpoint &endpoint, const HttpRequest &request, Duration timeout)
+RetVal<std::string> exchangeForBody(const Endpoint &endpoint, const HttpRequest &request, Duration timeout)
 {
     HttpResult result = exchange(endpoint, request, timeout);
     if (!result) {
@@ -63,13 +63,13 @@
 RetVal<std::string> fetchFromOperatorEndpoint(const Endpoint &endpoint, const std::string &target,
                                               Duration timeout)
 {
-    return ask(endpoint, { "GET", target, {}, {} }, timeout);
+    return exchangeForBody(endpoint, { "GET", target, {}, {} }, timeout);
 }
 
 RetVal<std::string> postToOperatorEndpoint(const Endpoint &endpoint, const std::string &target,
                                            Duration timeout)
 {
-    return ask(endpoint, { "POST", target, {}, {} }, timeout);
+    return exchangeForBody(endpoint, { "POST", target, {}, {} }, timeout);
 }
 
 } // namespace ivyspar
--- a/src/app/internal/commands/requestcause.cpp
+++ b/src/app/internal/commands/requestcause.cpp
@@ -85,7 +85,7 @@
     return isNumber ? event.fields[field].get<double>() : fallback;
 }
 
-std::string grounds(const HistoryEvent &event)
+std::string decisionInputsText(const HistoryEvent &event)
 {
     if (event.has("crashes")) {
         return " (fingerprint " + event.text("fingerprint") + ", crashes "
@@ -117,7 +117,7 @@
 std::string describe(const HistoryEvent &event)
 {
     return event.daemon + ", service " + event.text("service") + ": "
-        + sentenceOf(event.text("reason")) + grounds(event);
+        + sentenceOf(event.text("reason")) + decisionInputsText(event);
 }
 
 int statusOf(const HistoryEvent &event)
--- a/src/app/internal/commands/statustext.cpp
+++ b/src/app/internal/commands/statustext.cpp
@@ -27,7 +27,7 @@
 }
 
 /// A list of plain values fits on one line; objects get lines of their own.
-bool isPlain(const json &value)
+bool isSingleLine(const json &value)
 {
     if (value.is_object()) {
         return value.empty();
@@ -49,7 +49,7 @@
 {
     text.append(depth * INDENT, ' ');
     text += label;
-    if (isPlain(value)) {
+    if (isSingleLine(value)) {
         text += ' ' + valueText(value) + '\n';
         return;
     }
