--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -116,7 +116,7 @@
 /// all as it was: a file may be found half written.
 void Daemon::reload()
 {
-    const auto read = m_platform.reread();
+    const auto read = m_platform.rereadSettings();
     if (!read) {
         logLifecycle(LogLevel::Info, "reload", "these settings do not change while the daemon runs");
         return;
--- a/src/app/iplatform.h
+++ b/src/app/iplatform.h
@@ -32,7 +32,7 @@
     virtual std::unique_ptr<IKeyedLog> makeKeyedLog(IEventLoop &loop,
                                                     const DaemonSettings &settings) const = 0;
     /// Reads again what the daemon was started with. Nothing when settings never change.
-    virtual std::optional<SettingsResult<DaemonSettings>> reread() const = 0;
+    virtual std::optional<SettingsResult<DaemonSettings>> rereadSettings() const = 0;
     /// Whether the settings have changed since they were read last.
     virtual bool haveSettingsChanged() const = 0;
 };
