--- a/src/app/internal/settings/ablations.cpp
+++ b/src/app/internal/settings/ablations.cpp
@@ -25,10 +25,10 @@
     { "routing", &Ablations::routing },
     { "hedging", &Ablations::hedging },
     { "cancel", &Ablations::cancel },
-    { "odds", &Ablations::odds },
+    { "odds", &Ablations::lossBasedAdmission },
     { "fair-shares", &Ablations::fairShares },
     { "lag", &Ablations::lag },
-    { "turned-away", &Ablations::turnedAway },
+    { "turned-away", &Ablations::localRetries },
     { "datagrams", &Ablations::datagrams },
     { "readers", &Ablations::readers },
     { "quarantine", &Ablations::quarantine },
@@ -37,7 +37,7 @@
 
 } // namespace
 
-std::vector<std::string> switchOff(const std::string &policies, Ablations &ablations)
+std::vector<std::string> disablePolicies(const std::string &policies, Ablations &ablations)
 {
     std::vector<std::string> unknown;
     for (const std::string &name : splitList(policies)) {
--- a/src/app/internal/settings/daemonsettings.cpp
+++ b/src/app/internal/settings/daemonsettings.cpp
@@ -108,7 +108,7 @@
 
     void readAblations()
     {
-        for (const std::string &unknown : switchOff(FLAGS_ablate, m_settings.ablations)) {
+        for (const std::string &unknown : disablePolicies(FLAGS_ablate, m_settings.ablations)) {
             m_values.fail("ablate", '"' + unknown + "\" is not a policy; --help lists them");
         }
     }
--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -6,9 +6,9 @@
 
 /// A repeated run repeats the calls that it makes, and these count for the services below: each
 /// daemon leaves them half of the budget.
-constexpr double OWN_SHARE_OF_BUDGET = 0.5;
+constexpr double OWN_BUDGET_SHARE = 0.5;
 /// Hedges answer silence here: a late answer costs less than a repeat of the shared budget.
-constexpr double SILENCE_FACTOR = 2;
+constexpr double HEDGE_DELAY_FACTOR = 2;
 /// Root admission does what the floor of the next service does, and for the services behind it too.
 bool hasFloor(const DaemonSettings &settings)
 {
@@ -58,12 +58,12 @@
     RetryOptions options;
     if (settings.retryBudget) {
         options.countsUpstreamAttemptsOnly = true;
-        options.retryRatio = settings.retryBudget->ratio * OWN_SHARE_OF_BUDGET;
+        options.retryRatio = settings.retryBudget->ratio * OWN_BUDGET_SHARE;
         // A daemon that has just started does not know how many others start with it.
         options.initialRetryTokens = 0;
         options.sharedRetryTokens = settings.retryBudget->slack;
         options.hedgesUseRetryTokens = true;
-        options.hedgeFactor = SILENCE_FACTOR;
+        options.hedgeFactor = HEDGE_DELAY_FACTOR;
     }
     if (ablations.retryTokens) {
         options.hasRetryTokens = false;
@@ -73,10 +73,10 @@
     return options;
 }
 
-LocalRetryBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings)
+LocalRetryBudgetOptions makeLocalRetryBudgetOptions(const DaemonSettings &settings)
 {
     LocalRetryBudgetOptions options;
-    options.isEnabled = !settings.ablations.turnedAway;
+    options.isEnabled = !settings.ablations.localRetries;
     if (settings.retryBudget) {
         options.ratio = settings.retryBudget->ratio;
         options.window = settings.retryBudget->window;
@@ -88,8 +88,8 @@
 {
     RootAdmissionOptions options;
     options.hasFairShares = !settings.ablations.fairShares;
-    options.hasLossBasedAdmission = !settings.ablations.odds;
-    if (settings.retryBudget && !settings.ablations.turnedAway) {
+    options.hasLossBasedAdmission = !settings.ablations.lossBasedAdmission;
+    if (settings.retryBudget && !settings.ablations.localRetries) {
         options.retryRatio = settings.retryBudget->ratio;
     }
     return options;
--- a/src/app/internal/settings/policies.h
+++ b/src/app/internal/settings/policies.h
@@ -13,7 +13,7 @@
 GateOptions makeGateOptions(const DaemonSettings &settings);
 RouterOptions makeRouterOptions(const DaemonSettings &settings);
 RetryOptions makeRetryOptions(const DaemonSettings &settings);
-LocalRetryBudgetOptions makeRepeatBudgetOptions(const DaemonSettings &settings);
+LocalRetryBudgetOptions makeLocalRetryBudgetOptions(const DaemonSettings &settings);
 RootAdmissionOptions makeRootAdmissionOptions(const DaemonSettings &settings);
 
 } // namespace ivyspar
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -43,7 +43,7 @@
     GateServiceOptions options;
     options.heartbeatTimeout = settings.heartbeatTimeout;
     options.cancelUpstream = !settings.ablations.cancel;
-    options.repeats = makeRepeatBudgetOptions(settings);
+    options.repeats = makeLocalRetryBudgetOptions(settings);
     options.mindsLag = mindsLag(settings);
     return options;
 }
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -65,9 +65,9 @@
     /// Rules of one priority get equal shares, whatever their requests cost.
     bool fairShares = false;
     /// Requests are begun however few of their trees can end whole.
-    bool odds = false;
+    bool lossBasedAdmission = false;
     /// What a server turned away is not sent to it once more from its host.
-    bool turnedAway = false;
+    bool localRetries = false;
     /// Control messages go over links, however short.
     bool datagrams = false;
     /// Every daemon follows the platform's streams.
@@ -79,7 +79,7 @@
 };
 
 /// Switches off the policies of a comma-separated list. Returns the names that are none.
-std::vector<std::string> switchOff(const std::string &policies, Ablations &ablations);
+std::vector<std::string> disablePolicies(const std::string &policies, Ablations &ablations);
 
 /// Settings of one daemon. Port 0 in a listening endpoint takes a free port.
 struct DaemonSettings
