--- a/src/app/internal/settings/daemonsettings.cpp
+++ b/src/app/internal/settings/daemonsettings.cpp
@@ -109,7 +109,7 @@
     void readAblations()
     {
         for (const std::string &unknown : disablePolicies(FLAGS_ablate, m_settings.ablations)) {
-            m_values.fail("ablate", '"' + unknown + "\" is not a policy; --help lists them");
+            m_values.addError("ablate", '"' + unknown + "\" is not a policy; --help lists them");
         }
     }
 
@@ -121,7 +121,7 @@
             std::find_if(std::begin(LOG_LEVEL_NAMES), std::end(LOG_LEVEL_NAMES),
                          [](const LogLevelName &known) { return FLAGS_log_level == known.name; });
         if (found == std::end(LOG_LEVEL_NAMES)) {
-            m_values.fail("log_level",
+            m_values.addError("log_level",
                           '"' + FLAGS_log_level
                               + "\" is not one of trace, debug, info, warn, error, off");
             return;
@@ -145,7 +145,7 @@
         if (endpoint.address.empty() || isPermitted || isLoopback(endpoint)) {
             return;
         }
-        m_values.fail(flag, endpoint.text() + " is not loopback; --" + permission + " allows it");
+        m_values.addError(flag, endpoint.text() + " is not loopback; --" + permission + " allows it");
     }
 
     struct Listener
@@ -175,21 +175,21 @@
         const bool isSameAddress = a.endpoint.address == b.endpoint.address
             || isWildcard(a.endpoint) || isWildcard(b.endpoint);
         if (isSamePort && isSameAddress) {
-            m_values.fail(b.flag, b.endpoint.text() + " is also taken by --" + a.flag);
+            m_values.addError(b.flag, b.endpoint.text() + " is also taken by --" + a.flag);
         }
     }
 
     void checkPeers()
     {
         if (isWildcard(m_settings.peerAdvertise)) {
-            m_values.fail("peer_advertise",
+            m_values.addError("peer_advertise",
                           m_settings.peerAdvertise.text()
                               + " stands for all addresses; name the one that peers connect to");
         }
         for (const Endpoint &seed : m_settings.seeds) {
             const bool isSelf = seed == m_settings.peerAdvertise || seed == m_settings.peerListen;
             if (isSelf && !seed.address.empty()) {
-                m_values.fail("seeds", seed.text() + " is this daemon itself");
+                m_values.addError("seeds", seed.text() + " is this daemon itself");
             }
         }
     }
@@ -200,7 +200,7 @@
             return;
         }
         if (m_settings.inventoryFile.empty() || m_settings.rulesFile.empty()) {
-            m_values.fail(m_settings.rulesFile.empty() ? "rules" : "inventory",
+            m_values.addError(m_settings.rulesFile.empty() ? "rules" : "inventory",
                           "must be set too: --inventory and --rules go together");
             return;
         }
@@ -219,14 +219,14 @@
             inventory.domains.begin(), inventory.domains.end(),
             [this](const DomainSpec &domain) { return domain.name == m_settings.domain; });
         if (found == inventory.domains.end()) {
-            m_values.fail("domain",
+            m_values.addError("domain",
                           '"' + m_settings.domain.value() + "\" is not a failure domain of "
                               + m_settings.inventoryFile);
             return;
         }
         const RegionName &region = m_settings.region;
         if (!region.value().empty() && region != found->region) {
-            m_values.fail("region",
+            m_values.addError("region",
                           '"' + region.value() + "\" contradicts " + m_settings.inventoryFile
                               + ", where the domain is in \"" + found->region.value() + '"');
         }
--- a/src/app/internal/settings/publishsettings.cpp
+++ b/src/app/internal/settings/publishsettings.cpp
@@ -36,7 +36,7 @@
     const char *last = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), last, version);
     if (error != std::errc() || end != last) {
-        values.fail("base", '"' + text + "\" is neither \"current\" nor the number of a version");
+        values.addError("base", '"' + text + "\" is neither \"current\" nor the number of a version");
     }
     return ConfigurationVersion(version);
 }
@@ -77,7 +77,7 @@
     PublishSettings &settings = result.settings;
     settings.logEndpoints = values.remoteEndpoints("log_endpoints", FLAGS_log_endpoints);
     if (FLAGS_log_endpoints.empty()) {
-        values.fail("log_endpoints", "must be set");
+        values.addError("log_endpoints", "must be set");
     }
     settings.base = readBase(values);
     settings.timeout = values.duration("timeout", FLAGS_timeout, milliseconds(100), minutes(10));
--- a/src/app/internal/settings/settingvalues.cpp
+++ b/src/app/internal/settings/settingvalues.cpp
@@ -28,9 +28,9 @@
 std::string SettingValues::name(const std::string &flag, const std::string &text)
 {
     if (text.empty()) {
-        fail(flag, "must be set");
+        addError(flag, "must be set");
     } else if (text.size() > MAX_NAME || !std::all_of(text.begin(), text.end(), isNameCharacter)) {
-        fail(flag, '"' + text + "\" is not a name of at most 64 letters, digits, '.', '_' and '-'");
+        addError(flag, '"' + text + "\" is not a name of at most 64 letters, digits, '.', '_' and '-'");
     }
     return text;
 }
@@ -39,7 +39,7 @@
 {
     const RetVal<Endpoint> endpoint = Endpoint::parse(text);
     if (!endpoint) {
-        fail(flag, endpoint.error().text);
+        addError(flag, endpoint.error().text);
         return {};
     }
     return *endpoint;
@@ -52,10 +52,10 @@
         return endpoint;
     }
     if (endpoint.port == 0) {
-        fail(flag, "port 0 in \"" + text + "\" cannot be connected to");
+        addError(flag, "port 0 in \"" + text + "\" cannot be connected to");
     }
     if (isWildcard(endpoint)) {
-        fail(flag, '"' + text + "\" stands for all addresses and cannot be connected to");
+        addError(flag, '"' + text + "\" stands for all addresses and cannot be connected to");
     }
     return endpoint;
 }
@@ -68,39 +68,39 @@
         const Endpoint endpoint = remoteEndpoint(flag, part);
         if (std::count(endpoints.begin(), endpoints.end(), endpoint) > 0
             && !endpoint.address.empty()) {
-            fail(flag, '"' + part + "\" is listed more than once");
+            addError(flag, '"' + part + "\" is listed more than once");
         }
         endpoints.push_back(endpoint);
     }
     return endpoints;
 }
 
-Duration SettingValues::duration(const std::string &flag, const std::string &text, Duration least,
-                                 Duration greatest)
+Duration SettingValues::duration(const std::string &flag, const std::string &text, Duration minimum,
+                                 Duration maximum)
 {
     const RetVal<Duration> duration = parseDuration(text);
     if (!duration) {
-        fail(flag, duration.error().text);
+        addError(flag, duration.error().text);
         return Duration::zero();
     }
-    if (*duration < least || *duration > greatest) {
-        fail(flag, '"' + text + "\" is not within " + toText(least) + " to " + toText(greatest));
+    if (*duration < minimum || *duration > maximum) {
+        addError(flag, '"' + text + "\" is not within " + toText(minimum) + " to " + toText(maximum));
     }
     return *duration;
 }
 
-std::size_t SettingValues::count(const std::string &flag, std::uint64_t value, std::uint64_t least,
-                                 std::uint64_t greatest)
+std::size_t SettingValues::count(const std::string &flag, std::uint64_t value, std::uint64_t minimum,
+                                 std::uint64_t maximum)
 {
-    if (value < least || value > greatest) {
-        fail(flag,
-             std::to_string(value) + " is not within " + std::to_string(least) + " to "
-                 + std::to_string(greatest));
+    if (value < minimum || value > maximum) {
+        addError(flag,
+             std::to_string(value) + " is not within " + std::to_string(minimum) + " to "
+                 + std::to_string(maximum));
     }
     return value;
 }
 
-void SettingValues::fail(const std::string &flag, const std::string &problem)
+void SettingValues::addError(const std::string &flag, const std::string &problem)
 {
     m_errors.push_back(FlagSet::label(flag) + ": " + problem);
 }
--- a/src/app/internal/settings/settingvalues.h
+++ b/src/app/internal/settings/settingvalues.h
@@ -22,12 +22,12 @@
     Endpoint remoteEndpoint(const std::string &flag, const std::string &text);
     /// Separated by commas, each only once; empty for none.
     std::vector<Endpoint> remoteEndpoints(const std::string &flag, const std::string &text);
-    Duration duration(const std::string &flag, const std::string &text, Duration least,
-                      Duration greatest);
-    std::size_t count(const std::string &flag, std::uint64_t value, std::uint64_t least,
-                      std::uint64_t greatest);
+    Duration duration(const std::string &flag, const std::string &text, Duration minimum,
+                      Duration maximum);
+    std::size_t count(const std::string &flag, std::uint64_t value, std::uint64_t minimum,
+                      std::uint64_t maximum);
 
-    void fail(const std::string &flag, const std::string &problem);
+    void addError(const std::string &flag, const std::string &problem);
 
 private:
     std::vector<std::string> &m_errors;
