--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -117,7 +117,7 @@
     }
     const std::string context = read->context;
     const std::optional<AccountKey> key = read->key;
-    const Duration lag = m_options.mindsLag ? m_lag.now() : Duration::zero();
+    const Duration lag = m_options.mindsLag ? m_lag.current() : Duration::zero();
     m_observers.metrics.observe(Timing::ReadLag, lag);
     Incoming incoming = makeIncoming(std::move(*read));
     incoming.deadline -= lag;
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -183,7 +183,7 @@
     if (!m_options.mindsLag) {
         return Duration::zero();
     }
-    const Duration lag = m_lag.now();
+    const Duration lag = m_lag.current();
     m_processor.onArrival(now, message.letIn, lag);
     if (source == CallSource::ThisDaemon) {
         return Duration::zero();
--- a/src/app/internal/looplag.h
+++ b/src/app/internal/looplag.h
@@ -20,18 +20,18 @@
     LoopLag &operator=(const LoopLag &) = delete;
 
     /// Zero while the loop keeps up.
-    Duration now();
+    Duration current();
 
 private:
     void arm();
-    void onTick();
+    void onProbe();
 
     IEventLoop &m_loop;
     TimerId m_timer;
     bool m_isArmed = false;
-    bool m_isAsked = false;
+    bool m_wasQueried = false;
     TimePoint m_dueAt;
-    Duration m_last{ 0 };
+    Duration m_lastLag{ 0 };
 };
 
 } // namespace ivyspar
--- a/src/app/tests/looplagtest.cpp
+++ b/src/app/tests/looplagtest.cpp
@@ -16,7 +16,7 @@
     {
         Duration lag{ 0 };
         for (Duration passed{ 0 }; passed < time; passed += 10ms) {
-            lag = m_lag.now();
+            lag = m_lag.current();
             m_loop.advance(10ms);
         }
         return lag;
