--- a/src/app/internal/commands/operatorclient.cpp
+++ b/src/app/internal/commands/operatorclient.cpp
@@ -44,7 +44,8 @@
     }
 }
 
-RetVal<std::string> exchangeForBody(const Endpoint &endpoint, const HttpRequest &request, Duration timeout)
+RetVal<std::string> exchangeForBody(const Endpoint &endpoint, const HttpRequest &request,
+                                    Duration timeout)
 {
     HttpResult result = exchange(endpoint, request, timeout);
     if (!result) {
--- a/src/app/internal/commands/requesthistory.cpp
+++ b/src/app/internal/commands/requesthistory.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr std::array<const char *, 6> STATE_CHANGE_EVENTS{ "configuration", "membership", "quarantine",
-                                               "upstream",      "dependency", "lifecycle" };
+constexpr std::array<const char *, 6> STATE_CHANGE_EVENTS{ "configuration", "membership",
+                                                           "quarantine",    "upstream",
+                                                           "dependency",    "lifecycle" };
 /// Changes of belief that are older were known to all when the request came.
 constexpr double WINDOW_MARGIN_SECONDS = 1;
 
@@ -92,7 +93,8 @@
     sortByTime(m_suppressions);
 }
 
-std::vector<HistoryEvent> RequestHistory::aroundRequest(const std::vector<HistoryEvent> &events) const
+std::vector<HistoryEvent>
+RequestHistory::aroundRequest(const std::vector<HistoryEvent> &events) const
 {
     std::vector<HistoryEvent> found;
     if (m_events.empty()) {
--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -77,7 +77,8 @@
     waitForStop();
     logLifecycle(LogLevel::Info, "stopping");
     const bool isDrained = drain();
-    logLifecycle(LogLevel::Info, isDrained ? "drained" : "calls were still running when the time was over");
+    logLifecycle(LogLevel::Info,
+                 isDrained ? "drained" : "calls were still running when the time was over");
     stopThreads();
     return isDrained && !m_isDuplicate ? 0 : EXIT_RUNTIME_ERROR;
 }
@@ -118,15 +119,18 @@
 {
     const auto read = m_platform.rereadSettings();
     if (!read) {
-        logLifecycle(LogLevel::Info, "reload", "these settings do not change while the daemon runs");
+        logLifecycle(LogLevel::Info, "reload",
+                     "these settings do not change while the daemon runs");
         return;
     }
     if (!read->errors.empty()) {
-        logLifecycle(LogLevel::Error, "reload", "the settings are not used: " + read->errors.front());
+        logLifecycle(LogLevel::Error, "reload",
+                     "the settings are not used: " + read->errors.front());
         return;
     }
     m_settings.hostService = read->settings.hostService;
-    logLifecycle(LogLevel::Info, "reload", "the service of this host is " + m_settings.hostService.value());
+    logLifecycle(LogLevel::Info, "reload",
+                 "the service of this host is " + m_settings.hostService.value());
     postToTraffic([service = m_settings.hostService](TrafficNode &traffic) {
         traffic.setHostService(service);
     });
@@ -217,7 +221,7 @@
     };
     port.send = [this](DaemonId target, Endpoint endpoint, std::string payload) {
         postToTraffic([target = std::move(target), endpoint = std::move(endpoint),
-                   payload = std::move(payload)](TrafficNode &traffic) {
+                       payload = std::move(payload)](TrafficNode &traffic) {
             traffic.sendControl(target, endpoint, payload);
         });
     };
@@ -241,7 +245,7 @@
     port.confirm = [this](TimePoint asOf) { m_confirmation.advance(asOf); };
     port.liftQuarantine = [this](Fingerprint fingerprint, std::function<void(bool)> callback) {
         postToTraffic([fingerprint = std::move(fingerprint), callback = std::move(callback)](
-                      TrafficNode &traffic) { callback(traffic.liftQuarantine(fingerprint)); });
+                          TrafficNode &traffic) { callback(traffic.liftQuarantine(fingerprint)); });
     };
     port.stopForDuplicate = [this] {
         std::fprintf(stderr, "ivyspar: another daemon runs as %s; stopping\n",
--- a/src/app/internal/ownplatform.cpp
+++ b/src/app/internal/ownplatform.cpp
@@ -27,7 +27,10 @@
         return nullptr;
     }
     /// Flags and variables of a process stay as they were at its start.
-    std::optional<SettingsResult<DaemonSettings>> rereadSettings() const override { return std::nullopt; }
+    std::optional<SettingsResult<DaemonSettings>> rereadSettings() const override
+    {
+        return std::nullopt;
+    }
     bool haveSettingsChanged() const override { return false; }
 };
 
--- a/src/app/internal/settings/daemonsettings.cpp
+++ b/src/app/internal/settings/daemonsettings.cpp
@@ -122,8 +122,8 @@
                          [](const LogLevelName &known) { return FLAGS_log_level == known.name; });
         if (found == std::end(LOG_LEVEL_NAMES)) {
             m_values.addError("log_level",
-                          '"' + FLAGS_log_level
-                              + "\" is not one of trace, debug, info, warn, error, off");
+                              '"' + FLAGS_log_level
+                                  + "\" is not one of trace, debug, info, warn, error, off");
             return;
         }
         m_settings.logLevel = found->level;
@@ -145,7 +145,8 @@
         if (endpoint.address.empty() || isPermitted || isLoopback(endpoint)) {
             return;
         }
-        m_values.addError(flag, endpoint.text() + " is not loopback; --" + permission + " allows it");
+        m_values.addError(flag,
+                          endpoint.text() + " is not loopback; --" + permission + " allows it");
     }
 
     struct Listener
@@ -182,9 +183,10 @@
     void checkPeers()
     {
         if (isWildcard(m_settings.peerAdvertise)) {
-            m_values.addError("peer_advertise",
-                          m_settings.peerAdvertise.text()
-                              + " stands for all addresses; name the one that peers connect to");
+            m_values.addError(
+                "peer_advertise",
+                m_settings.peerAdvertise.text()
+                    + " stands for all addresses; name the one that peers connect to");
         }
         for (const Endpoint &seed : m_settings.seeds) {
             const bool isSelf = seed == m_settings.peerAdvertise || seed == m_settings.peerListen;
@@ -201,7 +203,7 @@
         }
         if (m_settings.inventoryFile.empty() || m_settings.rulesFile.empty()) {
             m_values.addError(m_settings.rulesFile.empty() ? "rules" : "inventory",
-                          "must be set too: --inventory and --rules go together");
+                              "must be set too: --inventory and --rules go together");
             return;
         }
         ConfigurationFiles files =
@@ -220,15 +222,15 @@
             [this](const DomainSpec &domain) { return domain.name == m_settings.domain; });
         if (found == inventory.domains.end()) {
             m_values.addError("domain",
-                          '"' + m_settings.domain.value() + "\" is not a failure domain of "
-                              + m_settings.inventoryFile);
+                              '"' + m_settings.domain.value() + "\" is not a failure domain of "
+                                  + m_settings.inventoryFile);
             return;
         }
         const RegionName &region = m_settings.region;
         if (!region.value().empty() && region != found->region) {
             m_values.addError("region",
-                          '"' + region.value() + "\" contradicts " + m_settings.inventoryFile
-                              + ", where the domain is in \"" + found->region.value() + '"');
+                              '"' + region.value() + "\" contradicts " + m_settings.inventoryFile
+                                  + ", where the domain is in \"" + found->region.value() + '"');
         }
     }
 
--- a/src/app/internal/settings/publishsettings.cpp
+++ b/src/app/internal/settings/publishsettings.cpp
@@ -36,7 +36,8 @@
     const char *last = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), last, version);
     if (error != std::errc() || end != last) {
-        values.addError("base", '"' + text + "\" is neither \"current\" nor the number of a version");
+        values.addError("base",
+                        '"' + text + "\" is neither \"current\" nor the number of a version");
     }
     return ConfigurationVersion(version);
 }
--- a/src/app/internal/settings/settingvalues.cpp
+++ b/src/app/internal/settings/settingvalues.cpp
@@ -30,7 +30,8 @@
     if (text.empty()) {
         addError(flag, "must be set");
     } else if (text.size() > MAX_NAME || !std::all_of(text.begin(), text.end(), isNameCharacter)) {
-        addError(flag, '"' + text + "\" is not a name of at most 64 letters, digits, '.', '_' and '-'");
+        addError(flag,
+                 '"' + text + "\" is not a name of at most 64 letters, digits, '.', '_' and '-'");
     }
     return text;
 }
@@ -84,18 +85,19 @@
         return Duration::zero();
     }
     if (*duration < minimum || *duration > maximum) {
-        addError(flag, '"' + text + "\" is not within " + toText(minimum) + " to " + toText(maximum));
+        addError(flag,
+                 '"' + text + "\" is not within " + toText(minimum) + " to " + toText(maximum));
     }
     return *duration;
 }
 
-std::size_t SettingValues::count(const std::string &flag, std::uint64_t value, std::uint64_t minimum,
-                                 std::uint64_t maximum)
+std::size_t SettingValues::count(const std::string &flag, std::uint64_t value,
+                                 std::uint64_t minimum, std::uint64_t maximum)
 {
     if (value < minimum || value > maximum) {
         addError(flag,
-             std::to_string(value) + " is not within " + std::to_string(minimum) + " to "
-                 + std::to_string(maximum));
+                 std::to_string(value) + " is not within " + std::to_string(minimum) + " to "
+                     + std::to_string(maximum));
     }
     return value;
 }
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -135,8 +135,9 @@
     }
     m_quarantine = std::make_unique<QuarantineService>(
         loop, *m_random, observers, m_events.onOutgoingPayload, makeQuarantineOptions(settings));
-    m_accounts = std::make_unique<AccountService>(loop, *m_random, confirmation, observers,
-                                                  m_events.onOutgoingPayload, makeAccountOptions(settings));
+    m_accounts =
+        std::make_unique<AccountService>(loop, *m_random, confirmation, observers,
+                                         m_events.onOutgoingPayload, makeAccountOptions(settings));
     m_gates = std::make_unique<GateService>(loop, *m_client, *m_random, *m_once, *m_quarantine,
                                             *m_upstreamDialect, makeLocalGate, observers,
                                             makeGateServiceOptions(settings));
--- a/src/app/tests/asynclogstest.cpp
+++ b/src/app/tests/asynclogstest.cpp
@@ -79,7 +79,7 @@
     }
 };
 
-TEST(AsyncLogs, EndWritesWhatWaits)
+TEST(AsyncLogs, DestructorWritesQueuedLines)
 {
     lines->open();
     auto logs = open(100);
@@ -94,7 +94,7 @@
 
 // The reader of the log stalls, as a full pipe does. Writers of lines go on at once, what does not
 // fit is counted, and the lines that fitted come out in order once the reader is back.
-TEST(AsyncLogs, StalledReaderStopsNobody)
+TEST(AsyncLogs, StalledReaderDoesNotBlockWriters)
 {
     auto logs = open(10);
     logs->decisions().write(makeDecision(1));
@@ -110,7 +110,7 @@
                     lines->lines().back().c_str());
 }
 
-TEST(AsyncLogs, LevelLeavesLinesOut)
+TEST(AsyncLogs, LinesBelowLevelAreDropped)
 {
     lines->open();
     auto logs = open(10, LogLevel::Warn);
@@ -163,7 +163,7 @@
                  toLine(m_origin, decision).c_str());
 }
 
-TEST(LogLine, NamesCannotForgeLinesOrFields)
+TEST(LogLine, NamesCannotInjectLinesOrFields)
 {
     Decision decision;
     decision.kind = DecisionKind::Membership;
@@ -173,7 +173,7 @@
     STRCMP_CONTAINS(R"("event":"membership","choice":"d1\n{\"event\":\"route\")", line.c_str());
 }
 
-TEST(LogLine, LongLineIsReplacedByOneThatSaysSo)
+TEST(LogLine, TooLongLineIsReplacedByItsSize)
 {
     Decision decision;
     decision.root = RootId(0xab);
@@ -183,7 +183,7 @@
     STRCMP_CONTAINS(R"("request":"00000000000000ab","cut":)", line.c_str());
 }
 
-TEST(LogLine, LeftOutLinesAreCountedByEvent)
+TEST(LogLine, SuppressedLinesAreCountedByEvent)
 {
     STRCMP_CONTAINS(R"("event":"suppressed","lines":{"admit":7,"route":12}})",
                     toLine(m_origin, SuppressedCounts{ { "route", 12 }, { "admit", 7 } }).c_str());
--- a/src/app/tests/daemonsettingstest.cpp
+++ b/src/app/tests/daemonsettingstest.cpp
@@ -95,7 +95,7 @@
     STRCMP_CONTAINS("not loopback", result.errors.front().c_str());
 }
 
-TEST(DaemonSettings, EachErrorHasItsLine)
+TEST(DaemonSettings, EachErrorIsReportedOnItsOwnLine)
 {
     checkError({ "--no_such_flag=1" }, "unknown flag --no_such_flag=1");
     checkError({ "--seeds" }, "--seeds (IVYSPAR_SEEDS): the value is missing");
--- a/src/app/tests/explaintest.cpp
+++ b/src/app/tests/explaintest.cpp
@@ -45,7 +45,7 @@
 
 // A page failed with 500. Its entry saw an error of the server; the reason is in the log of another
 // host, whose server lost a call to a full service.
-TEST(Explain, FailureOfATreeIsTracedToTheCallThatWasLost)
+TEST(Explain, FailureIsTracedToTheLostCall)
 {
     const std::string text = explain("00000000000000aa", { ENTRY_LOG, GATE_LOG });
     STRCMP_CONTAINS("request 00000000000000aa, 4 lines", text.c_str());
@@ -60,7 +60,7 @@
 
 // Three servers of a chain answer with errors. The one that failed first, at the end of the chain,
 // is the cause; the others only passed it on.
-TEST(Explain, FirstErrorOfAChainIsItsCause)
+TEST(Explain, FirstErrorOfAChainIsTheCause)
 {
     const std::string log =
         R"({"time":"2026-12-02T10:00:00.100Z","daemon":"d3","event":"run","request":"00000000000000aa","service":"stock","choice":"i-3","outcome":"answered","status":500.0}
@@ -73,7 +73,7 @@
 
 // A request failed when one of its calls was lost. The calls that were still under way were then
 // cancelled: they did not cause it.
-TEST(Explain, CallsThatWereCancelledAreNoCause)
+TEST(Explain, CancelledCallsAreNotTheCause)
 {
     const std::string log =
         R"({"time":"2026-12-02T10:00:00.100Z","daemon":"d2","event":"run","request":"00000000000000aa","service":"stock","outcome":"unknown","reason":"broken-answer"}
@@ -84,13 +84,13 @@
     STRCMP_CONTAINS("service stock: broken-answer", explain("00000000000000aa", { log }).c_str());
 }
 
-TEST(Explain, CallOfAServerLeadsToItsRequest)
+TEST(Explain, CallIdFindsItsRequest)
 {
     STRCMP_CONTAINS("request 00000000000000aa, 4 lines",
                     explain("00000000000000cc", { ENTRY_LOG, GATE_LOG }).c_str());
 }
 
-TEST(Explain, RefusalAtTheRootTellsLoadAndItsAge)
+TEST(Explain, RootRefusalShowsLoadAndItsAge)
 {
     const std::string log =
         R"({"time":"2026-12-02T10:00:00.100Z","daemon":"d1","event":"refuse","request":"00000000000000aa","service":"shop","choice":"stock","outcome":"not-run","reason":"below-floor","share":0.5,"load":2.0,"load_age_ms":35.0})";
@@ -98,7 +98,7 @@
                     explain("00000000000000aa", { log + "\n" }).c_str());
 }
 
-TEST(Explain, RefusalByTheOddsOrTheLagTellsThem)
+TEST(Explain, RefusalForLossOrLagShowsItsInputs)
 {
     STRCMP_CONTAINS(
         "too few of its trees end whole now; share begun 0.03",
@@ -121,7 +121,7 @@
             .c_str());
 }
 
-TEST(Explain, BeliefsAroundTheRequestAreShownAndOthersNot)
+TEST(Explain, OnlyStateChangesNearTheRequestAreShown)
 {
     const std::string log = std::string(ENTRY_LOG)
         + R"({"time":"2026-12-02T09:59:59.500Z","daemon":"d2","event":"upstream","outcome":"stop","reason":"draining"}
@@ -133,7 +133,7 @@
 }
 
 // The reader must not take silence for proof: lines were left out, or the file is cut.
-TEST(Explain, WhatTheLogsLackIsSaid)
+TEST(Explain, IncompleteLogsAreReported)
 {
     const std::string log = std::string(ENTRY_LOG)
         + R"({"time":"2026-12-02T10:00:01.000Z","daemon":"d1","event":"suppressed","lines":{"admit":7,"run":2}}
@@ -148,7 +148,7 @@
     STRCMP_CONTAINS("holds no line of a decision log", explain("00000000000000ee", { "" }).c_str());
 }
 
-TEST(Explain, LinesThatAreNoEventsAreLeftOut)
+TEST(Explain, LinesThatAreNotEventsAreIgnored)
 {
     for (const char *log : { "{", "{}\n", "[1]\n", "{\"event\":1,\"time\":\"x\"}\n", "\xff{\n" }) {
         STRCMP_CONTAINS("no line of request", explain("00000000000000aa", { log }).c_str());
--- a/src/app/tests/failuresummarytest.cpp
+++ b/src/app/tests/failuresummarytest.cpp
@@ -55,7 +55,7 @@
     CHECK_EQUAL(1, groups[1].count);
 }
 
-TEST(FailureSummary, TellsCountsWorstSecondsAndWhatIsLacking)
+TEST(FailureSummary, ShowsCountsWorstSecondsAndSuppressedLines)
 {
     read({ ENTRY_LOG, GATE_LOG });
     const std::string text = toSummary(m_summary);
@@ -66,7 +66,7 @@
 }
 
 // The log of the gate's host is missing: the cause must not be made up.
-TEST(FailureSummary, SaysWhereTheLogsNameNoCause)
+TEST(FailureSummary, ReportsThatTheCauseIsUnknown)
 {
     read({ ENTRY_LOG });
     STRCMP_CONTAINS("shop, answered with 500: the logs name no error below it",
--- a/src/app/tests/logbudgettest.cpp
+++ b/src/app/tests/logbudgettest.cpp
@@ -38,7 +38,7 @@
 
 // Under a burst each request makes routine lines. The refusals, which somebody will ask about, are
 // written all the same.
-TEST(LogBudget, RoutineLinesLeaveRoomForWhatGoesWrong)
+TEST(LogBudget, RoutineLinesLeaveRoomForEssentialLines)
 {
     CHECK_EQUAL(40, take(1000, Importance::Routine));
     CHECK_EQUAL(60, take(1000, Importance::Essential));
@@ -52,7 +52,7 @@
     }
 }
 
-TEST(LogBudget, WhatIsLeftOutIsCountedAndToldInTheNextSecond)
+TEST(LogBudget, SuppressedLinesAreReportedInTheNextSecond)
 {
     take(45, Importance::Routine);
     take(70, Importance::Essential);
--- a/src/app/tests/looplagtest.cpp
+++ b/src/app/tests/looplagtest.cpp
@@ -23,14 +23,14 @@
     }
 };
 
-TEST(LoopLag, ALoopThatKeepsUpHasNone)
+TEST(LoopLag, LoopThatKeepsUpHasNoLag)
 {
     CHECK(lagAfter(1s) == Duration::zero());
 }
 
 // Requests that lie unread for 0.8 s are taken for as old as they are, also before the timer that
 // shows it has run.
-TEST(LoopLag, ALoopThatIsBehindIsFoundOut)
+TEST(LoopLag, DelayedLoopIsDetected)
 {
     lagAfter(1s);
     m_loop.setLateness(800ms);
@@ -39,7 +39,7 @@
     CHECK(lagAfter(1s) >= 780ms);
 }
 
-TEST(LoopLag, ALagIsForgottenWhenTheLoopKeepsUpAgain)
+TEST(LoopLag, LagIsClearedWhenTheLoopKeepsUpAgain)
 {
     m_loop.setLateness(800ms);
     lagAfter(2s);
@@ -48,7 +48,7 @@
     CHECK(lagAfter(100ms) == Duration::zero());
 }
 
-TEST(LoopLag, NobodyAsksNoTimerRuns)
+TEST(LoopLag, NoTimerRunsWithoutQueries)
 {
     lagAfter(1s);
     m_loop.advance(1s);
--- a/src/app/tests/operatorclienttest.cpp
+++ b/src/app/tests/operatorclienttest.cpp
@@ -77,7 +77,7 @@
 
 // A daemon that hangs accepts the connection (its kernel does) and never answers. The operator gets
 // an error once the time is over instead of waiting for ever.
-TEST(OperatorClient, SilenceEndsWithTheTimeout)
+TEST(OperatorClient, SilentDaemonTimesOut)
 {
     boost::asio::io_context context;
     const tcp::acceptor acceptor(context,
--- a/src/app/tests/readyfiletest.cpp
+++ b/src/app/tests/readyfiletest.cpp
@@ -28,7 +28,7 @@
     std::remove(folder);
 }
 
-TEST(ReadyFile, FailsWithAValue)
+TEST(ReadyFile, UnwritablePathIsAnError)
 {
     CHECK_FALSE(writeReadyFile("/none/ready.json", {}).has_value());
 }
--- a/src/app/tests/statustexttest.cpp
+++ b/src/app/tests/statustexttest.cpp
@@ -18,7 +18,7 @@
                  text->c_str());
 }
 
-TEST(StatusText, SurvivesAnythingElse)
+TEST(StatusText, RejectsMalformedAndAcceptsDeeplyNestedInput)
 {
     for (const char *text : { "", "[]", "{", "nonsense" }) {
         CHECK_FALSE(toStatusText(text).has_value());
