--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -4,8 +4,9 @@
 
 namespace ivyspar {
 
-/// `platform` outlives the call. Runs a daemon until SIGTERM or SIGINT and its drain. Returns the
-/// exit code: 0 after a planned stop, 1 when it could not start or had to stop.
+/// Runs a daemon until SIGTERM or SIGINT, then drains it. `platform` must outlive the call. Returns
+/// the exit code: 0 after a planned stop, 1 if it could not start, if calls were still running at
+/// the end of the drain, or if another daemon runs under the same id.
 int runDaemon(const DaemonSettings &settings, const IPlatform &platform);
 
 } // namespace ivyspar
--- a/src/app/daemonlogs.h
+++ b/src/app/daemonlogs.h
@@ -11,23 +11,24 @@
 
 namespace ivyspar {
 
-/// As the target of the decision log.
+/// Decision log target that stands for standard output.
 constexpr char STANDARD_OUTPUT[] = "-";
 
 struct LogSettings
 {
-    /// Named in each line of the decision log.
+    /// Written to each line of the decision log.
     DaemonId daemon;
-    /// Lines for people below this level are left out. They go to standard error, or, as JSON, to
-    /// standard output where the decision log goes there.
+    /// Messages below this level are dropped. Messages go to standard error, or, as JSON, to
+    /// standard output if the decision log goes there.
     LogLevel level = LogLevel::Info;
     /// A file to append to, `-` for standard output, or empty for none.
     std::string decisionLog;
-    /// Lines that may wait to be written before lines are dropped.
+    /// Queued lines from which on further lines are dropped.
     std::size_t queueCapacity = 16 * 1024;
 };
 
-/// Both logs of a daemon, behind one queue and one writing thread. Its end writes what waits.
+/// The message log and the decision log of a daemon, behind one queue and one writer thread. The
+/// destructor writes the queued lines.
 class IDaemonLogs
 {
 public:
@@ -37,8 +38,8 @@
     virtual IDecisionLog &decisions() = 0;
 };
 
-/// Dropped lines are counted in `metrics`, which has to outlive the logs. Fails with `Unavailable`
-/// if the file cannot be opened.
+/// Dropped lines are counted in `metrics`, which must outlive the logs. Fails with `Unavailable` if
+/// the file cannot be opened.
 RetVal<std::unique_ptr<IDaemonLogs>> openDaemonLogs(const LogSettings &settings, IMetrics &metrics);
 
 } // namespace ivyspar
--- a/src/app/icontrolexchange.h
+++ b/src/app/icontrolexchange.h
@@ -13,15 +13,15 @@
     DomainName domain;
 };
 
-/// How the parts of the control thread reach those of other daemons. Used on the control thread.
+/// Control messages between the control threads of daemons. Used on the control thread.
 class IControlExchange
 {
 public:
     virtual ~IControlExchange() = default;
 
-    /// The daemons that are taken for alive, without this one.
+    /// The other daemons that are considered alive.
     virtual std::vector<ControlPeer> peers() const = 0;
-    /// Sends without waiting. The payload may be lost, without notice.
+    /// Sends without waiting. The payload may be lost without notice.
     virtual void send(const DaemonId &to, std::string payload) = 0;
 };
 
--- a/src/app/ilog.h
+++ b/src/app/ilog.h
@@ -14,13 +14,14 @@
     Off,
 };
 
-/// The daemon's log for people. Safe to use from all threads.
+/// The daemon's message log, for operators. Thread-safe.
 class ILog
 {
 public:
     virtual ~ILog() = default;
 
-    /// Never waits for the reader of the lines: drops and counts what does not fit.
+    /// Never blocks on the log's output: messages that do not fit into the queue are dropped and
+    /// counted.
     virtual void write(LogLevel level, std::string text) = 0;
 
     void debug(std::string text) { write(LogLevel::Debug, std::move(text)); }
--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr int EXIT_RUNTIME_ERROR = 1;
-/// Time for the goodbye to leave this host before the process ends.
+/// Time for the final membership message to leave this host before the process exits.
 constexpr Duration GOODBYE_TIME = std::chrono::milliseconds(200);
 
 Incarnation currentIncarnation()
@@ -54,7 +54,8 @@
 
 int Daemon::run()
 {
-    // Before any thread starts, so that all of them inherit it and only sigwait takes the signals.
+    // Set before any thread starts, so that all threads inherit the mask and only sigtimedwait
+    // receives these signals.
     const sigset_t signals = handledSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
@@ -98,7 +99,7 @@
     }
 }
 
-/// One line for people and one for the decision log.
+/// Writes an event to both the message log and the decision log.
 void Daemon::logLifecycle(LogLevel level, const char *outcome, const std::string &detail)
 {
     m_observers.log.write(level, detail.empty() ? outcome : std::string(outcome) + ": " + detail);
@@ -113,19 +114,18 @@
     m_observers.decisions.write(std::move(decision));
 }
 
-/// Only what may change while the daemon runs is taken over. Settings that cannot be read leave
-/// all as it was: a file may be found half written.
+/// Applies only the settings that may change at run time. Settings with errors are ignored, as the
+/// file may be only partly written.
 void Daemon::reload()
 {
     const auto read = m_platform.rereadSettings();
     if (!read) {
-        logLifecycle(LogLevel::Info, "reload",
-                     "these settings do not change while the daemon runs");
+        logLifecycle(LogLevel::Info, "reload", "settings cannot be changed while the daemon runs");
         return;
     }
     if (!read->errors.empty()) {
         logLifecycle(LogLevel::Error, "reload",
-                     "the settings are not used: " + read->errors.front());
+                     "the changed settings are ignored: " + read->errors.front());
         return;
     }
     m_settings.hostService = read->settings.hostService;
@@ -286,11 +286,11 @@
     done.get_future().wait();
 }
 
-/// The server beside works on while its daemon stops, and is reached through this daemon alone. So
-/// its calls are refused last: first callers turn to other daemons, then their requests end, and
-/// only then the others hear that this daemon is leaving. Refusing calls from the start would take
-/// the server out for seconds each time, and a roll of all daemons would cost a part of each
-/// service.
+/// The server on this host keeps working while its daemon stops, and is reachable only through this
+/// daemon. So calls to it are refused last: first callers move to other daemons, then their
+/// requests complete, and only then the other daemons are told that this one is leaving. Refusing
+/// calls from the start would make the server unavailable for seconds, and a rolling restart of all
+/// daemons would reduce the capacity of each service.
 bool Daemon::drain()
 {
     const TimePoint end = m_trafficLoop->now() + m_settings.leaveTime + m_settings.drainTimeout;
@@ -301,8 +301,8 @@
         m_traffic->refuseCallers();
         m_traffic->waitForCallers(end);
     });
-    // The others hear of it before calls are refused; what they sent before they heard is refused
-    // as not run and goes elsewhere.
+    // Other daemons are told before calls are refused; calls that they sent before that are refused
+    // as not run and are routed elsewhere.
     runAndWait(*m_controlLoop, [this] { m_control->startLeaving(); });
     bool isDrained = true;
     runAndWait(*m_trafficLoop, [&] { isDrained = m_traffic->drainCalls(end); });
@@ -316,7 +316,7 @@
 
 void Daemon::stopThreads()
 {
-    // Fibers of the control thread end while their loop still runs, also when the start failed.
+    // Fibers of the control thread must end while their loop still runs, also if the start failed.
     if (m_controlThread.joinable()) {
         runAndWait(*m_controlLoop, [this] { m_control->stop(GOODBYE_TIME); });
     }
--- a/src/app/internal/daemon.h
+++ b/src/app/internal/daemon.h
@@ -15,7 +15,7 @@
 namespace ivyspar {
 
 /// The daemon of one host: a traffic thread, a control thread, and the main thread that waits for
-/// signals. The threads reach each other only through their loops.
+/// signals. The threads communicate only by posting tasks to each other's event loops.
 class Daemon
 {
 public:
@@ -38,7 +38,7 @@
     void postToControl(std::function<void(ControlNode &)> task);
     /// Runs `task` in a fiber of the loop and waits for its end.
     static void runAndWait(IEventLoop &loop, const std::function<void()> &task);
-    /// Handles signals and changes of the settings until one says stop.
+    /// Handles signals and settings changes until a stop signal arrives.
     void waitForStop();
     void logLifecycle(LogLevel level, const char *outcome, const std::string &detail = {});
     void reload();
@@ -50,11 +50,11 @@
     const IPlatform &m_platform;
     Observers m_observers;
     DaemonIdentity m_self;
-    /// Noted by the control thread, read by the traffic thread.
+    /// Written by the control thread, read by the traffic thread.
     ConfirmationTime m_confirmation;
     std::unique_ptr<IEventLoop> m_trafficLoop;
     std::unique_ptr<IEventLoop> m_controlLoop;
-    /// Each belongs to its thread; null before its start and after its end.
+    /// Each is owned by its thread, and null before the thread's start and after its end.
     std::unique_ptr<TrafficNode> m_traffic;
     std::unique_ptr<ControlNode> m_control;
     std::thread m_trafficThread;
--- a/src/app/internal/logs/asynclogs.cpp
+++ b/src/app/internal/logs/asynclogs.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// One wake-up of the writer serves all lines of this time.
+// The writer collects lines for this long, so that one wake-up serves all of them.
 constexpr std::chrono::milliseconds BATCH_TIME(20);
 
 log4cplus::LogLevel toLog4cplus(LogLevel level)
@@ -49,7 +49,8 @@
         std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-/// A signal that this thread took would interrupt a write; the daemon's own threads handle them.
+/// Blocks all signals for threads that are started meanwhile. A signal handled by the writer thread
+/// would interrupt a write; the daemon's main thread handles signals.
 class SignalBlock
 {
 public:
@@ -177,7 +178,7 @@
     }
 }
 
-/// Empty only when nothing will come any more.
+/// Empty only if the logs are stopping and the queue is empty.
 std::vector<LogEntry> AsyncLogs::takeBatch()
 {
     std::unique_lock lock(m_mutex);
--- a/src/app/internal/logs/asynclogs.h
+++ b/src/app/internal/logs/asynclogs.h
@@ -21,20 +21,21 @@
     std::string text;
 };
 
-/// A line that waits to be written.
+/// A queued line.
 struct LogEntry
 {
     std::chrono::system_clock::time_point time;
     std::variant<LogLine, Decision, SuppressedCounts> content;
 };
 
-/// log4cplus' own asynchronous appender makes the writer of a line wait when its queue is full: a
-/// stalled reader of the log would stop the traffic. This one drops and counts instead. The mutex
-/// is held only to count and move a line or to swap two vectors, never while anything is written.
+/// The logs of a daemon behind a bounded queue with a writer thread of its own. The asynchronous
+/// appender of log4cplus blocks the caller when its queue is full, so a stalled reader of the log
+/// would stop the traffic. This class drops and counts lines instead. The mutex is held only to
+/// count and move a line or to swap two vectors, never during output.
 class AsyncLogs : public IDaemonLogs, private ILog, private IDecisionLog
 {
 public:
-    /// `decisionAppender` may be null.
+    /// `decisionAppender` may be null: the decision log is then disabled.
     AsyncLogs(const LogSettings &settings, log4cplus::SharedAppenderPtr logAppender,
               log4cplus::SharedAppenderPtr decisionAppender, IMetrics &metrics);
     ~AsyncLogs() override;
@@ -52,7 +53,7 @@
     void write(Decision decision) override;
 
     void push(LogEntry entry);
-    /// With the mutex held. True if the writer has nothing else to do.
+    /// Call with the mutex held. Returns true if the queue was empty, so the writer must be woken.
     bool enqueue(LogEntry entry);
     void wakeWriter(bool isFirst);
     void runWriter();
@@ -65,7 +66,7 @@
 
     const DaemonId m_daemon;
     const LogLevel m_level;
-    /// Lines for people are JSON as well.
+    /// Messages are written as JSON as well.
     const bool m_isAllJson;
     const std::size_t m_capacity;
     const log4cplus::SharedAppenderPtr m_logAppender;
--- a/src/app/internal/logs/daemonlogs.cpp
+++ b/src/app/internal/logs/daemonlogs.cpp
@@ -24,7 +24,7 @@
     return appender;
 }
 
-/// What goes to standard output is flushed by the writer, a batch at a time.
+/// Standard output is not flushed per line: the writer flushes it once per batch.
 log4cplus::SharedAppenderPtr makeConsole(bool isStandardError, const char *pattern)
 {
     return withLayout(log4cplus::SharedAppenderPtr(
@@ -32,7 +32,7 @@
                       pattern);
 }
 
-/// log4cplus prints a message of its own and goes on when it cannot open a file.
+/// Needed because log4cplus only prints a message and continues if it cannot open a file.
 Ret checkWritable(const std::string &path)
 {
     const std::ofstream stream(path, std::ios::app);
--- a/src/app/internal/logs/logbudget.h
+++ b/src/app/internal/logs/logbudget.h
@@ -10,32 +10,32 @@
 
 struct LogBudgetOptions
 {
-    /// Lines in each second, of which routine lines may take the second number. A line costs some
-    /// 20 µs of a processor, so that these take 1 % of one.
+    /// Lines per second. A line costs about 20 µs of processor time, so 500 lines take 1 % of one
+    /// processor.
     std::size_t lines = 500;
+    /// Of these, the lines per second that may be routine.
     std::size_t routineLines = 100;
 };
 
-/// Bounds the lines of a log in each second, and spends them on what goes wrong first. Plain
-/// object.
+/// Limits the lines of a log per second. Essential lines take precedence over routine lines.
+/// Does no I/O and reads no clock.
 ///
-/// Of routine lines that do not fit, those of some requests are kept whole: which ones follows from
-/// the request's id, so all daemons keep the same requests and one of them can be followed.
+/// If the routine lines do not fit, a sample of requests keeps all of its lines. The sample is
+/// derived from the request id, so all daemons keep the same requests and these can be traced.
 class LogBudget
 {
 public:
     explicit LogBudget(const LogBudgetOptions &options);
 
-    /// Whether the line may be written.
+    /// Returns whether the line may be written; otherwise it is counted as suppressed.
     bool take(TimePoint now, const Decision &decision);
-    /// Whether such a line would not be taken; it is then counted as left out.
+    /// Returns whether such a line would not be written; it is then counted as suppressed.
     bool wouldDrop(TimePoint now, DecisionKind kind, Importance importance, RootId root);
-    /// The lines that were left out since the last call; empty within the second that goes on.
+    /// Lines suppressed since the last call, up to the end of the last full second.
     SuppressedCounts takeSuppressed(TimePoint now);
 
 private:
     void startSecond(TimePoint now);
-    /// A line was left out.
     void countSuppressed(DecisionKind kind, Importance importance);
     bool hasRoom(Importance importance, RootId root) const;
 
@@ -44,7 +44,7 @@
     std::size_t m_taken = 0;
     std::size_t m_routineTaken = 0;
     std::size_t m_routineSeen = 0;
-    /// Of requests, the share whose routine lines are kept in this second.
+    /// Share of requests whose routine lines are kept in this second, 0 to 1.
     double m_share = 1;
     SuppressedCounts m_suppressed;
     SuppressedCounts m_finished;
--- a/src/app/internal/logs/logline.cpp
+++ b/src/app/internal/logs/logline.cpp
@@ -38,7 +38,7 @@
     return text;
 }
 
-/// Three digits after the point say enough, and keep lines short.
+/// Rounds to three decimal places, to keep lines short.
 double rounded(double value)
 {
     constexpr double STEPS = 1000;
@@ -52,7 +52,8 @@
                  { "event", event } };
 }
 
-/// Names come from outside: bytes that are no UTF-8 must not end the line's writer.
+/// Names come from outside: invalid UTF-8 is replaced, as it would otherwise throw and end the
+/// writer thread.
 std::string endLine(const Json &line)
 {
     return line.dump(-1, ' ', false, Json::error_handler_t::replace);
--- a/src/app/internal/logs/logline.h
+++ b/src/app/internal/logs/logline.h
@@ -10,13 +10,13 @@
 
 namespace ivyspar {
 
-/// Longer lines are replaced by one that says so.
+/// Longer lines are replaced by one that holds only the size of the original.
 constexpr std::size_t MAX_LINE_BYTES = 4096;
 
-/// Lines left out for want of budget, by the name of their event.
+/// Number of lines suppressed by the log budget, by event name.
 using SuppressedCounts = std::map<std::string, std::size_t>;
 
-/// What all lines of a daemon have in common.
+/// The fields that all lines of a daemon share.
 struct LineOrigin
 {
     DaemonId daemon;
--- a/src/app/internal/logs/observers.h
+++ b/src/app/internal/logs/observers.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// Where a daemon's parts tell what they do. Safe to use from all threads.
+/// The logs and metrics to which the components of a daemon report. Thread-safe.
 struct Observers
 {
     ILog &log;
--- a/src/app/internal/looplag.cpp
+++ b/src/app/internal/looplag.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-/// Short beside the 100 ms from which a lag decides something; 20 wake-ups a second at most.
+/// Short compared to the lag of 100 ms from which on decisions depend on it; 20 wake-ups per second
+/// at most.
 constexpr Duration PROBE_INTERVAL = std::chrono::milliseconds(50);
-/// A timer of a loop that keeps up runs this late: others are due at the same moment, or the
-/// process had to wait for its turn.
+/// Timers of a loop that keeps up can fire this late, because other timers are due at the same time
+/// or the process waits to be scheduled.
 constexpr Duration MAX_NORMAL_LATENESS = std::chrono::milliseconds(20);
 
 } // namespace
--- a/src/app/internal/looplag.h
+++ b/src/app/internal/looplag.h
@@ -4,13 +4,14 @@
 
 namespace ivyspar {
 
-/// How long what arrives waits until this loop comes to it, by how late a short timer runs.
+/// Estimates how long incoming data waits until this event loop handles it, from how late a short
+/// timer fires.
 ///
-/// A daemon gets a part of a processor. When more is asked of it than it can do, requests lie
-/// unread in its connections, where nothing shows their age: they were passed on with all the time
-/// that their callers had named, up to 1.6 s after these had left.
+/// A daemon has only a share of a processor. Under overload, requests wait unread in its
+/// connections, where their age is not visible: they were forwarded with the full deadline that
+/// their callers had given, up to 1.6 s after the callers had left.
 ///
-/// The timer runs only while somebody asks, so that an idle daemon does not wake.
+/// The timer runs only while the lag is queried, so that an idle daemon does not wake up.
 class LoopLag
 {
 public:
@@ -19,7 +20,7 @@
     LoopLag(const LoopLag &) = delete;
     LoopLag &operator=(const LoopLag &) = delete;
 
-    /// Zero while the loop keeps up.
+    /// The current lag; zero while the loop keeps up.
     Duration current();
 
 private:
--- a/src/app/internal/ownplatform.cpp
+++ b/src/app/internal/ownplatform.cpp
@@ -26,7 +26,7 @@
     {
         return nullptr;
     }
-    /// Flags and variables of a process stay as they were at its start.
+    /// The flags and environment variables of a process do not change after its start.
     std::optional<SettingsResult<DaemonSettings>> rereadSettings() const override
     {
         return std::nullopt;
--- a/src/app/internal/readyfile.cpp
+++ b/src/app/internal/readyfile.cpp
@@ -29,8 +29,8 @@
 
 Ret writeReadyFile(const std::string &path, const ListeningEndpoints &endpoints)
 {
-    // A reader that polls for the file would otherwise see it empty or cut off. A rename within one
-    // folder is atomic.
+    // A reader that polls for the file could otherwise see it empty or partly written. A rename
+    // within one folder is atomic.
     const std::string temporary = path + ".tmp";
     std::ofstream stream(temporary);
     stream << toJson(endpoints) << std::endl;
--- a/src/app/internal/settings/configurationfiles.cpp
+++ b/src/app/internal/settings/configurationfiles.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Far more than the reader accepts; keeps a wrong path, such as a device, from filling the memory.
+/// Far more than the reader accepts; prevents a wrong path, such as a device, from exhausting the
+/// memory.
 constexpr std::size_t MAX_FILE_BYTES = 1024 * 1024;
 
 struct FileCloser
--- a/src/app/internal/settings/configurationfiles.h
+++ b/src/app/internal/settings/configurationfiles.h
@@ -7,13 +7,13 @@
 
 namespace ivyspar {
 
-/// Inventory and rules as they stand in their files.
+/// Inventory and rules as read from their files.
 struct ConfigurationFiles
 {
     ConfigurationText text;
-    /// Null when there are errors.
+    /// Null if there are errors.
     ConfigurationPtr configuration;
-    /// One line for each file that could not be read and each problem in the files.
+    /// One line per unreadable file and per problem in the files.
     std::vector<std::string> errors;
 };
 
--- a/src/app/internal/settings/daemonsettings.cpp
+++ b/src/app/internal/settings/daemonsettings.cpp
@@ -129,8 +129,9 @@
         m_settings.logLevel = found->level;
     }
 
-    // Neither interface authenticates: on another address, whoever reaches the port could announce
-    // a server or read the state. Loopback leaves that to users of this host.
+    // Neither interface authenticates its clients: on a non-loopback address, anyone who reaches
+    // the port could announce a server or read the state. Loopback limits that to users of this
+    // host.
     void checkRemoteAccess()
     {
         checkLoopback("operator_listen", m_settings.operatorListen, "allow_remote_operator",
--- a/src/app/internal/settings/flags.h
+++ b/src/app/internal/settings/flags.h
@@ -2,7 +2,7 @@
 
 #include <gflags/gflags_declare.h>
 
-// Flags of all subcommands, with gflags. Each subcommand lists those that it takes.
+// The gflags definitions for all subcommands. Each subcommand lists the flags that it accepts.
 DECLARE_string(daemon_id);
 DECLARE_string(domain);
 DECLARE_string(region);
--- a/src/app/internal/settings/flagset.cpp
+++ b/src/app/internal/settings/flagset.cpp
@@ -31,7 +31,7 @@
     if (type == "bool") {
         return "true or false";
     }
-    return type == "string" ? "a text" : "a whole number from 0 on";
+    return type == "string" ? "a string" : "a whole number of at least 0";
 }
 
 void assign(const std::string &name, const std::string &value, std::vector<std::string> &errors)
@@ -52,7 +52,7 @@
     return argument.size() > 1 && argument.front() == '-';
 }
 
-/// A flag as it was written, split at `=`.
+/// A flag argument, split at `=`.
 struct Token
 {
     std::string name;
--- a/src/app/internal/settings/flagset.h
+++ b/src/app/internal/settings/flagset.h
@@ -7,7 +7,7 @@
 
 namespace ivyspar {
 
-/// What a command line held besides the values of its flags.
+/// Result of parsing a command line, apart from the values of its flags.
 struct ParsedFlags
 {
     bool isHelpWanted = false;
@@ -15,24 +15,24 @@
     std::vector<std::string> errors;
 };
 
-/// The flags of one subcommand. gflags keeps a single list of flags for the whole program and ends
-/// the process at the first error; this class keeps its typed values, but accepts only the flags of
+/// The flags of one subcommand. gflags has a single list of flags for the whole program and exits
+/// at the first error. This class uses the typed values of gflags, but accepts only the flags of
 /// one subcommand, reads their environment variables and collects all errors.
 class FlagSet
 {
 public:
-    /// `names` are flags that are defined with gflags, in the order of the help text.
+    /// `names` are flags defined with gflags, in the order of the help text.
     explicit FlagSet(std::vector<std::string> names);
 
-    /// Sets all flags: from `arguments`, else from their variable, else to their default.
+    /// Sets each flag from `arguments`, else from its environment variable, else to its default.
     ParsedFlags parse(const std::vector<std::string> &arguments,
                       const EnvironmentLookup &environment) const;
-    /// A paragraph for each flag with its variable, default and meaning.
+    /// A paragraph per flag with its environment variable, default and description.
     std::string help() const;
 
-    /// `IVYSPAR_PEER_LISTEN` for `peer_listen`.
+    /// The environment variable of a flag: `IVYSPAR_PEER_LISTEN` for `peer_listen`.
     static std::string variableOf(const std::string &flag);
-    /// How errors name a flag and its variable.
+    /// The flag and its environment variable, as shown in error messages.
     static std::string label(const std::string &flag);
 
 private:
--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -4,12 +4,14 @@
 
 namespace {
 
-/// A repeated run repeats the calls that it makes, and these count for the services below: each
-/// daemon leaves them half of the budget.
+/// A retried run repeats its own calls, which count against the budgets of the services below. So
+/// each daemon uses only half of the budget.
 constexpr double OWN_BUDGET_SHARE = 0.5;
-/// Hedges answer silence here: a late answer costs less than a repeat of the shared budget.
+/// Hedges are sent only for missing responses: waiting for a late response costs less than a retry
+/// from the shared budget.
 constexpr double HEDGE_DELAY_FACTOR = 2;
-/// Root admission does what the floor of the next service does, and for the services behind it too.
+/// Root admission replaces the priority floor of the next service, and covers the services behind
+/// it as well.
 bool hasFloor(const DaemonSettings &settings)
 {
     return !settings.ablations.floor && !settings.hasRootAdmission;
@@ -22,7 +24,7 @@
     const Ablations &ablations = settings.ablations;
     GateOptions options;
     if (settings.hasExactSlots) {
-        // A server that sheds calls for another reason is not helped by fewer at a time.
+        // If a server sheds calls for another reason, a lower concurrency limit does not help it.
         options.limit = LimitKind::Fixed;
     }
     if (ablations.admission) {
@@ -59,7 +61,7 @@
     if (settings.retryBudget) {
         options.countsUpstreamAttemptsOnly = true;
         options.retryRatio = settings.retryBudget->ratio * OWN_BUDGET_SHARE;
-        // A daemon that has just started does not know how many others start with it.
+        // A daemon that has just started does not know how many others start at the same time.
         options.initialRetryTokens = 0;
         options.sharedRetryTokens = settings.retryBudget->slack;
         options.hedgesUseRetryTokens = true;
--- a/src/app/internal/settings/policies.h
+++ b/src/app/internal/settings/policies.h
@@ -9,7 +9,7 @@
 
 namespace ivyspar {
 
-/// The options of the decisions, with the policies switched off that the settings name.
+/// Options of the decision components, without the policies that the settings disable.
 GateOptions makeGateOptions(const DaemonSettings &settings);
 RouterOptions makeRouterOptions(const DaemonSettings &settings);
 RetryOptions makeRetryOptions(const DaemonSettings &settings);
--- a/src/app/internal/settings/settingvalues.h
+++ b/src/app/internal/settings/settingvalues.h
@@ -9,18 +9,18 @@
 
 namespace ivyspar {
 
-/// Turns the text of flags into values and collects an error line for each that is wrong.
+/// Parses the text of flags and collects an error line for each invalid value.
 class SettingValues
 {
 public:
     explicit SettingValues(std::vector<std::string> &errors);
 
-    /// One to 64 letters, digits, `.`, `_` and `-`.
+    /// 1 to 64 letters, digits, `.`, `_` and `-`.
     std::string name(const std::string &flag, const std::string &text);
     Endpoint listenEndpoint(const std::string &flag, const std::string &text);
-    /// An endpoint to connect to: port 0 and addresses that stand for all are wrong.
+    /// An endpoint to connect to: port 0 and wildcard addresses are invalid.
     Endpoint remoteEndpoint(const std::string &flag, const std::string &text);
-    /// Separated by commas, each only once; empty for none.
+    /// A comma-separated list without duplicates, possibly empty.
     std::vector<Endpoint> remoteEndpoints(const std::string &flag, const std::string &text);
     Duration duration(const std::string &flag, const std::string &text, Duration minimum,
                       Duration maximum);
@@ -33,10 +33,10 @@
     std::vector<std::string> &m_errors;
 };
 
-/// The parts between commas; none for an empty text.
+/// Splits at commas; an empty text has no parts.
 std::vector<std::string> splitList(const std::string &text);
 bool isLoopback(const Endpoint &endpoint);
-/// The address stands for all addresses of the host.
+/// Whether the address stands for all addresses of the host.
 bool isWildcard(const Endpoint &endpoint);
 
 } // namespace ivyspar
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -19,15 +19,15 @@
 constexpr std::uint16_t METHOD_NOT_ALLOWED = 405;
 
 constexpr Duration DRAIN_POLL_INTERVAL = std::chrono::milliseconds(5);
-/// Of the time for a planned stop, what is left for the ends of connections.
+/// Part of the drain time that is reserved for closing connections.
 constexpr Duration CLOSING_TIME = std::chrono::milliseconds(200);
 
 HttpClientLimits makeClientLimits(const DaemonSettings &settings, const IUpstreamDialect &dialect)
 {
     HttpClientLimits limits;
     limits.echoHeader = dialect.echoHeader();
-    // A server that repeats the request's id in each answer can also be told from the rest of an
-    // answer to somebody else.
+    // If the server echoes the request id in each response, a response without framing can be told
+    // apart from the remains of another request's response.
     limits.takesUnframedAnswers = !limits.echoHeader.empty();
     limits.bodyBytes = settings.limits.bodyBytes;
     return limits;
@@ -173,7 +173,7 @@
     return limits;
 }
 
-/// What operators set in the configuration goes before the settings of this daemon.
+/// Limits in the configuration take precedence over this daemon's settings.
 HttpLimits TrafficNode::makeCallerLimits(const CallerLimits &limits) const
 {
     HttpLimits bounds = makeLimits();
@@ -290,8 +290,8 @@
 bool TrafficNode::drainCalls(TimePoint end)
 {
     m_gates->startDraining();
-    // Calls that other daemons sent here run on, and so do the calls that they make from here. The
-    // listeners stay open for these.
+    // Calls that other daemons sent here continue and may make calls of their own through this
+    // daemon, so the listeners stay open for now.
     const TimePoint last = end - CLOSING_TIME;
     while (m_gates->callCount() + m_entry->requestCount() > 0 && m_loop.now() < last) {
         m_loop.sleepFor(DRAIN_POLL_INTERVAL);
@@ -302,7 +302,7 @@
     return isDone;
 }
 
-/// At least enough for what is ready to be sent.
+/// At least `DRAIN_POLL_INTERVAL`, so that data that is ready is still sent.
 Duration TrafficNode::timeUntil(TimePoint end) const
 {
     return std::max(std::chrono::duration_cast<Duration>(end - m_loop.now()), DRAIN_POLL_INTERVAL);
@@ -324,7 +324,7 @@
 HttpResponse TrafficNode::issueTicket(const HttpRequest &request)
 {
     if (request.method != "POST") {
-        return makeText(METHOD_NOT_ALLOWED, "tickets are handed out by POST");
+        return makeText(METHOD_NOT_ALLOWED, "method not allowed: tickets are issued by POST");
     }
     return HttpResponse{ CREATED,
                          { { "Content-Type", "text/plain" } },
--- a/src/app/internal/trafficnode.h
+++ b/src/app/internal/trafficnode.h
@@ -23,13 +23,13 @@
 
 namespace ivyspar {
 
-/// What the traffic thread tells the rest of the daemon. Called on the traffic thread.
+/// Callbacks from the traffic thread to the rest of the daemon. Called on the traffic thread.
 struct TrafficEvents
 {
     std::function<void(std::vector<UpstreamInfo>)> onUpstreams;
     std::function<void(ControlMessage)> onControlMessage;
     std::function<void(DaemonId)> onUnreachable;
-    /// A control payload for another daemon.
+    /// A control payload to send to another daemon.
     std::function<void(DaemonId, std::string)> onOutgoingPayload;
 };
 
@@ -45,8 +45,8 @@
     std::vector<AccountStatus> accounts;
 };
 
-/// All that the traffic thread owns: listeners for callers, upstreams and peers, and the services
-/// behind them. Made, used and destroyed on the traffic thread.
+/// Owns everything that runs on the traffic thread: listeners for callers, upstreams and peers, and
+/// the services behind them. Created, used and destroyed on the traffic thread.
 class TrafficNode
 {
 public:
@@ -55,31 +55,32 @@
                 const ConfirmationTime &confirmation, Observers observers);
     ~TrafficNode();
 
-    /// Opens the listeners.
+    /// Opens the listeners. Returns their endpoints with the assigned ports, or the error of the
+    /// first one that could not be opened.
     RetVal<ListeningEndpoints> listen();
     void setMembers(const std::vector<Member> &members);
     void setConfiguration(const ConfigurationPtr &configuration);
     void setHostService(const ServiceName &service) { m_entry->setHostService(service); }
     void sendControl(const DaemonId &target, const Endpoint &endpoint, std::string payload);
-    /// A control payload of another daemon about suspects.
+    /// Handles a control payload of another daemon about suspect requests.
     void receiveSuspects(const DaemonId &from, const std::string &payload);
     void setDirectorySize(std::size_t daemons) { m_accounts->setDirectorySize(daemons); }
-    /// A control payload of another daemon about limits of client accounts.
+    /// Handles a control payload of another daemon about limits of client accounts.
     void receiveAccounts(const DaemonId &from, const std::string &payload);
-    /// False if nothing is known of it.
+    /// Returns false if the fingerprint is unknown.
     bool liftQuarantine(const Fingerprint &fingerprint);
     TrafficStatus status() const;
-    /// The daemon ends at `end`. Callers are sent elsewhere with their next request, and calls of
-    /// other daemons that may last longer are refused; others are still taken, as the server beside
-    /// works on.
+    /// Prepares for a stop at `end`. Callers are asked to move to other daemons with their next
+    /// request, and calls of other daemons that may last longer than `end` are refused. Other calls
+    /// are still accepted, as the server on this host keeps working.
     void startLeaving(TimePoint end);
-    /// New requests of callers are refused from now on; those in flight go on.
+    /// Refuses new requests of callers; those in flight continue.
     void refuseCallers();
-    /// Suspends until the requests of callers are answered, until `end` at most.
+    /// Suspends until the requests of callers are answered, but no longer than until `end`.
     void waitForCallers(TimePoint end);
-    /// Refuses all new calls, waits for the end of what is in flight and closes the listeners of
-    /// callers and upstreams; suspends until `end` at most. False when something was still in
-    /// flight then.
+    /// Refuses all new calls, waits for requests and calls in flight and closes the listeners for
+    /// callers and upstreams. Suspends no longer than until `end`; returns false if something was
+    /// still in flight then.
     bool drainCalls(TimePoint end);
     void closeLinks(Duration timeout);
 
--- a/src/app/internal/waketimer.h
+++ b/src/app/internal/waketimer.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// One timer that is moved to whenever a plain object next wants to be called.
+/// A single timer that calls a task at the next time an object without a timer of its own asks for.
 class WakeTimer
 {
 public:
@@ -15,7 +15,7 @@
     WakeTimer(const WakeTimer &) = delete;
     WakeTimer &operator=(const WakeTimer &) = delete;
 
-    /// `TimePoint::max()` for not at all. Replaces the time given before.
+    /// Replaces the time set before. `TimePoint::max()` disarms the timer.
     void wakeAt(TimePoint time);
 
 private:
--- a/src/app/iplatform.h
+++ b/src/app/iplatform.h
@@ -14,9 +14,9 @@
 
 namespace ivyspar {
 
-/// The surroundings in which a daemon runs: how callers, upstreams and the platform's store speak.
-/// Makes translators, which decide nothing. The functions may be called from any thread; what they
-/// make belongs to the thread that asked.
+/// The environment in which a daemon runs: creates the adapters for the protocols of callers,
+/// upstreams and the platform's store. Adapters only translate and make no decisions. The functions
+/// may be called from any thread; the returned objects belong to the calling thread.
 class IPlatform
 {
 public:
@@ -25,15 +25,15 @@
     virtual std::unique_ptr<IRequestDialect> makeRequestDialect() const = 0;
     virtual std::unique_ptr<IUpstreamDialect> makeUpstreamDialect() const = 0;
     virtual std::unique_ptr<IReportDialect> makeReportDialect() const = 0;
-    /// Reads configurations that stand as documents in a keyed log. Null: the configuration is
-    /// folded from the product's own log.
+    /// Reads configurations that are stored as documents in a keyed log. Null if the configuration
+    /// is built from the records of the product's own log instead.
     virtual std::unique_ptr<IDocumentReader> makeDocumentReader() const = 0;
-    /// Null when `makeDocumentReader` gives null.
+    /// Null if `makeDocumentReader` returns null.
     virtual std::unique_ptr<IKeyedLog> makeKeyedLog(IEventLoop &loop,
                                                     const DaemonSettings &settings) const = 0;
-    /// Reads again what the daemon was started with. Nothing when settings never change.
+    /// Reads the daemon's settings again. Empty if settings cannot change at run time.
     virtual std::optional<SettingsResult<DaemonSettings>> rereadSettings() const = 0;
-    /// Whether the settings have changed since they were read last.
+    /// Whether the settings have changed since they were last read.
     virtual bool haveSettingsChanged() const = 0;
 };
 
--- a/src/app/publish.h
+++ b/src/app/publish.h
@@ -12,34 +12,34 @@
 
 namespace ivyspar {
 
-/// A change of the configuration that is to be published.
+/// A configuration change to publish.
 struct PublishSettings
 {
     std::string inventoryFile;
     std::string rulesFile;
-    /// Content of the files, already found to be right.
+    /// Content of the files, already validated.
     ConfigurationText text;
-    /// The version that the change is based on; none for the one that is current now.
+    /// The version that the change is based on; empty for the current one.
     std::optional<ConfigurationVersion> base;
     std::vector<Endpoint> logEndpoints;
     /// Longest time to wait for the verdict.
     Duration timeout{ 0 };
-    /// Identifies this change, to find it again when the answer to its append was lost. Never
-    /// empty.
+    /// Identifies this change, so that it can be found again if the response to its append was
+    /// lost. Never empty.
     std::string changeId;
-    /// The id was set by the operator: the change may be in the log already.
+    /// The id was set by the operator, so the change may already be in the log.
     bool isRepeat = false;
-    /// Begins anew in a stream of which too much was forgotten to judge a change.
+    /// Starts over in a stream that no longer retains enough records to validate a change.
     bool isRestart = false;
 };
 
-/// Reads flags, variables and the two files. Opens no connection.
+/// Reads flags, environment variables and the two files. Opens no connection.
 SettingsResult<PublishSettings> readPublishSettings(const std::vector<std::string> &arguments,
                                                     const EnvironmentLookup &environment);
 
 /// Appends the change to the platform's log and waits for its verdict. Returns the exit code: 0
-/// when it was accepted, 3 when another change came first, and 4 when the log cannot be reached or
-/// the verdict could not be found out in time.
+/// if it was accepted, 3 if another change came first, and 4 if the log cannot be reached or the
+/// verdict was not known in time.
 int runPublish(const PublishSettings &settings);
 
 } // namespace ivyspar
--- a/src/app/readyfile.h
+++ b/src/app/readyfile.h
@@ -7,7 +7,7 @@
 
 namespace ivyspar {
 
-/// The endpoints that a daemon listens on, with the ports that it got.
+/// The endpoints that a daemon listens on, with the ports that it was assigned.
 struct ListeningEndpoints
 {
     Endpoint caller;
@@ -16,8 +16,8 @@
     Endpoint peer;
 };
 
-/// Writes `{"caller": "IP:port", "operator": …, "upstream": …, "peer": …}`. Whoever waits for the
-/// file sees it whole or not at all. Fails with `Unavailable` if it cannot be written.
+/// Writes `{"caller": "IP:port", "operator": …, "upstream": …, "peer": …}`. The file
+/// appears atomically. Fails with `Unavailable` if it cannot be written.
 Ret writeReadyFile(const std::string &path, const ListeningEndpoints &endpoints);
 
 } // namespace ivyspar
--- a/src/app/settings.h
+++ b/src/app/settings.h
@@ -16,39 +16,39 @@
 
 namespace ivyspar {
 
-/// Bounds on what a daemon accepts from outside, all at least 1.
+/// Limits of what a daemon accepts from outside, all at least 1.
 struct DaemonLimits
 {
-    /// Connections of callers; those of upstreams and operators have their own fixed bounds.
+    /// Caller connections; those of upstreams and operators have fixed limits of their own.
     std::size_t connections = 0;
     std::size_t headerBytes = 0;
     std::size_t bodyBytes = 0;
-    /// Requests of callers that the daemon works on at a time.
+    /// Requests of callers in flight at a time.
     std::size_t inFlight = 0;
 };
 
-/// The bound on repeated sends that all daemons share, for each service.
+/// Limit of retries per service, shared by all daemons.
 struct RetryBudget
 {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     double ratio = 0.1;
-    /// Repeats allowed besides, over all daemons.
+    /// Additional retries allowed within the window, over all daemons.
     double slack = 0;
-    /// Time over which repeats are counted.
+    /// Time over which retries are counted.
     Duration window = std::chrono::seconds(10);
 };
 
-/// Where the platform keeps what daemons share, in keyed streams. Empty names: nowhere.
+/// Keyed streams of the platform in which daemons share state. Empty names: not used.
 struct SharedStreams
 {
     StreamName configuration;
     /// Key of the newest configuration in its stream.
     std::string configurationKey;
-    /// Where daemons enter themselves to be found by others.
+    /// Directory in which daemons register to be discovered by others.
     StreamName members;
 };
 
-/// Policies that are switched off to measure what they are worth. Not for production.
+/// Policies that are disabled to measure their effect. Not for production.
 struct Ablations
 {
     bool admission = false;
@@ -60,33 +60,33 @@
     bool routing = false;
     bool hedging = false;
     bool cancel = false;
-    /// Requests are taken however far the daemon is behind.
+    /// Requests are admitted regardless of the event loop's lag.
     bool lag = false;
-    /// Rules of one priority get equal shares, whatever their requests cost.
+    /// Rules of one priority get equal shares, regardless of the cost of their requests.
     bool fairShares = false;
-    /// Requests are begun however few of their trees can end whole.
+    /// Requests are admitted regardless of how few of their call trees can complete.
     bool lossBasedAdmission = false;
-    /// What a server turned away is not sent to it once more from its host.
+    /// A call that a server refused is not retried at that server by the daemon of its host.
     bool localRetries = false;
-    /// Control messages go over links, however short.
+    /// Control messages go over links, never as datagrams.
     bool datagrams = false;
     /// Every daemon follows the platform's streams.
     bool readers = false;
-    /// Requests that crash servers are sent to others.
+    /// Requests that crash servers are still sent to other servers.
     bool quarantine = false;
-    /// Each daemon counts an equal part of the limits of client accounts.
+    /// Each daemon enforces an equal part of each client account's limits.
     bool limitHomes = false;
 };
 
-/// Switches off the policies of a comma-separated list. Returns the names that are none.
+/// Disables the policies of a comma-separated list. Returns the unknown names.
 std::vector<std::string> disablePolicies(const std::string &policies, Ablations &ablations);
 
-/// Settings of one daemon. Port 0 in a listening endpoint takes a free port.
+/// Settings of one daemon. With port 0 in a listening endpoint, a free port is used.
 struct DaemonSettings
 {
     DaemonId id;
     DomainName domain;
-    /// Empty: as the inventory says.
+    /// If empty, the inventory's region applies.
     RegionName region;
 
     Endpoint callerListen;
@@ -98,46 +98,47 @@
     /// Where other daemons reach this one; port 0 means the port that `peerListen` got.
     Endpoint peerAdvertise;
 
-    /// A listener for health checks alone; none while its port is 0.
+    /// A listener for health checks only; disabled if its port is 0.
     Endpoint readinessListen;
-    /// Besides `/healthz`; empty for none.
+    /// Health check path in addition to `/healthz`; empty for none.
     std::string readinessPath;
     /// The service whose server runs on this host, if that is known before its first report.
     ServiceName hostService;
-    /// Calls of the server on this host arrive at `callerListen`, among those of callers, and name
-    /// no context.
+    /// Calls of the server on this host arrive at `callerListen` like those of callers and carry no
+    /// context, so the parent request is inferred.
     bool infersParents = false;
-    /// Callers' requests are let in by what their whole call tree costs.
+    /// Requests of callers are admitted by the cost of their whole call tree.
     bool hasRootAdmission = false;
-    /// The slots that upstreams report are exact: no lower limit is tried.
+    /// The slots that upstreams report are exact: the limit is not adapted below them.
     bool hasExactSlots = false;
 
     std::vector<Endpoint> seeds;
     SharedStreams streams;
     std::vector<Endpoint> logEndpoints;
-    /// For how long the log keeps a record.
+    /// Retention time of records in the log.
     Duration logRetention = std::chrono::hours(1);
 
-    /// Files to start from when neither the log nor a peer knows a configuration; both or none.
+    /// Bootstrap files, used if neither the log nor a peer has a configuration; both or none.
     std::string inventoryFile;
     std::string rulesFile;
-    /// Content of these files, already found to be right; empty when none are set.
+    /// Content of these files, already validated; empty if none are set.
     std::optional<ConfigurationText> bootstrap;
 
-    /// An upstream that did not announce itself for this long gets no new work.
+    /// An upstream that sent no announcement for this long gets no new calls.
     Duration heartbeatTimeout{ 0 };
-    /// Longest time for requests in flight to end at a planned stop.
+    /// Maximum time for requests in flight to complete at a planned stop.
     Duration drainTimeout{ 0 };
-    /// After a stop signal: for how long new requests are still taken, while those who watch the
-    /// health of this daemon find out that it leaves.
+    /// After a stop signal, new requests are still accepted for this long, so that health checks
+    /// can take the daemon out of rotation first.
     Duration leaveTime{ 0 };
     std::optional<RetryBudget> retryBudget;
-    /// From the acknowledgement of a change of the configuration until it is in force everywhere.
+    /// Maximum time from the acknowledgement of a configuration change until it is in force on all
+    /// daemons.
     Duration applyWithin = std::chrono::seconds(2);
     AccountTolerance limitTolerance;
-    /// For opening a link to a peer.
+    /// Time-out for opening a link to a peer.
     Duration peerConnectTimeout = std::chrono::seconds(1);
-    /// A link on which nothing arrived is probed after this time and closed after twice this time.
+    /// A silent link is probed after this time and closed after twice this time.
     Duration peerHeartbeat = std::chrono::seconds(2);
     DaemonLimits limits;
     Ablations ablations;
@@ -145,7 +146,7 @@
     LogLevel logLevel = LogLevel::Info;
     /// A file, `-` for standard output, or empty for none.
     std::string decisionLog;
-    /// File that gets the endpoints the daemon listens on, as JSON; empty for none.
+    /// File to which the daemon's listening endpoints are written as JSON; empty for none.
     std::string readyFile;
 };
 
@@ -154,18 +155,18 @@
 
 std::optional<std::string> processEnvironment(const std::string &name);
 
-/// Settings, or all that is wrong with them.
+/// Settings together with the errors found in them.
 template <typename T> struct SettingsResult
 {
     T settings;
-    /// `--help` was given: the rest is not to be looked at.
+    /// `--help` was given; the other fields are not meaningful.
     bool isHelpWanted = false;
-    /// One line for each error; the settings are usable only when there is none.
+    /// One line per error; the settings are usable only if it is empty.
     std::vector<std::string> errors;
 };
 
-/// Reads the flags and, for each flag that is not given, its `IVYSPAR_*` variable. Reads the
-/// bootstrap files, but opens no port.
+/// Reads the flags and, for each flag that is not given, its `IVYSPAR_*` environment variable.
+/// Reads the bootstrap files, but opens no port.
 SettingsResult<DaemonSettings> readDaemonSettings(const std::vector<std::string> &arguments,
                                                   const EnvironmentLookup &environment);
 
