--- a/src/app/internal/commands/checkcommand.cpp
+++ b/src/app/internal/commands/checkcommand.cpp
@@ -11,8 +11,8 @@
 
 const char HELP[] = R"(Usage: ivyspar check INVENTORY RULES
 
-Checks an inventory and its rules (TOML, docs/CONFIGURATION.md) and prints every problem with file,
-line, key and what would be right. Exits with 0 and a summary when there is none, else with 2.
+Validates an inventory and its rules (TOML, docs/CONFIGURATION.md) and prints every problem with file,
+line, key and the expected value. Exits with 0 and a summary if there is none, else with 2.
 
 Example:
   ivyspar check examples/tallowood/inventory.toml examples/tallowood/rules.toml
@@ -28,7 +28,8 @@
                 inventory.servers.size(), rules.classes.size(), rules.rules.size());
 }
 
-/// Neither is wrong, as an operator may be half way through a change, but both are worth a look.
+/// Neither is an error, as the operator may be in the middle of a change, but both are worth a
+/// check.
 void printNotes(const Configuration &configuration)
 {
     const auto &rules = configuration.rules.rules;
--- a/src/app/internal/commands/commandline.cpp
+++ b/src/app/internal/commands/commandline.cpp
@@ -55,16 +55,16 @@
 
 Commands:
   daemon   run the daemon of this host
-  check    find mistakes in an inventory and its rules
-  publish  bring a new version of inventory and rules into force
-  status   show what a daemon knows and does
-  explain  print the course of a request from the logs of daemons
-  lift     let a request run again that is kept from servers
-  key      make a key of a client account, and its hash for the rules
+  check    validate an inventory and its rules
+  publish  publish a new version of inventory and rules
+  status   show the state of a daemon
+  explain  reconstruct the course of a request from decision logs
+  lift     lift the quarantine of a request
+  key      generate a key for a client account, and its hash for the rules
   version  print the version
-  help     print this, or the help of a command: ivyspar help daemon
+  help     print this text, or the help of a command: ivyspar help daemon
 
-Every command explains its flags with --help. Exit codes: 0 success, 1 failure, 2 wrong usage.
+Every command lists its flags with --help. Exit codes: 0 success, 1 failure, 2 wrong usage.
 )";
 
 const Command *findCommand(const std::string &name)
--- a/src/app/internal/commands/commands.h
+++ b/src/app/internal/commands/commands.h
@@ -19,7 +19,7 @@
 int runKeyCommand(const Arguments &arguments);
 int runLiftCommand(const Arguments &arguments);
 
-/// Prints each error on a line of its own, then where help is to be found. Returns
+/// Prints each error on a line of its own, then a hint to `--help`. Returns
 /// `EXIT_USAGE_ERROR`.
 int reportUsageErrors(const std::string &command, const std::vector<std::string> &errors);
 
--- a/src/app/internal/commands/daemoncommand.cpp
+++ b/src/app/internal/commands/daemoncommand.cpp
@@ -13,13 +13,13 @@
 
 Runs the daemon of one upstream host, in the foreground, until SIGTERM. The upstream on this host
 announces itself at --upstream_listen; callers send their requests to --caller_listen of any daemon.
-Inventory and rules come from the platform's log, from peers, or from files to begin with.
+Inventory and rules come from the platform's log or from peers, or initially from files.
 
 Each flag can also be set by its environment variable; the flag wins. Names are not resolved:
-endpoints are IP numbers. Settings that are wrong or contradict each other are all listed, and the
-daemon exits with 2 before it opens a port.
+endpoints are IP addresses. If settings are invalid or contradict each other, all errors are listed
+and the daemon exits with 2 before it opens a port.
 
-Example, a daemon on its own:
+Example, a single daemon:
   ivyspar daemon --daemon_id=d1 --domain=fortitude-hall \
       --inventory=examples/tallowood/inventory.toml --rules=examples/tallowood/rules.toml
 
--- a/src/app/internal/commands/explaintext.cpp
+++ b/src/app/internal/commands/explaintext.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Of a time like 2026-12-02T20:30:24.662Z, the part within the day.
+/// The time of day of a timestamp like 2026-12-02T20:30:24.662Z.
 std::string timeOfDay(const std::string &time)
 {
     constexpr std::size_t DATE_SIZE = 11;
@@ -60,7 +60,7 @@
     if (daemons.empty()) {
         return "";
     }
-    std::string text = "\nLeft out around that time, as the logs' budget was spent, by "
+    std::string text = "\nSuppressed around that time because the log budget was exhausted, by "
         + std::to_string(daemons.size()) + " daemons:";
     for (const auto &[name, count] : counts) {
         text += ' ' + name + ' ' + std::to_string(count) + ',';
@@ -91,7 +91,8 @@
     const std::string notes = sourceNotes(history.sources());
     if (events.empty()) {
         return "no line of request " + history.root()
-            + " was found; it may have been left out, or have met other daemons\n" + notes;
+            + " was found; it may have been suppressed, or have passed through other daemons\n"
+            + notes;
     }
     std::string text =
         "request " + history.root() + ", " + std::to_string(events.size()) + " lines\n";
@@ -99,7 +100,7 @@
         text += "  " + eventText(event);
     }
     text += "\nCause: " + findCause(events) + '\n';
-    text += listText("What daemons came to believe from a second before to a second after:",
+    text += listText("State changes seen by daemons from a second before to a second after:",
                      history.stateChanges());
     text += suppressionText(history.suppressions());
     return text + notes;
--- a/src/app/internal/commands/explaintext.h
+++ b/src/app/internal/commands/explaintext.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// The course of a request for people, with its cause and what the logs lack.
+/// Human-readable course of a request, with the cause of its outcome and notes on missing logs.
 std::string toExplanation(const RequestHistory &history);
 
 } // namespace ivyspar
--- a/src/app/internal/commands/failuresummary.cpp
+++ b/src/app/internal/commands/failuresummary.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// Seconds that the summary names, the worst first.
+/// Number of seconds listed in the summary, the worst first.
 constexpr std::size_t WORST_SECONDS = 5;
 constexpr double PERCENT = 100;
 
-/// Of a time like 2026-12-02T20:30:24.662Z, the part up to the second.
+/// A timestamp like 2026-12-02T20:30:24.662Z, truncated to the second.
 std::string secondOf(const std::string &time)
 {
     constexpr std::size_t SIZE = 19;
@@ -28,7 +28,8 @@
     return second.size() > DATE_SIZE ? second.substr(DATE_SIZE) : second;
 }
 
-/// Most lines are of no interest: parsing them all would take minutes for a busy day.
+/// Cheap test before parsing: most lines are irrelevant, and parsing the log of a busy day entirely
+/// would take minutes.
 bool mayContainEvent(const std::string &line, const char *event)
 {
     return line.find(event) != std::string::npos;
@@ -161,8 +162,8 @@
         text += worstSecondsText(summary.seconds());
     }
     if (summary.suppressed() > 0) {
-        text += format("\n%zu lines were left out, as the logs' budget was spent: what they told "
-                       "is in no count.\n",
+        text += format("\n%zu lines were suppressed because the log budget was exhausted; they are "
+                       "not counted.\n",
                        summary.suppressed());
     }
     return text;
--- a/src/app/internal/commands/failuresummary.h
+++ b/src/app/internal/commands/failuresummary.h
@@ -12,18 +12,18 @@
 
 namespace ivyspar {
 
-/// Failed requests of one cause.
+/// Failed requests with the same cause.
 struct FailureGroup
 {
     std::string cause;
     std::size_t count = 0;
-    /// By second, as the hosts' clocks have it.
+    /// Requests by second, according to the hosts' clocks.
     std::map<std::string, std::size_t> seconds;
-    /// One of them, to be explained.
+    /// Id of one of the requests, for `ivyspar explain`.
     std::string example;
 };
 
-/// What callers' requests ended as in one second.
+/// Requests of callers that ended in one second, and how many of them failed.
 struct SecondCount
 {
     std::size_t ended = 0;
@@ -38,10 +38,10 @@
     void findFailed(std::istream &log);
     void collect(std::istream &log);
 
-    /// The largest first.
+    /// Ordered by size, the largest first.
     std::vector<FailureGroup> groups() const;
     const std::map<std::string, SecondCount> &seconds() const { return m_seconds; }
-    /// Lines that daemons left out: requests among them are in no count.
+    /// Lines that daemons suppressed: requests ending in them are not counted.
     std::size_t suppressed() const { return m_suppressed; }
 
 private:
@@ -56,7 +56,7 @@
     std::size_t m_suppressed = 0;
 };
 
-/// The summary for people.
+/// Human-readable summary.
 std::string toSummary(const FailureSummary &summary);
 
 } // namespace ivyspar
--- a/src/app/internal/commands/historyevent.h
+++ b/src/app/internal/commands/historyevent.h
@@ -16,13 +16,13 @@
     /// All other fields, in the order of the line.
     nlohmann::ordered_json fields;
 
-    /// Empty if there is no such text.
+    /// The value of a string field; empty if there is none of that name.
     std::string text(const char *field) const;
     bool has(const char *field) const { return fields.contains(field); }
 };
 
-/// Nothing for a line that is not of a decision log. Other programs may put words of their own
-/// before it, so it begins with its first brace.
+/// Returns nothing for a line that is not from a decision log. Log collectors may add a prefix, so
+/// parsing starts at the first brace.
 std::optional<HistoryEvent> parseHistoryEvent(const std::string &line);
 
 } // namespace ivyspar
--- a/src/app/internal/commands/linediff.cpp
+++ b/src/app/internal/commands/linediff.cpp
@@ -9,7 +9,7 @@
 
 using Lines = std::vector<std::string>;
 
-/// Bound on the table of the comparison (16 MB). Larger differences are shown as one block.
+/// Limit for the comparison table (16 MB). Larger differences are shown as one block.
 constexpr std::size_t MAX_CELLS = 4 * 1024 * 1024;
 
 Lines splitLines(const std::string &text)
@@ -24,7 +24,7 @@
     return lines;
 }
 
-/// Removes the lines that both have at the start and at the end.
+/// Removes the common lines at the start and at the end.
 void trimCommon(Lines &a, Lines &b)
 {
     const auto start = std::mismatch(a.begin(), a.end(), b.begin(), b.end());
@@ -35,7 +35,7 @@
     b.erase(end.second.base(), b.end());
 }
 
-/// Length of the longest common subsequence of the rests from each pair of positions on.
+/// Length of the longest common subsequence of the remaining lines, for each pair of positions.
 class CommonLengths
 {
 public:
--- a/src/app/internal/commands/linediff.h
+++ b/src/app/internal/commands/linediff.h
@@ -6,8 +6,8 @@
 
 namespace ivyspar {
 
-/// The lines that differ, in order: `-` for a line of `before`, `+` for one of `after`. At most
-/// `maxLines`, and then a line that says how many more there are.
+/// The differing lines in order: `-` for a line of `before`, `+` for one of `after`. After
+/// `maxLines` lines, a last line gives the number of those omitted.
 std::vector<std::string> lineDiff(const std::string &before, const std::string &after,
                                   std::size_t maxLines);
 
--- a/src/app/internal/commands/operatorclient.cpp
+++ b/src/app/internal/commands/operatorclient.cpp
@@ -16,7 +16,7 @@
 HttpResult exchange(const Endpoint &endpoint, const HttpRequest &request, Duration timeout)
 {
     std::optional<HttpResult> result;
-    // A loop belongs to the thread of its first use for good: it gets one of its own.
+    // An event loop is bound to the thread of its first use, so it gets a thread of its own.
     std::thread worker([&] {
         const auto loop = makeEventLoop();
         HttpClientLimits limits;
@@ -38,7 +38,7 @@
     case HttpFailureCause::Connect:
         return failure.text;
     case HttpFailureCause::Timeout:
-        return endpoint.text() + ": no answer within " + toText(timeout);
+        return endpoint.text() + ": no response within " + toText(timeout);
     default:
         return endpoint.text() + ": " + failure.text;
     }
@@ -53,7 +53,7 @@
     }
     if (result->status != OK) {
         return makeError(ErrorCode::Unavailable,
-                         endpoint.text() + ": answered with status "
+                         endpoint.text() + ": responded with status "
                              + std::to_string(result->status));
     }
     return std::move(result->body);
--- a/src/app/internal/commands/operatorclient.h
+++ b/src/app/internal/commands/operatorclient.h
@@ -8,11 +8,11 @@
 
 namespace ivyspar {
 
-/// GETs `target` from a daemon's operator endpoint and returns the body of its 200. Blocks for
-/// `timeout` at most. Fails with `Unavailable` on anything else.
+/// GETs `target` from a daemon's operator endpoint and returns the body of a response with status
+/// 200. Blocks for `timeout` at most. Fails with `Unavailable` on any other result.
 RetVal<std::string> fetchFromOperatorEndpoint(const Endpoint &endpoint, const std::string &target,
                                               Duration timeout);
-/// The same with a POST without body.
+/// The same with a POST without a body.
 RetVal<std::string> postToOperatorEndpoint(const Endpoint &endpoint, const std::string &target,
                                            Duration timeout);
 
--- a/src/app/internal/commands/publish.cpp
+++ b/src/app/internal/commands/publish.cpp
@@ -47,13 +47,13 @@
 int reportConflict(const PublishSettings &settings, const PublishResult &result)
 {
     const AcceptedConfiguration &winner = result.winner;
-    std::fprintf(stderr, "not accepted: version %llu (change %s) came first",
+    std::fprintf(stderr, "not accepted: version %llu (change %s) was published first",
                  static_cast<unsigned long long>(winner.version.value()), winner.changeId.c_str());
     if (result.base) {
-        std::fprintf(stderr, "; this change was based on version %llu",
+        std::fprintf(stderr, "; this change is based on version %llu",
                      static_cast<unsigned long long>(result.base->value()));
     }
-    std::fputs("\nfrom that version (-) to your files (+):\n", stderr);
+    std::fputs("\ndifferences between that version (-) and your files (+):\n", stderr);
     printDiff(settings.inventoryFile, winner.inventory, settings.text.inventory);
     printDiff(settings.rulesFile, winner.rules, settings.text.rules);
     return EXIT_CONFLICT;
--- a/src/app/internal/commands/publishcommand.cpp
+++ b/src/app/internal/commands/publishcommand.cpp
@@ -11,13 +11,13 @@
 const char HELP[] = R"(Usage: ivyspar publish --log_endpoints=IP:PORT,... [flags] INVENTORY RULES
 
 Checks both files, appends them to the platform's log as one change, and waits for the verdict. A
-change is accepted if the version that it is based on is still the current one: of two changes that
-race, one wins and the other is told which version won and what differs. Exits with 0 when the change
-was accepted, with 2 when files or flags are wrong, with 3 when another change came first, and with 4
-when the log cannot be reached or the verdict could not be found out.
+change is accepted if the version that it is based on is still the current one: of two concurrent
+changes, one is accepted, and the other is rejected with the accepted version and the differences. Exits
+with 0 if the change was accepted, with 2 if files or flags are invalid, with 3 if another change was
+first, and with 4 if the log cannot be reached or the verdict is unknown.
 
-When the verdict could not be found out, repeat the command with the --change_id and --base that it
-printed: a change that was made is found again, and it is never made twice.
+If the verdict is unknown, repeat the command with the --change_id and --base that it printed: a change
+that was applied is found again and never applied twice.
 
 Example:
   ivyspar publish --log_endpoints=10.0.9.1:9000 --base=7 inventory.toml rules.toml
--- a/src/app/internal/commands/requestcause.cpp
+++ b/src/app/internal/commands/requestcause.cpp
@@ -16,23 +16,23 @@
 };
 
 constexpr std::array<Explanation, 17> EXPLANATIONS{ {
-    { "below-floor", "its tree would have lost a call at a service that has no room" },
-    { "queue-full", "the queue of the server's gate was full of calls that go first" },
-    { "doomed", "less time was left than the server usually takes" },
-    { "deadline-exceeded", "its time was over" },
-    { "timeout", "no answer came within the route's time" },
-    { "no-server", "no server of the service was known, or none that was asked has one" },
+    { "below-floor", "a call of its tree would have been lost at a service without free capacity" },
+    { "queue-full", "the queue of the server's gate was full of calls that take precedence" },
+    { "doomed", "the time left was shorter than the server usually takes" },
+    { "deadline-exceeded", "its deadline had passed" },
+    { "timeout", "no response came within the time-out of the route" },
+    { "no-server", "no server of the service was known, or none of the daemons asked has one" },
     { "no-configuration", "the daemon had no configuration yet" },
     { "no-rule", "no rule of the configuration in force matches" },
     { "connect-failed", "the server or its daemon could not be reached; nothing was sent" },
     { "link-lost", "the link to the daemon of the server was lost after the call was sent" },
-    { "broken-answer", "the server's answer was cut off, malformed or another request's" },
-    { "upstream-refused", "the server itself said that it did not run it" },
-    { "cancelled", "the caller left" },
+    { "broken-answer", "the server's response was truncated, malformed or for another request" },
+    { "upstream-refused", "the server reported that it did not run it" },
+    { "cancelled", "the caller disconnected or cancelled it" },
     { "draining", "the server or its daemon was about to stop" },
-    { "server-crashed", "the server ended while it worked on it" },
-    { "suspected", "servers may have ended under such requests and were not back yet" },
-    { "quarantined", "servers that run such a request end, so it is not run any more" },
+    { "server-crashed", "the server crashed while it processed it" },
+    { "suspected", "such requests may have crashed servers that had not restarted yet" },
+    { "quarantined", "such requests crash servers, so they are no longer run" },
 } };
 
 std::string sentenceOf(const std::string &reason)
@@ -58,8 +58,8 @@
     return isRefusal || isLostRun;
 }
 
-/// The last thing that went wrong below the entry, up to the request's end. Calls that were
-/// cancelled are ends that others caused.
+/// The last failure below the entry before the request's end. Cancelled calls are skipped, as they
+/// follow from another failure.
 const HistoryEvent *findFailure(const std::vector<HistoryEvent> &events, const HistoryEvent *end)
 {
     const HistoryEvent *failure = nullptr;
@@ -95,16 +95,17 @@
         return " (the daemon was " + numberOf(event, "lag_ms") + " ms behind)";
     }
     if (valueOf(event, "odds", 1) < 1) {
-        return " (too few of its trees end whole now; share begun " + numberOf(event, "odds") + ")";
+        return " (too few of its call trees complete now; share admitted " + numberOf(event, "odds")
+            + ")";
     }
     if (event.has("load")) {
-        return " (service " + event.text("choice") + ": load " + numberOf(event, "load") + ", told "
-            + numberOf(event, "load_age_ms") + " ms before; share let in "
+        return " (service " + event.text("choice") + ": load " + numberOf(event, "load")
+            + ", reported " + numberOf(event, "load_age_ms") + " ms before; share admitted "
             + numberOf(event, "share") + ")";
     }
     if (event.has("window")) {
-        return " (the rule's tree was not known yet: " + numberOf(event, "under_way")
-            + " under way, window " + numberOf(event, "window") + ")";
+        return " (the call tree of the rule was not known yet: " + numberOf(event, "under_way")
+            + " in progress, window " + numberOf(event, "window") + ")";
     }
     if (event.has("queued")) {
         return " (in flight " + numberOf(event, "in_flight") + " of " + numberOf(event, "limit")
@@ -125,7 +126,7 @@
     return event.has("status") ? static_cast<int>(event.fields["status"].get<double>()) : 0;
 }
 
-/// The first run of the tree that ended with an error: those above it fail for it.
+/// The first run of the tree that ended with an error: runs above it fail because of it.
 const HistoryEvent *findFirstError(const std::vector<HistoryEvent> &events)
 {
     const auto run = std::find_if(events.begin(), events.end(), [](const HistoryEvent &event) {
@@ -144,18 +145,18 @@
         return text;
     }
     if (failure) {
-        return text + ": its server failed after a call of the tree ended so: at "
+        return text + ": its server failed after a call of its tree failed: at "
             + describe(*failure);
     }
     const HistoryEvent *first = findFirstError(events);
-    return first ? text + ": the first error of its tree was that of " + first->text("choice")
+    return first ? text + ": the first error of its tree came from " + first->text("choice")
             + ", service " + first->text("service") + ", beside " + first->daemon
                  : text + ": the logs name no error below it";
 }
 
 } // namespace
 
-/// Gates say how long a call waited, entries how long the whole took.
+/// Events of gates have the field `waited_ms`, ends at the entry do not.
 bool isRequestEnd(const HistoryEvent &event)
 {
     const bool isEnd = event.event == "answer" || event.event == "refuse";
--- a/src/app/internal/commands/requesthistory.cpp
+++ b/src/app/internal/commands/requesthistory.cpp
@@ -13,10 +13,10 @@
 constexpr std::array<const char *, 6> STATE_CHANGE_EVENTS{ "configuration", "membership",
                                                            "quarantine",    "upstream",
                                                            "dependency",    "lifecycle" };
-/// Changes of belief that are older were known to all when the request came.
+/// Older state changes were known to all daemons when the request arrived.
 constexpr double WINDOW_MARGIN_SECONDS = 1;
 
-/// Seconds since 1970 of a time like 2026-12-02T20:30:24.662Z; 0 if it is not one.
+/// Seconds since 1970 of a timestamp like 2026-12-02T20:30:24.662Z; 0 if it is malformed.
 double secondsOf(const std::string &time)
 {
     std::tm parts{};
@@ -101,7 +101,7 @@
         return found;
     }
     const double first = secondsOf(m_events.front().time) - WINDOW_MARGIN_SECONDS;
-    // What was left out in a second is told in the next one.
+    // Lines suppressed in one second are reported in the next one.
     const double last = secondsOf(m_events.back().time) + WINDOW_MARGIN_SECONDS;
     for (const HistoryEvent &event : events) {
         const double time = secondsOf(event.time);
--- a/src/app/internal/commands/statuscommand.cpp
+++ b/src/app/internal/commands/statuscommand.cpp
@@ -16,9 +16,9 @@
 
 const char HELP[] = R"(Usage: ivyspar status [flags]
 
-Asks a daemon for its status and prints it: configuration version, members, upstream, load. Run it
-on the daemon's host, as the operator interface listens on loopback by default. Exits with 1 when
-the daemon does not answer.
+Queries the status of a daemon and prints it: configuration version, members, upstream, load. Run it
+on the daemon's host, as the operator interface listens on loopback by default. Exits with 1 if the
+daemon does not respond.
 
 Example:
   ivyspar status --operator=127.0.0.1:7401
--- a/src/app/internal/commands/statustext.cpp
+++ b/src/app/internal/commands/statustext.cpp
@@ -9,8 +9,8 @@
 using nlohmann::json;
 
 constexpr std::size_t INDENT = 2;
-// Writing recurses: a broken answer with 100,000 brackets would exhaust the stack. Whatever is
-// deeper is left out while parsing, which does not recurse.
+// Writing is recursive: a malformed response with 100,000 brackets would exhaust the stack. Deeper
+// values are dropped while parsing, which is not recursive.
 constexpr int MAX_DEPTH = 16;
 
 bool keepShallow(int depth, json::parse_event_t /*event*/, json & /*value*/)
@@ -26,7 +26,7 @@
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-/// A list of plain values fits on one line; objects get lines of their own.
+/// Lists of scalars are written on one line, objects on several.
 bool isSingleLine(const json &value)
 {
     if (value.is_object()) {
--- a/src/app/internal/commands/statustext.h
+++ b/src/app/internal/commands/statustext.h
@@ -6,8 +6,8 @@
 
 namespace ivyspar {
 
-/// A daemon's status (JSON) as indented lines for people. Fails with `InvalidArgument` if it is no
-/// JSON object.
+/// A daemon's status (JSON) as human-readable, indented lines. Fails with `InvalidArgument` if it
+/// is not a JSON object.
 RetVal<std::string> toStatusText(const std::string &json);
 
 } // namespace ivyspar
--- a/src/app/tests/asynclogstest.cpp
+++ b/src/app/tests/asynclogstest.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Keeps the lines; each waits until the appender is open.
+/// Records the lines; each append blocks until the appender is open.
 class StallingAppender : public log4cplus::Appender
 {
 public:
@@ -29,7 +29,7 @@
         m_isOpen = true;
         m_change.notify_all();
     }
-    /// Waits until the writer holds a line that it cannot get rid of.
+    /// Waits until the writer is blocked in an append.
     void waitForStall()
     {
         std::unique_lock lock(m_mutex);
@@ -92,8 +92,8 @@
                     lines->lines().back().c_str());
 }
 
-// The reader of the log stalls, as a full pipe does. Writers of lines go on at once, what does not
-// fit is counted, and the lines that fitted come out in order once the reader is back.
+// If the log's output stalls, as with a full pipe, threads that log must not block: lines that do
+// not fit are counted, and the queued ones are written in order once the output continues.
 TEST(AsyncLogs, StalledReaderDoesNotBlockWriters)
 {
     auto logs = open(10);
--- a/src/app/tests/documentationtest.cpp
+++ b/src/app/tests/documentationtest.cpp
@@ -19,7 +19,7 @@
     return text.str();
 }
 
-/// The words that follow `prefix` at the beginning of lines, with `start` before each.
+/// The words that follow `prefix` at the beginning of lines, each with `start` prepended.
 std::set<std::string> wordsAfter(const std::string &text, const std::string &prefix,
                                  const std::string &start)
 {
--- a/src/app/tests/explaintest.cpp
+++ b/src/app/tests/explaintest.cpp
@@ -43,23 +43,23 @@
 }
 ;
 
-// A page failed with 500. Its entry saw an error of the server; the reason is in the log of another
-// host, whose server lost a call to a full service.
+// A request failed with 500. The entry's log shows only the server's error; the cause is in the log
+// of another host, where a call was refused by a full gate.
 TEST(Explain, FailureIsTracedToTheLostCall)
 {
     const std::string text = explain("00000000000000aa", { ENTRY_LOG, GATE_LOG });
     STRCMP_CONTAINS("request 00000000000000aa, 4 lines", text.c_str());
     STRCMP_CONTAINS(
-        "Cause: answered with 500 after 300.0 ms: its server failed after a call of the "
-        "tree ended so: at d2, service stock: queue-full",
+        "Cause: answered with 500 after 300.0 ms: its server failed after a call of its "
+        "tree failed: at d2, service stock: queue-full",
         text.c_str());
     STRCMP_CONTAINS("(in flight 4 of 4, queued 4, left 90.5 ms)", text.c_str());
     CHECK(text.find("00000000000000bb") == std::string::npos);
     CHECK(text.find("admit") < text.find("refuse"));
 }
 
-// Three servers of a chain answer with errors. The one that failed first, at the end of the chain,
-// is the cause; the others only passed it on.
+// Three servers of a chain respond with errors. The one that failed first, at the end of the chain,
+// is the cause; the others only propagated the error.
 TEST(Explain, FirstErrorOfAChainIsTheCause)
 {
     const std::string log =
@@ -67,12 +67,12 @@
 {"time":"2026-12-02T10:00:00.200Z","daemon":"d2","event":"run","request":"00000000000000aa","service":"shop","choice":"i-2","outcome":"answered","status":500.0}
 {"time":"2026-12-02T10:00:00.300Z","daemon":"d1","event":"answer","request":"00000000000000aa","service":"shop","took_ms":200.0,"status":500.0}
 )";
-    STRCMP_CONTAINS("the first error of its tree was that of i-3, service stock, beside d3",
+    STRCMP_CONTAINS("the first error of its tree came from i-3, service stock, beside d3",
                     explain("00000000000000aa", { log }).c_str());
 }
 
-// A request failed when one of its calls was lost. The calls that were still under way were then
-// cancelled: they did not cause it.
+// A request failed because one of its calls was lost. The calls still in flight were then cancelled
+// and must not be reported as the cause.
 TEST(Explain, CancelledCallsAreNotTheCause)
 {
     const std::string log =
@@ -94,14 +94,14 @@
 {
     const std::string log =
         R"({"time":"2026-12-02T10:00:00.100Z","daemon":"d1","event":"refuse","request":"00000000000000aa","service":"shop","choice":"stock","outcome":"not-run","reason":"below-floor","share":0.5,"load":2.0,"load_age_ms":35.0})";
-    STRCMP_CONTAINS("(service stock: load 2.0, told 35.0 ms before; share let in 0.5)",
+    STRCMP_CONTAINS("(service stock: load 2.0, reported 35.0 ms before; share admitted 0.5)",
                     explain("00000000000000aa", { log + "\n" }).c_str());
 }
 
 TEST(Explain, RefusalForLossOrLagShowsItsInputs)
 {
     STRCMP_CONTAINS(
-        "too few of its trees end whole now; share begun 0.03",
+        "too few of its call trees complete now; share admitted 0.03",
         explain("00000000000000aa",
                 { refusal(R"("reason":"below-floor","share":1.2,"odds":0.03,"load":0.7)") })
             .c_str());
@@ -114,8 +114,7 @@
 TEST(Explain, NamesTheFingerprintOfARequestInQuarantine)
 {
     STRCMP_CONTAINS(
-        "servers that run such a request end, so it is not run any more (fingerprint 4f00, crashes "
-        "3",
+        "such requests crash servers, so they are no longer run (fingerprint 4f00, crashes 3",
         explain("00000000000000aa",
                 { refusal(R"("reason":"quarantined","crashes":3,"fingerprint":"4f00")") })
             .c_str());
@@ -132,7 +131,8 @@
     CHECK(text.find("reason=old") == std::string::npos);
 }
 
-// The reader must not take silence for proof: lines were left out, or the file is cut.
+// If lines were suppressed or a file is truncated, the output must say that the logs are
+// incomplete.
 TEST(Explain, IncompleteLogsAreReported)
 {
     const std::string log = std::string(ENTRY_LOG)
--- a/src/app/tests/failuresummarytest.cpp
+++ b/src/app/tests/failuresummarytest.cpp
@@ -39,8 +39,8 @@
     }
 };
 
-// On call the first question is what is going on: most were refused for one full service, and one
-// page lost a call to it. The refusals of calls at its gate are no requests of callers.
+// Most requests were refused because of one overloaded service, and one lost a call to it. Refusals
+// of calls at that service's gate must not be counted as requests of callers.
 TEST(FailureSummary, GroupsFailedRequestsByTheirCause)
 {
     read({ ENTRY_LOG, GATE_LOG });
@@ -61,11 +61,11 @@
     const std::string text = toSummary(m_summary);
     STRCMP_CONTAINS("4 requests of callers ended, 3 failed (75.0%)", text.c_str());
     STRCMP_CONTAINS("Worst seconds: 10:00:01 2 of 2, 10:00:00 1 of 2.", text.c_str());
-    STRCMP_CONTAINS("9 lines were left out", text.c_str());
+    STRCMP_CONTAINS("9 lines were suppressed", text.c_str());
     CHECK(text.find("queue-full") > text.find("below-floor"));
 }
 
-// The log of the gate's host is missing: the cause must not be made up.
+// If the log of the gate's host is missing, no cause may be invented.
 TEST(FailureSummary, ReportsThatTheCauseIsUnknown)
 {
     read({ ENTRY_LOG });
--- a/src/app/tests/logbudgettest.cpp
+++ b/src/app/tests/logbudgettest.cpp
@@ -36,8 +36,8 @@
     }
 };
 
-// Under a burst each request makes routine lines. The refusals, which somebody will ask about, are
-// written all the same.
+// Under a burst each request produces routine lines. Refusals, which operators ask about, must
+// still be written.
 TEST(LogBudget, RoutineLinesLeaveRoomForEssentialLines)
 {
     CHECK_EQUAL(40, take(1000, Importance::Routine));
@@ -64,8 +64,8 @@
     CHECK(m_budget.takeSuppressed(m_now).empty());
 }
 
-// A request passes three daemons, each with too many lines. Somebody follows it by its id: either
-// all of them wrote its lines or none did.
+// A request passes through several daemons that all exceed their budget. To trace it by its id,
+// either all of them must write its lines or none.
 TEST(LogBudget, DaemonsKeepTheLinesOfTheSameRequests)
 {
     LogBudget other{ m_options };
--- a/src/app/tests/looplagtest.cpp
+++ b/src/app/tests/looplagtest.cpp
@@ -28,8 +28,8 @@
     CHECK(lagAfter(1s) == Duration::zero());
 }
 
-// Requests that lie unread for 0.8 s are taken for as old as they are, also before the timer that
-// shows it has run.
+// If the loop is 0.8 s late, requests may have waited unread for that long: the lag must show it,
+// even before the delayed timer has fired.
 TEST(LoopLag, DelayedLoopIsDetected)
 {
     lagAfter(1s);
--- a/src/app/tests/mocks/fakequarantine.h
+++ b/src/app/tests/mocks/fakequarantine.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// Says of each fingerprint what the test has set, and keeps what it is told.
+/// Returns the assessments that the test has set, and records crashes and completions.
 class FakeQuarantine : public IQuarantine
 {
 public:
--- a/src/app/tests/mocks/inlineeventloop.h
+++ b/src/app/tests/mocks/inlineeventloop.h
@@ -8,8 +8,8 @@
 
 namespace ivyspar {
 
-/// Runs each task at once on the caller's stack, under a clock that the test moves. For code whose
-/// tasks do not suspend.
+/// Runs each task immediately on the caller's stack, with a clock controlled by the test. For code
+/// whose tasks do not suspend.
 class InlineEventLoop : public IEventLoop
 {
 public:
@@ -29,7 +29,7 @@
     void run() override { }
     void stop() override { }
 
-    /// Moves the clock and runs the timers that are due, in order of time.
+    /// Advances the clock and runs the due timers in order of time.
     void advance(Duration duration)
     {
         const TimePoint end = m_now + duration;
--- a/src/app/tests/mocks/lateeventloop.h
+++ b/src/app/tests/mocks/lateeventloop.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// A loop whose timers run late, as those of a process that is short of processor time.
+/// An event loop whose timers fire late, as in a process short of processor time.
 class LateEventLoop : public InlineEventLoop
 {
 public:
--- a/src/app/tests/mocks/noquarantine.h
+++ b/src/app/tests/mocks/noquarantine.h
@@ -4,7 +4,7 @@
 
 namespace ivyspar {
 
-/// Suspects nobody.
+/// A quarantine without suspects.
 class NoQuarantine : public IQuarantine
 {
 public:
--- a/src/app/tests/mocks/numberreader.h
+++ b/src/app/tests/mocks/numberreader.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// Reads documents that are just their version.
+/// Reads documents that consist only of their version number.
 class NumberReader : public IDocumentReader
 {
 public:
--- a/src/app/tests/mocks/silentobservers.h
+++ b/src/app/tests/mocks/silentobservers.h
@@ -7,7 +7,7 @@
 
 namespace ivyspar {
 
-/// Observers whose lines go nowhere; the metrics are real.
+/// Observers that discard all log lines; the metrics are real.
 class SilentObservers
 {
 public:
--- a/src/app/tests/operatorclienttest.cpp
+++ b/src/app/tests/operatorclienttest.cpp
@@ -75,8 +75,8 @@
     }
 }
 
-// A daemon that hangs accepts the connection (its kernel does) and never answers. The operator gets
-// an error once the time is over instead of waiting for ever.
+// The kernel accepts connections for a daemon that hangs, but no response follows. The operator
+// must get an error after the time-out instead of waiting forever.
 TEST(OperatorClient, SilentDaemonTimesOut)
 {
     boost::asio::io_context context;
