--- a/src/app/internal/commands/checkcommand.cpp
+++ b/src/app/internal/commands/checkcommand.cpp
@@ -11,8 +11,8 @@
 
 const char HELP[] = R"(Usage: ivyspar check INVENTORY RULES
 
-Validates an inventory and its rules (TOML, docs/CONFIGURATION.md) and prints every problem with file,
-line, key and the expected value. Exits with 0 and a summary if there is none, else with 2.
+Validates an inventory and its rules (TOML, docs/CONFIGURATION.md) and prints every problem with
+file, line, key and the expected value. Exits with 0 and a summary if there is none, else with 2.
 
 Example:
   ivyspar check examples/tallowood/inventory.toml examples/tallowood/rules.toml
--- a/src/app/internal/commands/explaincommand.cpp
+++ b/src/app/internal/commands/explaincommand.cpp
@@ -18,11 +18,12 @@
        ivyspar explain --summary FILE...
 
 Reads decision logs of several daemons and prints the course of a request: the decisions of each
-daemon, their inputs, and the cause of the outcome. ID is the id of the request, or of a call made for
-it, as sixteen hexadecimal digits. Lines may have a prefix, and lines of other programs are ignored.
+daemon, their inputs, and the cause of the outcome. ID is the id of the request, or of a call made
+for it, as sixteen hexadecimal digits. Lines may have a prefix, and lines of other programs are
+ignored.
 
-With --summary, prints failed requests grouped by cause, with the worst second and the id of an example
-for each.
+With --summary, prints failed requests grouped by cause, with the worst second and the id of an
+example for each.
 
 Exits with 0 if lines of the request, or ends of requests, were found, else with 1.
 
--- a/src/app/internal/commands/keycommand.cpp
+++ b/src/app/internal/commands/keycommand.cpp
@@ -11,9 +11,10 @@
 
 const char HELP[] = R"(Usage: ivyspar key [flags]
 
-Generates a key for a client account, and its hash for `keys` in the rules. The key is shown only once:
-give it to the account's callers, who send it in the header Ivyspar-Key. Without --salt, a new salt is
-generated: set it as `key_salt` in the rules, and pass it with --salt in later calls of this command.
+Generates a key for a client account, and its hash for `keys` in the rules. The key is shown only
+once: give it to the account's callers, who send it in the header Ivyspar-Key. Without --salt, a
+new salt is generated: set it as `key_salt` in the rules, and pass it with --salt in later calls of
+this command.
 
 Example:
   ivyspar key --salt=5f0c2f6d0f1b4a9e8c7d6e5f4a3b2c1d
--- a/src/app/internal/commands/liftcommand.cpp
+++ b/src/app/internal/commands/liftcommand.cpp
@@ -16,8 +16,8 @@
 const char HELP[] = R"(Usage: ivyspar lift FINGERPRINT [flags]
 
 Lifts the quarantine of a request: all daemons send it to servers again, until it has crashed three
-more of them. `ivyspar status` lists the fingerprints. Exits with 1 if the fingerprint is unknown to the
-daemon or the daemon does not respond.
+more of them. `ivyspar status` lists the fingerprints. Exits with 1 if the fingerprint is unknown
+to the daemon or the daemon does not respond.
 
 Example:
   ivyspar lift a75317b572d20efb9e5f683d81a3ecbb --operator=127.0.0.1:7401
--- a/src/app/internal/commands/requestcause.cpp
+++ b/src/app/internal/commands/requestcause.cpp
@@ -184,7 +184,7 @@
     }
     const HistoryEvent *first = findFirstError(events);
     return first != nullptr
-        ? text + ": the first error was that of a server of " + first->text("service")
+        ? text + ": the first error came from a server of " + first->text("service")
         : text + ": the logs name no error below it";
 }
 
