--- a/src/app/internal/commands/operatorclient.cpp
+++ b/src/app/internal/commands/operatorclient.cpp
@@ -38,7 +38,7 @@
     case HttpFailureCause::Connect:
         return failure.text;
     case HttpFailureCause::Timeout:
-        return endpoint.text() + ": no response within " + toText(timeout);
+        return endpoint.text() + ": no answer within " + toText(timeout);
     default:
         return endpoint.text() + ": " + failure.text;
     }
@@ -53,7 +53,7 @@
     }
     if (result->status != OK) {
         return makeError(ErrorCode::Unavailable,
-                         endpoint.text() + ": responded with status "
+                         endpoint.text() + ": answered with status "
                              + std::to_string(result->status));
     }
     return std::move(result->body);
