--- a/src/app/internal/commands/commandline.cpp
+++ b/src/app/internal/commands/commandline.cpp
@@ -26,7 +26,7 @@
         return 0;
     }
     if (!arguments.empty()) {
-        return failUsage("version", { "unexpected argument \"" + arguments.front() + '"' });
+        return reportUsageErrors("version", { "unexpected argument \"" + arguments.front() + '"' });
     }
     std::puts("ivyspar " IVYSPAR_VERSION);
     return 0;
@@ -55,16 +55,16 @@
 
 Commands:
   daemon   run the daemon of this host
-  check    find mistakes in an inventory and its rules
-  publish  bring a new version of inventory and rules into force
-  status   show what a daemon knows and does
-  explain  print the course of a request from the logs of daemons
-  lift     let a request run again that is kept from servers
-  key      make a key of a client account, and its hash for the rules
+  check    validate an inventory and its rules
+  publish  publish a new version of inventory and rules
+  status   show the state of a daemon
+  explain  reconstruct the course of a request from decision logs
+  lift     lift the quarantine of a request
+  key      generate a key for a client account, and its hash for the rules
   version  print the version
-  help     print this, or the help of a command: ivyspar help daemon
+  help     print this text, or the help of a command: ivyspar help daemon
 
-Every command explains its flags with --help. Exit codes: 0 success, 1 failure, 2 wrong usage.
+Every command lists its flags with --help. Exit codes: 0 success, 1 failure, 2 wrong usage.
 )";
 
 const Command *findCommand(const std::string &name)
@@ -80,7 +80,7 @@
 int failUnknownCommand(const std::string &name)
 {
     std::fprintf(stderr, "ivyspar: unknown command \"%s\"\n%s", name.c_str(), HELP);
-    return EXIT_USAGE;
+    return EXIT_USAGE_ERROR;
 }
 
 int runHelp(const Arguments &arguments)
@@ -98,14 +98,14 @@
 
 } // namespace
 
-int failUsage(const std::string &command, const std::vector<std::string> &errors)
+int reportUsageErrors(const std::string &command, const std::vector<std::string> &errors)
 {
     for (const std::string &error : errors) {
         std::fprintf(stderr, "ivyspar %s: %s\n", command.c_str(), error.c_str());
     }
     std::fprintf(stderr, "ivyspar %s: %zu %s; see ivyspar %s --help\n", command.c_str(),
                  errors.size(), errors.size() == 1 ? "error" : "errors", command.c_str());
-    return EXIT_USAGE;
+    return EXIT_USAGE_ERROR;
 }
 
 int runCommandLine(int argc, char **argv)
@@ -113,7 +113,7 @@
     const Arguments arguments(argv + (argc > 0 ? 1 : 0), argv + argc);
     if (arguments.empty()) {
         std::fputs(HELP, stderr);
-        return EXIT_USAGE;
+        return EXIT_USAGE_ERROR;
     }
     const Command *command = findCommand(arguments.front());
     if (!command) {
--- a/src/app/internal/commands/explaincommand.cpp
+++ b/src/app/internal/commands/explaincommand.cpp
@@ -17,12 +17,13 @@
 const char HELP[] = R"(Usage: ivyspar explain ID FILE...
        ivyspar explain --summary FILE...
 
-Reads decision logs of several daemons and prints the course of a request: what each daemon decided,
-on what, and why it ended as it did. ID is the request's id, or that of a call made for it, as sixteen
-hexadecimal digits. The files may hold other text before each line, and lines of other programs.
+Reads decision logs of several daemons and prints the course of a request: the decisions of each
+daemon, their inputs, and the cause of the outcome. ID is the id of the request, or of a call made
+for it, as sixteen hexadecimal digits. Lines may have a prefix, and lines of other programs are
+ignored.
 
-With --summary prints what failed requests ended for, by cause, with the worst second of each and the
-id of one to explain.
+With --summary, prints failed requests grouped by cause, with the worst second and the id of an
+example for each.
 
 Exits with 0 if lines of the request, or ends of requests, were found, else with 1.
 
@@ -99,7 +100,7 @@
         summary.collect(log);
     }
     std::fputs(toSummary(summary).c_str(), stdout);
-    return summary.seconds().empty() ? EXIT_RUNTIME : 0;
+    return summary.seconds().empty() ? EXIT_RUNTIME_ERROR : 0;
 }
 
 int explainOne(const std::string &id, const std::vector<std::string> &files)
@@ -114,7 +115,7 @@
         history.collect(file, log);
     }
     std::fputs(toExplanation(history).c_str(), stdout);
-    return history.events().empty() ? EXIT_RUNTIME : 0;
+    return history.events().empty() ? EXIT_RUNTIME_ERROR : 0;
 }
 
 } // namespace
@@ -129,7 +130,7 @@
     const std::vector<std::string> errors =
         parsed.errors.empty() ? findErrors(parsed.operands) : parsed.errors;
     if (!errors.empty()) {
-        return failUsage("explain", errors);
+        return reportUsageErrors("explain", errors);
     }
     const std::vector<std::string> files = filesOf(parsed.operands);
     return FLAGS_summary ? explainAll(files) : explainOne(parsed.operands.front(), files);
--- a/src/app/internal/commands/liftcommand.cpp
+++ b/src/app/internal/commands/liftcommand.cpp
@@ -15,9 +15,9 @@
 
 const char HELP[] = R"(Usage: ivyspar lift FINGERPRINT [flags]
 
-Lifts the quarantine of a request: it is sent to servers again, by all daemons, until it has crashed
-three of them once more. `ivyspar status` lists the fingerprints. Exits with 1 when the daemon knows
-nothing of the fingerprint or does not answer.
+Lifts the quarantine of a request: all daemons send it to servers again, until it has crashed three
+more of them. `ivyspar status` lists the fingerprints. Exits with 1 if the fingerprint is unknown
+to the daemon or the daemon does not respond.
 
 Example:
   ivyspar lift a75317b572d20efb9e5f683d81a3ecbb --operator=127.0.0.1:7401
@@ -43,7 +43,7 @@
         postToOperatorEndpoint(endpoint, "/quarantine/lift/" + fingerprint, timeout);
     if (!answer) {
         std::fprintf(stderr, "ivyspar lift: %s\n", answer.error().text.c_str());
-        return EXIT_RUNTIME;
+        return EXIT_RUNTIME_ERROR;
     }
     std::fputs(answer->c_str(), stdout);
     return 0;
@@ -67,7 +67,7 @@
     const Duration timeout =
         values.duration("timeout", FLAGS_timeout, milliseconds(100), minutes(10));
     return errors.empty() ? lift(endpoint, parsed.operands.front(), timeout)
-                          : failUsage("lift", errors);
+                          : reportUsageErrors("lift", errors);
 }
 
 } // namespace ivyspar
--- a/src/app/internal/commands/operatorclient.cpp
+++ b/src/app/internal/commands/operatorclient.cpp
@@ -16,7 +16,7 @@
 HttpResult exchange(const Endpoint &endpoint, const HttpRequest &request, Duration timeout)
 {
     std::optional<HttpResult> result;
-    // A loop belongs to the thread of its first use for good: it gets one of its own.
+    // An event loop is bound to the thread of its first use, so it gets a thread of its own.
     std::thread worker([&] {
         const auto loop = makeEventLoop();
         HttpClientLimits limits;
@@ -44,7 +44,8 @@
     }
 }
 
-RetVal<std::string> ask(const Endpoint &endpoint, const HttpRequest &request, Duration timeout)
+RetVal<std::string> exchangeForBody(const Endpoint &endpoint, const HttpRequest &request,
+                                    Duration timeout)
 {
     HttpResult result = exchange(endpoint, request, timeout);
     if (!result) {
@@ -63,13 +64,13 @@
 RetVal<std::string> fetchFromOperatorEndpoint(const Endpoint &endpoint, const std::string &target,
                                               Duration timeout)
 {
-    return ask(endpoint, { "GET", target, {}, {} }, timeout);
+    return exchangeForBody(endpoint, { "GET", target, {}, {} }, timeout);
 }
 
 RetVal<std::string> postToOperatorEndpoint(const Endpoint &endpoint, const std::string &target,
                                            Duration timeout)
 {
-    return ask(endpoint, { "POST", target, {}, {} }, timeout);
+    return exchangeForBody(endpoint, { "POST", target, {}, {} }, timeout);
 }
 
 } // namespace ivyspar
--- a/src/app/internal/commands/statuscommand.cpp
+++ b/src/app/internal/commands/statuscommand.cpp
@@ -16,9 +16,9 @@
 
 const char HELP[] = R"(Usage: ivyspar status [flags]
 
-Asks a daemon for its status and prints it: configuration version, members, upstream, load. Run it
-on the daemon's host, as the operator interface listens on loopback by default. Exits with 1 when
-the daemon does not answer.
+Queries the status of a daemon and prints it: configuration version, members, upstream, load. Run it
+on the daemon's host, as the operator interface listens on loopback by default. Exits with 1 if the
+daemon does not respond.
 
 Example:
   ivyspar status --operator=127.0.0.1:7401
@@ -35,7 +35,7 @@
 int fail(const Error &error)
 {
     std::fprintf(stderr, "ivyspar status: %s\n", error.text.c_str());
-    return EXIT_RUNTIME;
+    return EXIT_RUNTIME_ERROR;
 }
 
 int printStatus(const Endpoint &endpoint, Duration timeout)
@@ -73,7 +73,7 @@
     const Endpoint endpoint = values.remoteEndpoint("operator", FLAGS_operator);
     const Duration timeout =
         values.duration("timeout", FLAGS_timeout, milliseconds(100), minutes(10));
-    return errors.empty() ? printStatus(endpoint, timeout) : failUsage("status", errors);
+    return errors.empty() ? printStatus(endpoint, timeout) : reportUsageErrors("status", errors);
 }
 
 } // namespace ivyspar
--- a/src/app/internal/commands/statustext.cpp
+++ b/src/app/internal/commands/statustext.cpp
@@ -9,8 +9,8 @@
 using nlohmann::json;
 
 constexpr std::size_t INDENT = 2;
-// Writing recurses: a broken answer with 100,000 brackets would exhaust the stack. Whatever is
-// deeper is left out while parsing, which does not recurse.
+// Writing is recursive: a malformed response with 100,000 brackets would exhaust the stack. Deeper
+// values are dropped while parsing, which is not recursive.
 constexpr int MAX_DEPTH = 16;
 
 bool keepShallow(int depth, json::parse_event_t /*event*/, json & /*value*/)
@@ -26,8 +26,8 @@
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-/// A list of plain values fits on one line; objects get lines of their own.
-bool isPlain(const json &value)
+/// Lists of scalars are written on one line, objects on several.
+bool isSingleLine(const json &value)
 {
     if (value.is_object()) {
         return value.empty();
@@ -49,7 +49,7 @@
 {
     text.append(depth * INDENT, ' ');
     text += label;
-    if (isPlain(value)) {
+    if (isSingleLine(value)) {
         text += ' ' + valueText(value) + '\n';
         return;
     }
--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr int EXIT_STOPPED = 1;
-/// Time for the goodbye to leave this host before the process ends.
-constexpr Duration GOODBYE = std::chrono::milliseconds(200);
+constexpr int EXIT_RUNTIME_ERROR = 1;
+/// Time for the final membership message to leave this host before the process exits.
+constexpr Duration GOODBYE_TIME = std::chrono::milliseconds(200);
 
 Incarnation currentIncarnation()
 {
@@ -54,7 +54,8 @@
 
 int Daemon::run()
 {
-    // Before any thread starts, so that all of them inherit it and only sigwait takes the signals.
+    // Set before any thread starts, so that all threads inherit the mask and only sigtimedwait
+    // receives these signals.
     const sigset_t signals = handledSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     std::signal(SIGPIPE, SIG_IGN);
@@ -65,21 +66,22 @@
     if (!operators) {
         std::fprintf(stderr, "ivyspar: %s\n", operators.error().text.c_str());
         stopThreads();
-        return EXIT_STOPPED;
+        return EXIT_RUNTIME_ERROR;
     }
     bound->operators = *operators;
     if (const Ret written = writeReady(*bound); !written) {
         std::fprintf(stderr, "ivyspar: %s\n", written.error().text.c_str());
         stopThreads();
-        return EXIT_STOPPED;
+        return EXIT_RUNTIME_ERROR;
     }
-    tell(LogLevel::Info, "started");
+    logLifecycle(LogLevel::Info, "started");
     waitForStop();
-    tell(LogLevel::Info, "stopping");
+    logLifecycle(LogLevel::Info, "stopping");
     const bool isDrained = drain();
-    tell(LogLevel::Info, isDrained ? "drained" : "calls were still running when the time was over");
+    logLifecycle(LogLevel::Info,
+                 isDrained ? "drained" : "calls were still running when the time was over");
     stopThreads();
-    return isDrained && !m_isDuplicate ? 0 : EXIT_STOPPED;
+    return isDrained && !m_isDuplicate ? 0 : EXIT_RUNTIME_ERROR;
 }
 
 void Daemon::waitForStop()
@@ -97,8 +99,8 @@
     }
 }
 
-/// One line for people and one for the decision log.
-void Daemon::tell(LogLevel level, const char *outcome, const std::string &detail)
+/// Writes an event to both the message log and the decision log.
+void Daemon::logLifecycle(LogLevel level, const char *outcome, const std::string &detail)
 {
     m_observers.log.write(level, detail.empty() ? outcome : std::string(outcome) + ": " + detail);
     if (!m_observers.decisions.isEnabled()) {
@@ -112,22 +114,24 @@
     m_observers.decisions.write(std::move(decision));
 }
 
-/// Only what may change while the daemon runs is taken over. Settings that cannot be read leave
-/// all as it was: a file may be found half written.
+/// Applies only the settings that may change at run time. Settings with errors are ignored, as the
+/// file may be only partly written.
 void Daemon::reload()
 {
-    const auto read = m_platform.reread();
+    const auto read = m_platform.rereadSettings();
     if (!read) {
-        tell(LogLevel::Info, "reload", "these settings do not change while the daemon runs");
+        logLifecycle(LogLevel::Info, "reload", "settings cannot be changed while the daemon runs");
         return;
     }
     if (!read->errors.empty()) {
-        tell(LogLevel::Error, "reload", "the settings are not used: " + read->errors.front());
+        logLifecycle(LogLevel::Error, "reload",
+                     "the changed settings are ignored: " + read->errors.front());
         return;
     }
     m_settings.hostService = read->settings.hostService;
-    tell(LogLevel::Info, "reload", "the service of this host is " + m_settings.hostService.value());
-    onTraffic([service = m_settings.hostService](TrafficNode &traffic) {
+    logLifecycle(LogLevel::Info, "reload",
+                 "the service of this host is " + m_settings.hostService.value());
+    postToTraffic([service = m_settings.hostService](TrafficNode &traffic) {
         traffic.setHostService(service);
     });
 }
@@ -158,7 +162,7 @@
 void Daemon::runControl(const ListeningEndpoints &bound, std::promise<RetVal<Endpoint>> &started)
 {
     m_control = std::make_unique<ControlNode>(*m_controlLoop, m_settings, m_platform,
-                                              makeSelf(bound), makeTrafficPort(), m_observers);
+                                              makeOwnMember(bound), makeTrafficPort(), m_observers);
     const auto endpoint = m_control->listen(bound.peer);
     m_control->start();
     started.set_value(endpoint);
@@ -166,7 +170,7 @@
     m_control.reset();
 }
 
-Member Daemon::makeSelf(const ListeningEndpoints &bound) const
+Member Daemon::makeOwnMember(const ListeningEndpoints &bound) const
 {
     Member self;
     self.id = m_self.id;
@@ -183,20 +187,20 @@
 {
     TrafficEvents events;
     events.onUpstreams = [this](std::vector<UpstreamInfo> upstreams) {
-        onControl([upstreams = std::move(upstreams)](ControlNode &control) {
+        postToControl([upstreams = std::move(upstreams)](ControlNode &control) {
             control.setUpstreams(upstreams);
         });
     };
-    events.onControl = [this](ControlMessage message) {
-        onControl(
+    events.onControlMessage = [this](ControlMessage message) {
+        postToControl(
             [message = std::move(message)](ControlNode &control) { control.receive(message); });
     };
     events.onUnreachable = [this](DaemonId daemon) {
-        onControl(
+        postToControl(
             [daemon = std::move(daemon)](ControlNode &control) { control.onUnreachable(daemon); });
     };
-    events.onPayload = [this](DaemonId to, std::string payload) {
-        onControl([to = std::move(to), payload = std::move(payload)](ControlNode &control) {
+    events.onOutgoingPayload = [this](DaemonId to, std::string payload) {
+        postToControl([to = std::move(to), payload = std::move(payload)](ControlNode &control) {
             control.send(to, payload);
         });
     };
@@ -207,41 +211,41 @@
 {
     TrafficPort port;
     port.setMembers = [this](std::vector<Member> members) {
-        onTraffic(
+        postToTraffic(
             [members = std::move(members)](TrafficNode &traffic) { traffic.setMembers(members); });
     };
     port.setConfiguration = [this](ConfigurationPtr configuration) {
-        onTraffic([configuration = std::move(configuration)](TrafficNode &traffic) {
+        postToTraffic([configuration = std::move(configuration)](TrafficNode &traffic) {
             traffic.setConfiguration(configuration);
         });
     };
     port.send = [this](DaemonId target, Endpoint endpoint, std::string payload) {
-        onTraffic([target = std::move(target), endpoint = std::move(endpoint),
-                   payload = std::move(payload)](TrafficNode &traffic) {
+        postToTraffic([target = std::move(target), endpoint = std::move(endpoint),
+                       payload = std::move(payload)](TrafficNode &traffic) {
             traffic.sendControl(target, endpoint, payload);
         });
     };
     port.fetchStatus = [this](std::function<void(TrafficStatus)> callback) {
-        onTraffic(
+        postToTraffic(
             [callback = std::move(callback)](TrafficNode &traffic) { callback(traffic.status()); });
     };
     port.receiveSuspects = [this](DaemonId from, std::string payload) {
-        onTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
+        postToTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
             traffic.receiveSuspects(from, payload);
         });
     };
     port.receiveAccounts = [this](DaemonId from, std::string payload) {
-        onTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
+        postToTraffic([from = std::move(from), payload = std::move(payload)](TrafficNode &traffic) {
             traffic.receiveAccounts(from, payload);
         });
     };
     port.setListed = [this](std::size_t daemons) {
-        onTraffic([daemons](TrafficNode &traffic) { traffic.setListed(daemons); });
+        postToTraffic([daemons](TrafficNode &traffic) { traffic.setDirectorySize(daemons); });
     };
     port.confirm = [this](TimePoint asOf) { m_confirmation.advance(asOf); };
     port.liftQuarantine = [this](Fingerprint fingerprint, std::function<void(bool)> callback) {
-        onTraffic([fingerprint = std::move(fingerprint), callback = std::move(callback)](
-                      TrafficNode &traffic) { callback(traffic.liftQuarantine(fingerprint)); });
+        postToTraffic([fingerprint = std::move(fingerprint), callback = std::move(callback)](
+                          TrafficNode &traffic) { callback(traffic.liftQuarantine(fingerprint)); });
     };
     port.stopForDuplicate = [this] {
         std::fprintf(stderr, "ivyspar: another daemon runs as %s; stopping\n",
@@ -252,7 +256,7 @@
     return port;
 }
 
-void Daemon::onTraffic(std::function<void(TrafficNode &)> task)
+void Daemon::postToTraffic(std::function<void(TrafficNode &)> task)
 {
     m_trafficLoop->post([this, task = std::move(task)] {
         if (m_traffic) {
@@ -261,7 +265,7 @@
     });
 }
 
-void Daemon::onControl(std::function<void(ControlNode &)> task)
+void Daemon::postToControl(std::function<void(ControlNode &)> task)
 {
     m_controlLoop->post([this, task = std::move(task)] {
         if (m_control) {
@@ -282,11 +286,11 @@
     done.get_future().wait();
 }
 
-/// The server beside works on while its daemon stops, and is reached through this daemon alone. So
-/// its calls are refused last: first callers turn to other daemons, then their requests end, and
-/// only then the others hear that this daemon is leaving. Refusing calls from the start would take
-/// the server out for seconds each time, and a roll of all daemons would cost a part of each
-/// service.
+/// The server on this host keeps working while its daemon stops, and is reachable only through this
+/// daemon. So calls to it are refused last: first callers move to other daemons, then their
+/// requests complete, and only then the other daemons are told that this one is leaving. Refusing
+/// calls from the start would make the server unavailable for seconds, and a rolling restart of all
+/// daemons would reduce the capacity of each service.
 bool Daemon::drain()
 {
     const TimePoint end = m_trafficLoop->now() + m_settings.leaveTime + m_settings.drainTimeout;
@@ -297,24 +301,24 @@
         m_traffic->refuseCallers();
         m_traffic->waitForCallers(end);
     });
-    // The others hear of it before calls are refused; what they sent before they heard is refused
-    // as not run and goes elsewhere.
+    // Other daemons are told before calls are refused; calls that they sent before that are refused
+    // as not run and are routed elsewhere.
     runAndWait(*m_controlLoop, [this] { m_control->startLeaving(); });
     bool isDrained = true;
     runAndWait(*m_trafficLoop, [&] { isDrained = m_traffic->drainCalls(end); });
     runAndWait(*m_controlLoop, [this] {
         m_control->leave();
-        m_controlLoop->sleepFor(GOODBYE);
+        m_controlLoop->sleepFor(GOODBYE_TIME);
     });
-    runAndWait(*m_trafficLoop, [this] { m_traffic->closeLinks(GOODBYE); });
+    runAndWait(*m_trafficLoop, [this] { m_traffic->closeLinks(GOODBYE_TIME); });
     return isDrained;
 }
 
 void Daemon::stopThreads()
 {
-    // Fibers of the control thread end while their loop still runs, also when the start failed.
+    // Fibers of the control thread must end while their loop still runs, also if the start failed.
     if (m_controlThread.joinable()) {
-        runAndWait(*m_controlLoop, [this] { m_control->stop(GOODBYE); });
+        runAndWait(*m_controlLoop, [this] { m_control->stop(GOODBYE_TIME); });
     }
     m_trafficLoop->stop();
     m_controlLoop->stop();
@@ -343,7 +347,7 @@
     const auto logs = openDaemonLogs(logSettings, *metrics);
     if (!logs) {
         std::fprintf(stderr, "ivyspar: %s\n", logs.error().text.c_str());
-        return EXIT_STOPPED;
+        return EXIT_RUNTIME_ERROR;
     }
     Daemon daemon(settings, platform, *metrics, **logs);
     return daemon.run();
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -185,7 +185,7 @@
     if (!m_options.compensatesLoopLag) {
         return Duration::zero();
     }
-    const Duration lag = m_lag.now();
+    const Duration lag = m_lag.current();
     m_processor.onArrival(now, message.admittedShare, lag);
     if (source == CallSource::ThisDaemon) {
         return Duration::zero();
--- a/src/app/internal/ownplatform.cpp
+++ b/src/app/internal/ownplatform.cpp
@@ -26,8 +26,11 @@
     {
         return nullptr;
     }
-    /// Flags and variables of a process stay as they were at its start.
-    std::optional<SettingsResult<DaemonSettings>> reread() const override { return std::nullopt; }
+    /// The flags and environment variables of a process do not change after its start.
+    std::optional<SettingsResult<DaemonSettings>> rereadSettings() const override
+    {
+        return std::nullopt;
+    }
     bool haveSettingsChanged() const override { return false; }
 };
 
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -18,16 +18,16 @@
 constexpr std::uint16_t CREATED = 201;
 constexpr std::uint16_t METHOD_NOT_ALLOWED = 405;
 
-constexpr Duration DRAIN_POLL = std::chrono::milliseconds(5);
-/// Of the time for a planned stop, what is left for the ends of connections.
+constexpr Duration DRAIN_POLL_INTERVAL = std::chrono::milliseconds(5);
+/// Part of the drain time that is reserved for closing connections.
 constexpr Duration CLOSING_TIME = std::chrono::milliseconds(200);
 
 HttpClientLimits makeClientLimits(const DaemonSettings &settings, const IUpstreamDialect &dialect)
 {
     HttpClientLimits limits;
     limits.echoHeader = dialect.echoHeader();
-    // A server that repeats the request's id in each answer can also be told from the rest of an
-    // answer to somebody else.
+    // If the server echoes the request id in each response, a response without framing can be told
+    // apart from the remains of another request's response.
     limits.takesUnframedAnswers = !limits.echoHeader.empty();
     limits.bodyBytes = settings.limits.bodyBytes;
     return limits;
@@ -43,7 +43,7 @@
     GateServiceOptions options;
     options.heartbeatTimeout = settings.heartbeatTimeout;
     options.cancelUpstream = !settings.ablations.cancel;
-    options.retryBudget = makeRepeatBudgetOptions(settings);
+    options.retryBudget = makeLocalRetryBudgetOptions(settings);
     options.compensatesLoopLag = mindsLag(settings);
     return options;
 }
@@ -134,9 +134,10 @@
         m_once = std::make_unique<NoOnceService>();
     }
     m_quarantine = std::make_unique<QuarantineService>(
-        loop, *m_random, observers, m_events.onPayload, makeQuarantineOptions(settings));
-    m_accounts = std::make_unique<AccountService>(loop, *m_random, confirmation, observers,
-                                                  m_events.onPayload, makeAccountOptions(settings));
+        loop, *m_random, observers, m_events.onOutgoingPayload, makeQuarantineOptions(settings));
+    m_accounts =
+        std::make_unique<AccountService>(loop, *m_random, confirmation, observers,
+                                         m_events.onOutgoingPayload, makeAccountOptions(settings));
     m_gates = std::make_unique<GateService>(loop, *m_client, *m_random, *m_once, *m_quarantine,
                                             *m_upstreamDialect, makeLocalGate, observers,
                                             makeGateServiceOptions(settings));
@@ -153,7 +154,7 @@
 {
     m_peerCalls =
         std::make_unique<PeerCalls>(m_loop, *m_network, *m_codec, *m_gates, observers, self);
-    m_peerCalls->setOnControl(m_events.onControl);
+    m_peerCalls->setOnControl(m_events.onControlMessage);
     m_peerCalls->setOnUnreachable(m_events.onUnreachable);
     m_entry = std::make_unique<EntryService>(
         m_loop, *m_requestDialect, EntryPolicies{ *m_router, *m_retries, *m_random }, *m_peerCalls,
@@ -172,7 +173,7 @@
     return limits;
 }
 
-/// What operators set in the configuration goes before the settings of this daemon.
+/// Limits in the configuration take precedence over this daemon's settings.
 HttpLimits TrafficNode::makeCallerLimits(const CallerLimits &limits) const
 {
     HttpLimits bounds = makeLimits();
@@ -282,18 +283,18 @@
 void TrafficNode::waitForCallers(TimePoint end)
 {
     while (m_entry->callerCount() > 0 && m_loop.now() < end) {
-        m_loop.sleepFor(DRAIN_POLL);
+        m_loop.sleepFor(DRAIN_POLL_INTERVAL);
     }
 }
 
 bool TrafficNode::drainCalls(TimePoint end)
 {
     m_gates->startDraining();
-    // Calls that other daemons sent here run on, and so do the calls that they make from here. The
-    // listeners stay open for these.
+    // Calls that other daemons sent here continue and may make calls of their own through this
+    // daemon, so the listeners stay open for now.
     const TimePoint last = end - CLOSING_TIME;
     while (m_gates->callCount() + m_entry->requestCount() > 0 && m_loop.now() < last) {
-        m_loop.sleepFor(DRAIN_POLL);
+        m_loop.sleepFor(DRAIN_POLL_INTERVAL);
     }
     const bool isDone = m_gates->callCount() + m_entry->requestCount() == 0;
     m_callerServer->drain(timeUntil(end));
@@ -301,10 +302,10 @@
     return isDone;
 }
 
-/// At least enough for what is ready to be sent.
+/// At least `DRAIN_POLL_INTERVAL`, so that data that is ready is still sent.
 Duration TrafficNode::timeUntil(TimePoint end) const
 {
-    return std::max(std::chrono::duration_cast<Duration>(end - m_loop.now()), DRAIN_POLL);
+    return std::max(std::chrono::duration_cast<Duration>(end - m_loop.now()), DRAIN_POLL_INTERVAL);
 }
 
 void TrafficNode::closeLinks(Duration timeout)
@@ -323,7 +324,7 @@
 HttpResponse TrafficNode::issueTicket(const HttpRequest &request)
 {
     if (request.method != "POST") {
-        return makeText(METHOD_NOT_ALLOWED, "tickets are handed out by POST");
+        return makeText(METHOD_NOT_ALLOWED, "method not allowed: tickets are issued by POST");
     }
     return HttpResponse{ CREATED,
                          { { "Content-Type", "text/plain" } },
--- a/src/app/tests/explaintest.cpp
+++ b/src/app/tests/explaintest.cpp
@@ -43,37 +43,37 @@
 }
 ;
 
-// A page failed with 500. Its entry saw an error of the server; the reason is in the log of another
-// host, whose server lost a call to a full service.
-TEST(Explain, FailureOfATreeIsTracedToTheCallThatWasLost)
+// A request failed with 500. The entry's log shows only the server's error; the cause is in the log
+// of another host, where a call was refused by a full gate.
+TEST(Explain, FailureIsTracedToTheLostCall)
 {
     const std::string text = explain("00000000000000aa", { ENTRY_LOG, GATE_LOG });
     STRCMP_CONTAINS("request 00000000000000aa, 4 lines", text.c_str());
     STRCMP_CONTAINS(
-        "Cause: answered with 500 after 300.0 ms: its server failed after a call of the "
-        "tree ended so: at d2, service stock: queue-full",
+        "Cause: answered with 500 after 300.0 ms: its server failed after a call of its "
+        "tree failed: at d2, service stock: queue-full",
         text.c_str());
     STRCMP_CONTAINS("(in flight 4 of 4, queued 4, left 90.5 ms)", text.c_str());
     CHECK(text.find("00000000000000bb") == std::string::npos);
     CHECK(text.find("admit") < text.find("refuse"));
 }
 
-// Three servers of a chain answer with errors. The one that failed first, at the end of the chain,
-// is the cause; the others only passed it on.
-TEST(Explain, FirstErrorOfAChainIsItsCause)
+// Three servers of a chain respond with errors. The one that failed first, at the end of the chain,
+// is the cause; the others only propagated the error.
+TEST(Explain, FirstErrorOfAChainIsTheCause)
 {
     const std::string log =
         R"({"time":"2026-12-02T10:00:00.100Z","daemon":"d3","event":"run","request":"00000000000000aa","service":"stock","choice":"i-3","outcome":"answered","status":500.0}
 {"time":"2026-12-02T10:00:00.200Z","daemon":"d2","event":"run","request":"00000000000000aa","service":"shop","choice":"i-2","outcome":"answered","status":500.0}
 {"time":"2026-12-02T10:00:00.300Z","daemon":"d1","event":"answer","request":"00000000000000aa","service":"shop","took_ms":200.0,"status":500.0}
 )";
-    STRCMP_CONTAINS("the first error of its tree was that of i-3, service stock, beside d3",
+    STRCMP_CONTAINS("the first error of its tree came from i-3, service stock, beside d3",
                     explain("00000000000000aa", { log }).c_str());
 }
 
-// A request failed when one of its calls was lost. The calls that were still under way were then
-// cancelled: they did not cause it.
-TEST(Explain, CallsThatWereCancelledAreNoCause)
+// A request failed because one of its calls was lost. The calls still in flight were then cancelled
+// and must not be reported as the cause.
+TEST(Explain, CancelledCallsAreNotTheCause)
 {
     const std::string log =
         R"({"time":"2026-12-02T10:00:00.100Z","daemon":"d2","event":"run","request":"00000000000000aa","service":"stock","outcome":"unknown","reason":"broken-answer"}
@@ -84,24 +84,24 @@
     STRCMP_CONTAINS("service stock: broken-answer", explain("00000000000000aa", { log }).c_str());
 }
 
-TEST(Explain, CallOfAServerLeadsToItsRequest)
+TEST(Explain, CallIdFindsItsRequest)
 {
     STRCMP_CONTAINS("request 00000000000000aa, 4 lines",
                     explain("00000000000000cc", { ENTRY_LOG, GATE_LOG }).c_str());
 }
 
-TEST(Explain, RefusalAtTheRootTellsLoadAndItsAge)
+TEST(Explain, RootRefusalShowsLoadAndItsAge)
 {
     const std::string log =
         R"({"time":"2026-12-02T10:00:00.100Z","daemon":"d1","event":"refuse","request":"00000000000000aa","service":"shop","choice":"stock","outcome":"not-run","reason":"below-floor","share":0.5,"load":2.0,"load_age_ms":35.0})";
-    STRCMP_CONTAINS("(service stock: load 2.0, told 35.0 ms before; share let in 0.5)",
+    STRCMP_CONTAINS("(service stock: load 2.0, reported 35.0 ms before; share admitted 0.5)",
                     explain("00000000000000aa", { log + "\n" }).c_str());
 }
 
-TEST(Explain, RefusalByTheOddsOrTheLagTellsThem)
+TEST(Explain, RefusalForLossOrLagShowsItsInputs)
 {
     STRCMP_CONTAINS(
-        "too few of its trees end whole now; share begun 0.03",
+        "too few of its call trees complete now; share admitted 0.03",
         explain("00000000000000aa",
                 { refusal(R"("reason":"below-floor","share":1.2,"odds":0.03,"load":0.7)") })
             .c_str());
@@ -114,14 +114,13 @@
 TEST(Explain, NamesTheFingerprintOfARequestInQuarantine)
 {
     STRCMP_CONTAINS(
-        "servers that run such a request end, so it is not run any more (fingerprint 4f00, crashes "
-        "3",
+        "such requests crash servers, so they are no longer run (fingerprint 4f00, crashes 3",
         explain("00000000000000aa",
                 { refusal(R"("reason":"quarantined","crashes":3,"fingerprint":"4f00")") })
             .c_str());
 }
 
-TEST(Explain, BeliefsAroundTheRequestAreShownAndOthersNot)
+TEST(Explain, OnlyStateChangesNearTheRequestAreShown)
 {
     const std::string log = std::string(ENTRY_LOG)
         + R"({"time":"2026-12-02T09:59:59.500Z","daemon":"d2","event":"upstream","outcome":"stop","reason":"draining"}
@@ -132,8 +131,9 @@
     CHECK(text.find("reason=old") == std::string::npos);
 }
 
-// The reader must not take silence for proof: lines were left out, or the file is cut.
-TEST(Explain, WhatTheLogsLackIsSaid)
+// If lines were suppressed or a file is truncated, the output must say that the logs are
+// incomplete.
+TEST(Explain, IncompleteLogsAreReported)
 {
     const std::string log = std::string(ENTRY_LOG)
         + R"({"time":"2026-12-02T10:00:01.000Z","daemon":"d1","event":"suppressed","lines":{"admit":7,"run":2}}
@@ -148,7 +148,7 @@
     STRCMP_CONTAINS("holds no line of a decision log", explain("00000000000000ee", { "" }).c_str());
 }
 
-TEST(Explain, LinesThatAreNoEventsAreLeftOut)
+TEST(Explain, LinesThatAreNotEventsAreIgnored)
 {
     for (const char *log : { "{", "{}\n", "[1]\n", "{\"event\":1,\"time\":\"x\"}\n", "\xff{\n" }) {
         STRCMP_CONTAINS("no line of request", explain("00000000000000aa", { log }).c_str());
--- a/src/app/tests/logbudgettest.cpp
+++ b/src/app/tests/logbudgettest.cpp
@@ -36,9 +36,9 @@
     }
 };
 
-// Under a burst each request makes routine lines. The refusals, which somebody will ask about, are
-// written all the same.
-TEST(LogBudget, RoutineLinesLeaveRoomForWhatGoesWrong)
+// Under a burst each request produces routine lines. Refusals, which operators ask about, must
+// still be written.
+TEST(LogBudget, RoutineLinesLeaveRoomForEssentialLines)
 {
     CHECK_EQUAL(40, take(1000, Importance::Routine));
     CHECK_EQUAL(60, take(1000, Importance::Essential));
@@ -52,7 +52,7 @@
     }
 }
 
-TEST(LogBudget, WhatIsLeftOutIsCountedAndToldInTheNextSecond)
+TEST(LogBudget, SuppressedLinesAreReportedInTheNextSecond)
 {
     take(45, Importance::Routine);
     take(70, Importance::Essential);
@@ -64,8 +64,8 @@
     CHECK(m_budget.takeSuppressed(m_now).empty());
 }
 
-// A request passes three daemons, each with too many lines. Somebody follows it by its id: either
-// all of them wrote its lines or none did.
+// A request passes through several daemons that all exceed their budget. To trace it by its id,
+// either all of them must write its lines or none.
 TEST(LogBudget, DaemonsKeepTheLinesOfTheSameRequests)
 {
     LogBudget other{ m_options };
--- a/src/app/tests/looplagtest.cpp
+++ b/src/app/tests/looplagtest.cpp
@@ -16,21 +16,21 @@
     {
         Duration lag{ 0 };
         for (Duration passed{ 0 }; passed < time; passed += 10ms) {
-            lag = m_lag.now();
+            lag = m_lag.current();
             m_loop.advance(10ms);
         }
         return lag;
     }
 };
 
-TEST(LoopLag, ALoopThatKeepsUpHasNone)
+TEST(LoopLag, LoopThatKeepsUpHasNoLag)
 {
     CHECK(lagAfter(1s) == Duration::zero());
 }
 
-// Requests that lie unread for 0.8 s are taken for as old as they are, also before the timer that
-// shows it has run.
-TEST(LoopLag, ALoopThatIsBehindIsFoundOut)
+// If the loop is 0.8 s late, requests may have waited unread for that long: the lag must show it,
+// even before the delayed timer has fired.
+TEST(LoopLag, DelayedLoopIsDetected)
 {
     lagAfter(1s);
     m_loop.setLateness(800ms);
@@ -39,7 +39,7 @@
     CHECK(lagAfter(1s) >= 780ms);
 }
 
-TEST(LoopLag, ALagIsForgottenWhenTheLoopKeepsUpAgain)
+TEST(LoopLag, LagIsClearedWhenTheLoopKeepsUpAgain)
 {
     m_loop.setLateness(800ms);
     lagAfter(2s);
@@ -48,7 +48,7 @@
     CHECK(lagAfter(100ms) == Duration::zero());
 }
 
-TEST(LoopLag, NobodyAsksNoTimerRuns)
+TEST(LoopLag, NoTimerRunsWithoutQueries)
 {
     lagAfter(1s);
     m_loop.advance(1s);
