--- a/src/protocol/internal/fieldcodec.h
+++ b/src/protocol/internal/fieldcodec.h
@@ -81,6 +81,7 @@
         value = StrongType<T, Tag>(std::move(plain));
     }
 
+    /// Numbers above that of `last` make the reader bad.
     template <typename Enum> std::enable_if_t<std::is_enum_v<Enum>> read(Enum &value, Enum last)
     {
         std::uint8_t plain = 0;
