--- a/src/app/internal/control/controlexchange.cpp
+++ b/src/app/internal/control/controlexchange.cpp
@@ -14,7 +14,7 @@
 std::vector<ControlPeer> ControlExchange::peers() const
 {
     std::vector<ControlPeer> peers;
-    for (const Member &member : m_membership.working()) {
+    for (const Member &member : m_membership.availableMembers()) {
         if (member.id != m_membership.self().id) {
             peers.push_back({ member.id, member.domain });
         }
@@ -24,7 +24,7 @@
 
 void ControlExchange::send(const DaemonId &to, std::string payload)
 {
-    const std::vector<Member> &members = m_membership.working();
+    const std::vector<Member> &members = m_membership.availableMembers();
     const auto found = std::find_if(members.begin(), members.end(),
                                     [&to](const Member &each) { return each.id == to; });
     if (found != members.end()) {
--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -112,7 +112,7 @@
         directory, m_loop, *m_directoryLog, *m_random, m_observers,
         [this](const MembershipSeed &seed) { m_membership.addSeed(seed); },
         [this](std::size_t daemons) { m_traffic.setListed(daemons); },
-        [this] { return m_membership.working().size(); });
+        [this] { return m_membership.availableMembers().size(); });
 }
 
 std::unique_ptr<IKeyedLog> ControlNode::makeKeyedLog(const IPlatform &platform)
--- a/src/app/internal/control/membershipdriver.cpp
+++ b/src/app/internal/control/membershipdriver.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Later than this after the start, a newer record under this daemon's id is not of its previous
-/// run.
-constexpr Duration PREVIOUS_RUN = std::chrono::seconds(30);
+/// Later than this after the start, a conflicting record under this daemon's id is not of its
+/// previous run.
+constexpr Duration PREVIOUS_RUN_WINDOW = std::chrono::seconds(30);
 
 } // namespace
 
@@ -36,8 +36,8 @@
     for (const Endpoint &seed : seeds) {
         addSeed({ seed, DomainName() });
     }
-    m_working = m_membership->availableMembers();
-    m_events.onMembers(m_working);
+    m_availableMembers = m_membership->availableMembers();
+    m_events.onMembers(m_availableMembers);
     tick();
 }
 
@@ -88,25 +88,25 @@
 }
 
 /// The clock of this host may have been set back since the previous run of this daemon, whose
-/// record then looks newer. Stopping for it would stop each new run too, until the clock has caught
-/// up.
-void MembershipDriver::onNewerSelf(Incarnation newer)
+/// record then looks conflicting. Stopping for it would stop each new run too, until the clock has
+/// caught up.
+void MembershipDriver::onConflictingIncarnation(Incarnation conflicting)
 {
-    if (m_loop.now() - m_startedAt > PREVIOUS_RUN) {
+    if (m_loop.now() - m_startedAt > PREVIOUS_RUN_WINDOW) {
         m_events.onDuplicate();
         return;
     }
-    for (const Member &member : m_working) {
+    for (const Member &member : m_availableMembers) {
         m_seeds[member.peerEndpoint] = member.domain;
     }
-    m_self.incarnation = Incarnation(newer.value() + 1);
+    m_self.incarnation = Incarnation(conflicting.value() + 1);
     m_membership = makeMembership(m_loop.now(), m_self);
     const auto seeds = m_seeds;
     for (const auto &[endpoint, domain] : seeds) {
         addSeed({ endpoint, domain });
     }
-    m_working = m_membership->availableMembers();
-    m_events.onMembers(m_working);
+    m_availableMembers = m_membership->availableMembers();
+    m_events.onMembers(m_availableMembers);
 }
 
 void MembershipDriver::perform(const MembershipActions &actions)
@@ -115,12 +115,12 @@
         m_events.send(datagram.to, datagram.endpoint, encodeMembership(datagram.message));
     }
     if (actions.conflictingIncarnation) {
-        onNewerSelf(*actions.conflictingIncarnation);
+        onConflictingIncarnation(*actions.conflictingIncarnation);
         return;
     }
     if (actions.changed) {
-        m_working = m_membership->availableMembers();
-        m_events.onMembers(m_working);
+        m_availableMembers = m_membership->availableMembers();
+        m_events.onMembers(m_availableMembers);
     }
 }
 
--- a/src/app/internal/control/membershipdriver.h
+++ b/src/app/internal/control/membershipdriver.h
@@ -43,12 +43,12 @@
     bool receive(const DaemonId &from, const std::string &payload);
     void onUnreachable(const DaemonId &daemon);
     std::vector<MemberStatus> all() const { return m_membership->allMembers(); }
-    const std::vector<Member> &working() const { return m_working; }
+    const std::vector<Member> &availableMembers() const { return m_availableMembers; }
     const Member &self() const { return m_self; }
 
 private:
     void tick();
-    void onNewerSelf(Incarnation newer);
+    void onConflictingIncarnation(Incarnation conflicting);
     void perform(const MembershipActions &actions);
 
     IEventLoop &m_loop;
@@ -58,7 +58,7 @@
     TimePoint m_startedAt;
     std::map<Endpoint, DomainName> m_seeds;
     std::unique_ptr<IMembership> m_membership;
-    std::vector<Member> m_working;
+    std::vector<Member> m_availableMembers;
     TimerId m_timer;
 };
 
