--- a/src/app/internal/control/controlrecorder.cpp
+++ b/src/app/internal/control/controlrecorder.cpp
@@ -27,19 +27,19 @@
 void ControlRecorder::recordMembers(const std::vector<Member> &members)
 {
     m_observers.metrics.set(Gauge::Members, static_cast<std::int64_t>(members.size()));
-    std::set<DaemonId> working;
+    std::set<DaemonId> memberIds;
     for (const Member &member : members) {
-        working.insert(member.id);
-        if (m_working.count(member.id) == 0) {
+        memberIds.insert(member.id);
+        if (m_memberIds.count(member.id) == 0) {
             recordMember(member.id, "joined", members.size());
         }
     }
-    for (const DaemonId &known : m_working) {
-        if (working.count(known) == 0) {
+    for (const DaemonId &known : m_memberIds) {
+        if (memberIds.count(known) == 0) {
             recordMember(known, "left", members.size());
         }
     }
-    m_working = std::move(working);
+    m_memberIds = std::move(memberIds);
 }
 
 void ControlRecorder::recordMember(const DaemonId &daemon, const char *outcome, std::size_t count)
--- a/src/app/internal/control/controlrecorder.h
+++ b/src/app/internal/control/controlrecorder.h
@@ -24,7 +24,7 @@
     void recordMember(const DaemonId &daemon, const char *outcome, std::size_t count);
 
     Observers m_observers;
-    std::set<DaemonId> m_working;
+    std::set<DaemonId> m_memberIds;
 };
 
 } // namespace ivyspar
