--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -83,7 +83,7 @@
         status.changeId = current->changeId;
     }
     status.unreadable = m_unreadable;
-    status.isJudging = m_stateMachine->logState() != nullptr;
+    status.hasLogState = m_stateMachine->logState() != nullptr;
     status.isFastPoller = m_poll.isFast();
     status.nextOffset = m_stateMachine->nextOffset();
     status.anchor = m_stateMachine->anchor();
--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -65,7 +65,7 @@
     status.inForce = version();
     status.accepted = version();
     status.unreadable = m_unreadable;
-    status.isJudging = next.has_value();
+    status.hasLogState = next.has_value();
     status.isFastPoller = isReader();
     status.nextOffset = next.value_or(LogOffset());
     status.logError = m_logError;
--- a/src/app/internal/control/iconfigurationdriver.h
+++ b/src/app/internal/control/iconfigurationdriver.h
@@ -53,7 +53,7 @@
     /// Why the accepted version is not in force; empty if it is.
     std::string unreadable;
     /// What the log's records say can be judged.
-    bool isJudging = false;
+    bool hasLogState = false;
     bool isFastPoller = false;
     LogOffset nextOffset;
     /// A daemon that starts can judge the stream if the log still has the records from here on.
--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -59,7 +59,7 @@
                  { "accepted", status.accepted.value() },
                  { "change_id", status.changeId },
                  { "unreadable", status.unreadable },
-                 { "judging", status.isJudging },
+                 { "judging", status.hasLogState },
                  { "follows_log", status.isFastPoller },
                  { "next_offset", status.nextOffset.value() },
                  { "anchor", status.anchor.value() },
--- a/standins/control/tests/configurationfollowertest.cpp
+++ b/standins/control/tests/configurationfollowertest.cpp
@@ -209,7 +209,7 @@
         m_cluster->log().faults().isDown = false;
         append(1, "second");
         CHECK(waitForVersion(2));
-        CHECK(waitFor([&] { return fresh.follower->status().isJudging; }));
+        CHECK(waitFor([&] { return fresh.follower->status().hasLogState; }));
     });
 }
 
@@ -289,7 +289,7 @@
         m_cluster->log().forgetBefore(STREAM, LogOffset(1));
         FollowerHost &fresh = m_cluster->add("b0", "b");
         CHECK(waitForVersion(1));
-        CHECK(fresh.follower->status().isJudging);
+        CHECK(fresh.follower->status().hasLogState);
         append(1, "second");
         CHECK(waitForVersion(2));
     });
