--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -17,7 +17,7 @@
 constexpr Duration RETRY_PAUSE = std::chrono::milliseconds(100);
 /// For how long the log may hold back its answer while the change's record is awaited. An append
 /// that was not seen after this time is sent again.
-constexpr Duration VERDICT_WAIT = std::chrono::milliseconds(500);
+constexpr Duration RESULT_WAIT = std::chrono::milliseconds(500);
 
 /// A version above all that ever were: changes add one each, and there are fewer than one each
 /// millisecond.
@@ -47,7 +47,7 @@
             if (!m_isAppended) {
                 appendOnce();
             }
-            readToEnd(VERDICT_WAIT);
+            readToEnd(RESULT_WAIT);
             decide();
             if (!isDecided()) {
                 pause();
@@ -112,25 +112,25 @@
             m_successor = *judged;
         }
         if (decoded->kind != ConfigurationRecord::Kind::Snapshot) {
-            noteVerdict(decoded->changeId, verdict,
-                        judged ? judged->version : ConfigurationVersion());
+            recordOwnResult(decoded->changeId, verdict,
+                            judged ? judged->version : ConfigurationVersion());
         }
         for (const DeferredResult &deferred : m_stateMachine->takeDeferredResults()) {
-            noteVerdict(deferred.changeId, deferred.result, deferred.version);
+            recordOwnResult(deferred.changeId, deferred.result, deferred.version);
         }
     }
 }
 
 /// Copies of one change may get different verdicts; one that was accepted counts for all.
-void ConfigurationPublisher::noteVerdict(const std::string &changeId, ApplyResult verdict,
-                                         ConfigurationVersion version)
+void ConfigurationPublisher::recordOwnResult(const std::string &changeId, ApplyResult verdict,
+                                             ConfigurationVersion version)
 {
-    const bool isVerdict = verdict == ApplyResult::Accepted || verdict == ApplyResult::Conflict
+    const bool isFinal = verdict == ApplyResult::Accepted || verdict == ApplyResult::Conflict
         || verdict == ApplyResult::Malformed;
-    if (changeId != m_settings.changeId || !isVerdict || m_ownVerdict == ApplyResult::Accepted) {
+    if (changeId != m_settings.changeId || !isFinal || m_ownApplyResult == ApplyResult::Accepted) {
         return;
     }
-    m_ownVerdict = verdict;
+    m_ownApplyResult = verdict;
     m_ownVersion = version;
 }
 
@@ -233,14 +233,15 @@
     // The snapshot of a version tells the change that made it.
     const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isCurrent = current && current->changeId == m_settings.changeId;
-    if (isCurrent || m_ownVerdict == ApplyResult::Accepted) {
+    if (isCurrent || m_ownApplyResult == ApplyResult::Accepted) {
         finish(PublishResult::Kind::Accepted, {});
-        m_result->version = m_ownVerdict == ApplyResult::Accepted ? m_ownVersion : current->version;
+        m_result->version =
+            m_ownApplyResult == ApplyResult::Accepted ? m_ownVersion : current->version;
         return;
     }
     // Another change took the place of this one's base: this one can no longer win, even if its
     // record is still on the way.
-    if (m_ownVerdict == ApplyResult::Conflict || m_successor) {
+    if (m_ownApplyResult == ApplyResult::Conflict || m_successor) {
         finishConflict();
     }
 }
--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -49,8 +49,8 @@
     void pause();
     bool readToEnd(Duration wait);
     void foldPage(const LogPage &page);
-    void noteVerdict(const std::string &changeId, ApplyResult verdict,
-                     ConfigurationVersion version);
+    void recordOwnResult(const std::string &changeId, ApplyResult verdict,
+                         ConfigurationVersion version);
 
     bool prepare();
     bool chooseBase();
@@ -70,7 +70,7 @@
     std::optional<ConfigurationVersion> m_base;
     /// The first version that was accepted on top of `m_base`, once seen.
     std::optional<AcceptedConfiguration> m_successor;
-    std::optional<ApplyResult> m_ownVerdict;
+    std::optional<ApplyResult> m_ownApplyResult;
     ConfigurationVersion m_ownVersion;
     /// The log said that it took an append.
     bool m_isAppended = false;
