--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t PAGE_RECORDS = 64;
 /// Between two tries while the log refuses or cannot be reached.
-constexpr Duration RETRY_PAUSE = std::chrono::milliseconds(100);
+constexpr Duration RETRY_DELAY = std::chrono::milliseconds(100);
 /// For how long the log may hold back its answer while the change's record is awaited. An append
 /// that was not seen after this time is sent again.
 constexpr Duration RESULT_WAIT = std::chrono::milliseconds(500);
@@ -54,7 +54,7 @@
             }
         }
     }
-    if (!isDecided() && m_maybeSent) {
+    if (!isDecided() && m_mayBeAppended) {
         finish(PublishResult::Kind::Unknown,
                "the change may have been made: its verdict was not found in time");
     }
@@ -71,7 +71,7 @@
 
 void ConfigurationPublisher::pause()
 {
-    m_loop.sleepFor(std::clamp(m_deadline - m_loop.now(), Duration::zero(), RETRY_PAUSE));
+    m_loop.sleepFor(std::clamp(m_deadline - m_loop.now(), Duration::zero(), RETRY_DELAY));
 }
 
 /// Reads until the log has nothing newer; for that it may wait once. False on an error.
@@ -97,7 +97,7 @@
 
 void ConfigurationPublisher::foldPage(const LogPage &page)
 {
-    m_isHistoryWhole = m_isHistoryWhole && page.first <= m_stateMachine->nextOffset();
+    m_isHistoryComplete = m_isHistoryComplete && page.first <= m_stateMachine->nextOffset();
     m_stateMachine->truncateBefore(page.first);
     for (const LogRecord &record : page.records) {
         const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
@@ -178,7 +178,7 @@
     }
     // The repeated change may have been made, and its record forgotten since. With its old base a
     // second copy could not win; with a new one it would be made twice.
-    if (m_settings.isRepeat && !m_settings.base && !m_isHistoryWhole) {
+    if (m_settings.isRepeat && !m_settings.base && !m_isHistoryComplete) {
         finish(PublishResult::Kind::Unknown,
                "older records are gone, so this change may have been made already; repeat it with "
                "the --base that was printed with its id");
@@ -201,12 +201,12 @@
     }
     const RetVal<LogOffset> offset = m_log.append(StreamName(CONFIGURATION_STREAM), *payload);
     m_isAppended = offset.has_value();
-    m_maybeSent = m_maybeSent || offset || offset.error().code == ErrorCode::Unknown;
+    m_mayBeAppended = m_mayBeAppended || offset || offset.error().code == ErrorCode::Unknown;
     if (offset) {
         return;
     }
     m_logError = "the log does not take the change: " + offset.error().text;
-    if (offset.error().code == ErrorCode::InvalidArgument && !m_maybeSent) {
+    if (offset.error().code == ErrorCode::InvalidArgument && !m_mayBeAppended) {
         finish(PublishResult::Kind::NotSent, m_logError);
     }
 }
--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -75,9 +75,9 @@
     /// The log said that it took an append.
     bool m_isAppended = false;
     /// An append may have taken effect.
-    bool m_maybeSent = false;
+    bool m_mayBeAppended = false;
     /// The stream was read from its very beginning.
-    bool m_isHistoryWhole = true;
+    bool m_isHistoryComplete = true;
     std::string m_logError;
 };
 
