--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -154,7 +154,7 @@
         return m_poll.onFailure(m_random);
     }
     setLogError({});
-    foldPage(*page);
+    applyPage(*page);
     if (m_snapshot.update(m_loop.now(), *m_stateMachine, page->first, page->end, m_poll.isFast(),
                           m_random)) {
         renewSnapshot();
@@ -166,18 +166,18 @@
     return m_poll.onPage(page->records.empty(), isAtEnd, m_loop.now() - start, m_random);
 }
 
-void ConfigurationFollower::foldPage(const LogPage &page)
+void ConfigurationFollower::applyPage(const LogPage &page)
 {
     m_stateMachine->truncateBefore(page.first);
     for (const LogRecord &record : page.records) {
-        foldRecord(record);
+        applyRecord(record);
     }
     // Nobody waits for these here; a publisher reads the stream itself.
     m_stateMachine->takeDeferredResults();
     useCurrent();
 }
 
-void ConfigurationFollower::foldRecord(const LogRecord &record)
+void ConfigurationFollower::applyRecord(const LogRecord &record)
 {
     const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
     const std::string place = "record " + std::to_string(record.offset.value());
--- a/src/app/internal/control/configurationfollower.h
+++ b/src/app/internal/control/configurationfollower.h
@@ -61,8 +61,8 @@
     void offerVersions();
 
     Duration readOnce();
-    void foldPage(const LogPage &page);
-    void foldRecord(const LogRecord &record);
+    void applyPage(const LogPage &page);
+    void applyRecord(const LogRecord &record);
     void renewSnapshot();
     void setLogError(const std::string &text);
 
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -86,7 +86,7 @@
             return false;
         }
         m_logError.clear();
-        foldPage(*page);
+        applyPage(*page);
         if (page->records.empty()) {
             return true;
         }
@@ -95,7 +95,7 @@
     return false;
 }
 
-void ConfigurationPublisher::foldPage(const LogPage &page)
+void ConfigurationPublisher::applyPage(const LogPage &page)
 {
     m_isHistoryComplete = m_isHistoryComplete && page.first <= m_stateMachine->nextOffset();
     m_stateMachine->truncateBefore(page.first);
--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -48,7 +48,7 @@
     bool isTimeLeft() const;
     void pause();
     bool readToEnd(Duration wait);
-    void foldPage(const LogPage &page);
+    void applyPage(const LogPage &page);
     void recordOwnResult(const std::string &changeId, ApplyResult verdict,
                          ConfigurationVersion version);
 
--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -81,7 +81,7 @@
         return;
     }
     const bool wasLost = m_isLogLost;
-    takePage(*read.page);
+    applyPage(*read.page);
     confirm(read.startedAt);
     onReadDone(read);
     m_watch.cursor().skipTo(read.page->era, read.page->next);
@@ -105,7 +105,7 @@
         onReadFailed(read);
         return;
     }
-    const bool isNews = takePage(*read.page);
+    const bool isNews = applyPage(*read.page);
     onReadDone(read);
     m_check.cursor().skipTo(read.page->era, read.page->next);
     if (isNews) {
@@ -127,7 +127,7 @@
 }
 
 /// Returns whether a version came into force.
-bool DocumentFollower::takePage(const KeyedPage &page)
+bool DocumentFollower::applyPage(const KeyedPage &page)
 {
     // Only the last one counts: those before it were replaced by it.
     const auto last =
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -80,7 +80,7 @@
 private:
     void onCheck(const DocumentRead &read);
     void onWatch(const DocumentRead &read);
-    bool takePage(const KeyedPage &page);
+    bool applyPage(const KeyedPage &page);
     /// Returns whether that is later than what was known.
     bool confirm(TimePoint asOf);
     void offerToAllDomains();
--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -88,12 +88,12 @@
     if (!page) {
         return tl::unexpected<Error>(page.error());
     }
-    takePage(*page);
+    applyPage(*page);
     return {};
 }
 
 /// A log that came back from an older copy may have lost this daemon's record.
-void MemberDirectory::takePage(const KeyedPage &page)
+void MemberDirectory::applyPage(const KeyedPage &page)
 {
     if (m_cursor.isWhole()) {
         m_isEntered = false;
--- a/src/app/internal/control/memberdirectory.h
+++ b/src/app/internal/control/memberdirectory.h
@@ -51,7 +51,7 @@
     void follow();
     Ret step();
     Ret readNews();
-    void takePage(const KeyedPage &page);
+    void applyPage(const KeyedPage &page);
     Ret enterSelf();
 
     MemberDirectorySettings m_settings;
