--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -336,7 +336,7 @@
     status.isLeaving = m_isLeaving;
     status.configuration = m_configuration;
     status.configurationStatus = m_configurationDriver->status();
-    status.members = m_membership.all();
+    status.members = m_membership.allMembers();
     return makeAnswer(OK, "application/json", makeStatusDocument(status));
 }
 
--- a/src/app/internal/control/membershipdriver.h
+++ b/src/app/internal/control/membershipdriver.h
@@ -42,7 +42,7 @@
     /// False when the payload is not of the membership exchange.
     bool receive(const DaemonId &from, const std::string &payload);
     void onUnreachable(const DaemonId &daemon);
-    std::vector<MemberStatus> all() const { return m_membership->allMembers(); }
+    std::vector<MemberStatus> allMembers() const { return m_membership->allMembers(); }
     const std::vector<Member> &availableMembers() const { return m_availableMembers; }
     const Member &self() const { return m_self; }
 
