--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -206,15 +206,15 @@
 
 void ConfigurationFollower::renewSnapshot()
 {
-    const AcceptedConfiguration *judged = m_stateMachine->logState();
+    const AcceptedConfiguration *logState = m_stateMachine->logState();
     ConfigurationRecord record;
     record.kind = ConfigurationRecord::Kind::Snapshot;
-    record.changeId = judged->changeId;
-    record.base = judged->version;
-    record.digest = judged->digest;
-    record.inventory = judged->inventory;
-    record.rules = judged->rules;
-    record.position = *judged->position;
+    record.changeId = logState->changeId;
+    record.base = logState->version;
+    record.digest = logState->digest;
+    record.inventory = logState->inventory;
+    record.rules = logState->rules;
+    record.position = *logState->position;
     const RetVal<std::string> payload = encodeConfigurationRecord(record);
     if (!payload) {
         notice("snapshot not written: " + payload.error().text);
@@ -324,8 +324,8 @@
 const AcceptedConfiguration *ConfigurationFollower::held() const
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
-    const AcceptedConfiguration *judged = m_stateMachine->logState();
-    return current && judged && judged->version == current->version ? judged : current;
+    const AcceptedConfiguration *logState = m_stateMachine->logState();
+    return current && logState && logState->version == current->version ? logState : current;
 }
 
 /// Brings the accepted version into force. One that this program cannot read, as it may be older
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -105,15 +105,15 @@
             m_stateMachine->skip(record.offset);
             continue;
         }
-        const ApplyResult verdict = m_stateMachine->apply(record.offset, *decoded);
-        const AcceptedConfiguration *judged = m_stateMachine->logState();
-        const bool isSuccessor = m_base && judged && !m_successor && judged->version > *m_base;
+        const ApplyResult result = m_stateMachine->apply(record.offset, *decoded);
+        const AcceptedConfiguration *logState = m_stateMachine->logState();
+        const bool isSuccessor = m_base && logState && !m_successor && logState->version > *m_base;
         if (isSuccessor) {
-            m_successor = *judged;
+            m_successor = *logState;
         }
         if (decoded->kind != ConfigurationRecord::Kind::Snapshot) {
-            recordOwnResult(decoded->changeId, verdict,
-                            judged ? judged->version : ConfigurationVersion());
+            recordOwnResult(decoded->changeId, result,
+                            logState ? logState->version : ConfigurationVersion());
         }
         for (const DeferredResult &deferred : m_stateMachine->takeDeferredResults()) {
             recordOwnResult(deferred.changeId, deferred.result, deferred.version);
@@ -122,15 +122,15 @@
 }
 
 /// Copies of one change may get different verdicts; one that was accepted counts for all.
-void ConfigurationPublisher::recordOwnResult(const std::string &changeId, ApplyResult verdict,
+void ConfigurationPublisher::recordOwnResult(const std::string &changeId, ApplyResult result,
                                              ConfigurationVersion version)
 {
-    const bool isFinal = verdict == ApplyResult::Accepted || verdict == ApplyResult::Conflict
-        || verdict == ApplyResult::Malformed;
+    const bool isFinal = result == ApplyResult::Accepted || result == ApplyResult::Conflict
+        || result == ApplyResult::Malformed;
     if (changeId != m_settings.changeId || !isFinal || m_ownApplyResult == ApplyResult::Accepted) {
         return;
     }
-    m_ownApplyResult = verdict;
+    m_ownApplyResult = result;
     m_ownVersion = version;
 }
 
@@ -157,22 +157,22 @@
 /// False while the stream does not show enough yet.
 bool ConfigurationPublisher::chooseBase()
 {
-    const AcceptedConfiguration *judged = m_stateMachine->logState();
+    const AcceptedConfiguration *logState = m_stateMachine->logState();
     if (m_settings.isRestart) {
-        if (judged) {
+        if (logState) {
             finish(PublishResult::Kind::NotSent,
                    "the log knows the current version; publish without --restart");
         }
         m_base = restartVersion();
         return true;
     }
-    if (!judged) {
+    if (!logState) {
         m_logError = "the log has forgotten too much to tell the current version. A daemon that "
                      "knows it writes it again shortly; if none is left, begin anew with --restart";
         return false;
     }
-    if (m_settings.base && *m_settings.base > judged->version) {
-        m_logError = "the log shows version " + std::to_string(judged->version.value())
+    if (m_settings.base && *m_settings.base > logState->version) {
+        m_logError = "the log shows version " + std::to_string(logState->version.value())
             + " as the newest, and not yet the base " + std::to_string(m_settings.base->value());
         return false;
     }
@@ -184,9 +184,9 @@
                "the --base that was printed with its id");
         return true;
     }
-    m_base = m_settings.base.value_or(judged->version);
-    if (*m_base < judged->version) {
-        m_successor = *judged;
+    m_base = m_settings.base.value_or(logState->version);
+    if (*m_base < logState->version) {
+        m_successor = *logState;
         finishConflict();
     }
     return true;
--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -49,7 +49,7 @@
     void pause();
     bool readToEnd(Duration wait);
     void applyPage(const LogPage &page);
-    void recordOwnResult(const std::string &changeId, ApplyResult verdict,
+    void recordOwnResult(const std::string &changeId, ApplyResult result,
                          ConfigurationVersion version);
 
     bool prepare();
