--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -31,13 +31,13 @@
 
 MemberDirectory::MemberDirectory(MemberDirectorySettings settings, IEventLoop &loop, IKeyedLog &log,
                                  IRandom &random, Observers observers, OnSeed onSeed,
-                                 OnListed onListed, CountDaemons countDaemons)
+                                 OnDirectorySize onDirectorySize, CountDaemons countDaemons)
     : m_settings(std::move(settings))
     , m_log(log)
     , m_random(random)
     , m_observers(observers)
     , m_onSeed(std::move(onSeed))
-    , m_onListed(std::move(onListed))
+    , m_onDirectorySize(std::move(onDirectorySize))
     , m_countDaemons(std::move(countDaemons))
     , m_fiber(loop)
     , m_cursor(log, m_settings.stream)
@@ -103,14 +103,14 @@
         if (!seed) {
             continue;
         }
-        m_listed.insert(record.key);
+        m_listedDaemons.insert(record.key);
         if (record.key == m_settings.self.value()) {
             m_isEntered = record.value == textOf(m_settings.place);
             continue;
         }
         m_onSeed(*seed);
     }
-    m_onListed(m_listed.size());
+    m_onDirectorySize(m_listedDaemons.size());
 }
 
 Ret MemberDirectory::enterSelf()
--- a/src/app/internal/control/memberdirectory.h
+++ b/src/app/internal/control/memberdirectory.h
@@ -36,13 +36,13 @@
     using OnSeed = std::function<void(const MembershipSeed &)>;
     /// Number of daemons that are known to be alive, with this one.
     /// Gets the number of daemons that the directory lists.
-    using OnListed = std::function<void(std::size_t)>;
+    using OnDirectorySize = std::function<void(std::size_t)>;
     using CountDaemons = std::function<std::size_t()>;
 
     /// `onSeed` hears of each daemon, also of those long gone.
     MemberDirectory(MemberDirectorySettings settings, IEventLoop &loop, IKeyedLog &log,
-                    IRandom &random, Observers observers, OnSeed onSeed, OnListed onListed,
-                    CountDaemons countDaemons);
+                    IRandom &random, Observers observers, OnSeed onSeed,
+                    OnDirectorySize onDirectorySize, CountDaemons countDaemons);
 
     void start();
     void stop();
@@ -59,12 +59,12 @@
     IRandom &m_random;
     Observers m_observers;
     OnSeed m_onSeed;
-    OnListed m_onListed;
+    OnDirectorySize m_onDirectorySize;
     CountDaemons m_countDaemons;
     BackgroundFiber m_fiber;
     KeyedCursor m_cursor;
     bool m_isEntered = false;
-    std::set<std::string> m_listed;
+    std::set<std::string> m_listedDaemons;
 };
 
 } // namespace ivyspar
