--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -107,7 +107,7 @@
     MemberDirectorySettings directory;
     directory.stream = m_settings.streams.members;
     directory.self = m_settings.id;
-    directory.place = { m_membership.self().peerEndpoint, m_membership.self().domain };
+    directory.selfSeed = { m_membership.self().peerEndpoint, m_membership.self().domain };
     m_directory = std::make_unique<MemberDirectory>(
         directory, m_loop, *m_directoryLog, *m_random, m_observers,
         [this](const MembershipSeed &seed) { m_membership.addSeed(seed); },
--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Endpoint, space, failure domain.
-std::string textOf(const MembershipSeed &seed)
+std::string formatSeed(const MembershipSeed &seed)
 {
     return seed.endpoint.text() + ' ' + seed.domain.value();
 }
@@ -56,33 +56,34 @@
 
 void MemberDirectory::follow()
 {
-    Duration pause = m_settings.retry;
+    Duration pause = m_settings.retryInterval;
     while (!m_fiber.isStopped()) {
         const Ret done = step();
         if (done) {
-            pause = m_settings.retry;
-            m_fiber.pause(drawSharedReadPause(m_settings.readShare, m_countDaemons(), m_random));
+            pause = m_settings.retryInterval;
+            m_fiber.pause(
+                drawSharedReadPause(m_settings.meanReadInterval, m_countDaemons(), m_random));
             continue;
         }
         m_observers.log.debug("member directory: " + done.error().text);
         m_fiber.pause(pause);
-        pause = std::min(2 * pause, m_settings.longestRetry);
+        pause = std::min(2 * pause, m_settings.maxRetryInterval);
     }
 }
 
-/// Reads first: a daemon that starts again at the same place need not write. Reads again after it
-/// wrote: of two daemons that start together, the one that is entered later finds the other.
+/// Reads first: a daemon that starts again at the same selfSeed need not write. Reads again after
+/// it wrote: of two daemons that start together, the one that is registered later finds the other.
 Ret MemberDirectory::step()
 {
-    Ret read = readNews();
-    if (!read || m_isEntered) {
+    Ret read = readNewRecords();
+    if (!read || m_isRegistered) {
         return read;
     }
-    Ret entered = enterSelf();
-    return entered ? readNews() : entered;
+    Ret registered = registerSelf();
+    return registered ? readNewRecords() : registered;
 }
 
-Ret MemberDirectory::readNews()
+Ret MemberDirectory::readNewRecords()
 {
     const auto page = m_cursor.read(Duration::zero());
     if (!page) {
@@ -96,7 +97,7 @@
 void MemberDirectory::applyPage(const KeyedPage &page)
 {
     if (m_cursor.isWhole()) {
-        m_isEntered = false;
+        m_isRegistered = false;
     }
     for (const KeyedRecord &record : page.records) {
         const RetVal<MembershipSeed> seed = parseSeed(record.value);
@@ -105,7 +106,7 @@
         }
         m_listedDaemons.insert(record.key);
         if (record.key == m_settings.self.value()) {
-            m_isEntered = record.value == textOf(m_settings.place);
+            m_isRegistered = record.value == formatSeed(m_settings.selfSeed);
             continue;
         }
         m_onSeed(*seed);
@@ -113,12 +114,12 @@
     m_onDirectorySize(m_listedDaemons.size());
 }
 
-Ret MemberDirectory::enterSelf()
+Ret MemberDirectory::registerSelf()
 {
-    Ret written = m_log.put(m_settings.stream,
-                            KeyedRecord{ m_settings.self.value(), textOf(m_settings.place) });
+    Ret written = m_log.put(
+        m_settings.stream, KeyedRecord{ m_settings.self.value(), formatSeed(m_settings.selfSeed) });
     if (written) {
-        m_isEntered = true;
+        m_isRegistered = true;
     }
     return written;
 }
--- a/src/app/internal/control/memberdirectory.h
+++ b/src/app/internal/control/memberdirectory.h
@@ -19,11 +19,11 @@
 {
     StreamName stream;
     DaemonId self;
-    MembershipSeed place;
+    MembershipSeed selfSeed;
     /// Mean time between two reads of all daemons together.
-    Duration readShare = std::chrono::milliseconds(500);
-    Duration retry = std::chrono::milliseconds(200);
-    Duration longestRetry = std::chrono::seconds(2);
+    Duration meanReadInterval = std::chrono::milliseconds(500);
+    Duration retryInterval = std::chrono::milliseconds(200);
+    Duration maxRetryInterval = std::chrono::seconds(2);
 };
 
 /// A list of daemons and where they are reached, in a keyed stream of the platform. It is only how
@@ -50,9 +50,9 @@
 private:
     void follow();
     Ret step();
-    Ret readNews();
+    Ret readNewRecords();
     void applyPage(const KeyedPage &page);
-    Ret enterSelf();
+    Ret registerSelf();
 
     MemberDirectorySettings m_settings;
     IKeyedLog &m_log;
@@ -63,7 +63,7 @@
     CountDaemons m_countDaemons;
     BackgroundFiber m_fiber;
     KeyedCursor m_cursor;
-    bool m_isEntered = false;
+    bool m_isRegistered = false;
     std::set<std::string> m_listedDaemons;
 };
 
--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -150,7 +150,7 @@
     });
 }
 
-// 1. The log has forgotten the records after the place where the daemon stopped.
+// 1. The log has forgotten the records after the selfSeed where the daemon stopped.
 // 2. The newest document stands all the same. A daemon that waited for the lost ones would go on
 //    under its old configuration for ever.
 TEST(DocumentFollower, ALogThatForgotItsHistoryIsReadAnew)
@@ -413,7 +413,7 @@
     SeededRandom m_random{ 4 };
     std::vector<std::string> m_found;
     std::size_t m_listed = 0;
-    Duration m_readShare = std::chrono::milliseconds(1);
+    Duration m_meanReadInterval = std::chrono::milliseconds(1);
     std::size_t m_readsMeanwhile = 0;
     std::unique_ptr<MemberDirectory> m_directory;
 
@@ -423,8 +423,8 @@
             MemberDirectorySettings settings;
             settings.stream = STREAM;
             settings.self = DaemonId("a");
-            settings.place = { Endpoint{ "10.0.0.1", 7000 }, DomainName("here") };
-            settings.readShare = m_readShare;
+            settings.selfSeed = { Endpoint{ "10.0.0.1", 7000 }, DomainName("here") };
+            settings.meanReadInterval = m_meanReadInterval;
             m_directory = std::make_unique<MemberDirectory>(
                 settings, m_runner.loop(), m_log, m_random, m_observers.observers(),
                 [this](const MembershipSeed &seed) { m_found.push_back(seed.endpoint.text()); },
@@ -459,7 +459,7 @@
 // 3. Without that read neither would know of the other until its next turn to read.
 TEST(MemberDirectory, ReadsOnceMoreAfterItIsEntered)
 {
-    m_readShare = std::chrono::hours(1);
+    m_meanReadInterval = std::chrono::hours(1);
     m_log.onPut = [this] { m_log.write(STREAM, "b", "10.0.0.2:7000"); };
     start();
     CHECK(m_runner.reaches([this] { return m_found.size() == 1; }));
@@ -470,7 +470,7 @@
 //    each, the start would cost the square of their number.
 TEST(MemberDirectory, DoesNotReadForEachThatIsEntered)
 {
-    m_readShare = std::chrono::hours(1);
+    m_meanReadInterval = std::chrono::hours(1);
     start();
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
     m_runner.run([this] {
@@ -487,7 +487,7 @@
 // Guards against a daemon that nobody finds any more, as the log lost its record.
 TEST(MemberDirectory, ADaemonWhoseRecordIsLostEntersItselfAgain)
 {
-    m_readShare = std::chrono::milliseconds(2);
+    m_meanReadInterval = std::chrono::milliseconds(2);
     start();
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
     m_runner.run([this] { m_log.goBack(STREAM, 1); });
--- a/src/app/tests/mocks/simulatedfollowers.h
+++ b/src/app/tests/mocks/simulatedfollowers.h
@@ -152,8 +152,8 @@
             MemberDirectorySettings settings;
             settings.stream = StreamName("members");
             settings.self = idOf(self);
-            settings.place = { Endpoint{ "10.0.0.1", static_cast<std::uint16_t>(self + 1) },
-                               nameOf(owner.domainOf(self)) };
+            settings.selfSeed = { Endpoint{ "10.0.0.1", static_cast<std::uint16_t>(self + 1) },
+                                  nameOf(owner.domainOf(self)) };
             directory = std::make_unique<MemberDirectory>(
                 settings, owner.m_loop, directoryLog, random, owner.m_observers.observers(),
                 [](const MembershipSeed & /*seed*/) {}, [](std::size_t /*daemons*/) {},
