--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -111,7 +111,7 @@
     m_directory = std::make_unique<MemberDirectory>(
         directory, m_loop, *m_directoryLog, *m_random, m_observers,
         [this](const MembershipSeed &seed) { m_membership.addSeed(seed); },
-        [this](std::size_t daemons) { m_traffic.setListed(daemons); },
+        [this](std::size_t daemons) { m_traffic.setDirectorySize(daemons); },
         [this] { return m_membership.availableMembers().size(); });
 }
 
--- a/src/app/internal/control/controlnode.h
+++ b/src/app/internal/control/controlnode.h
@@ -34,7 +34,7 @@
     std::function<void(DaemonId, std::string)> receiveSuspects;
     std::function<void(DaemonId, std::string)> receiveAccounts;
     /// So many daemons stand in the platform's directory.
-    std::function<void(std::size_t)> setListed;
+    std::function<void(std::size_t)> setDirectorySize;
     /// The configuration in force was the newest one at that time.
     std::function<void(TimePoint)> confirm;
     /// The callback runs on the traffic thread; false if nothing is known of the fingerprint.
--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-/// Reads first: a daemon that starts again at the same selfSeed need not write. Reads again after
+/// Reads first: a daemon that starts again at the same address need not write. Reads again after
 /// it wrote: of two daemons that start together, the one that is registered later finds the other.
 Ret MemberDirectory::step()
 {
--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -235,8 +235,8 @@
             traffic.receiveAccounts(from, payload);
         });
     };
-    port.setListed = [this](std::size_t daemons) {
-        onTraffic([daemons](TrafficNode &traffic) { traffic.setListed(daemons); });
+    port.setDirectorySize = [this](std::size_t daemons) {
+        onTraffic([daemons](TrafficNode &traffic) { traffic.setDirectorySize(daemons); });
     };
     port.confirm = [this](TimePoint asOf) { m_confirmation.advance(asOf); };
     port.liftQuarantine = [this](Fingerprint fingerprint, std::function<void(bool)> callback) {
--- a/src/app/internal/trafficnode.h
+++ b/src/app/internal/trafficnode.h
@@ -63,7 +63,7 @@
     void sendControl(const DaemonId &target, const Endpoint &endpoint, std::string payload);
     /// A control payload of another daemon about suspects.
     void receiveSuspects(const DaemonId &from, const std::string &payload);
-    void setListed(std::size_t daemons) { m_accounts->setDirectorySize(daemons); }
+    void setDirectorySize(std::size_t daemons) { m_accounts->setDirectorySize(daemons); }
     /// A control payload of another daemon about limits of client accounts.
     void receiveAccounts(const DaemonId &from, const std::string &payload);
     /// False if nothing is known of it.
--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -150,7 +150,7 @@
     });
 }
 
-// 1. The log has forgotten the records after the selfSeed where the daemon stopped.
+// 1. The log has forgotten the records after the place where the daemon stopped.
 // 2. The newest document stands all the same. A daemon that waited for the lost ones would go on
 //    under its old configuration for ever.
 TEST(DocumentFollower, ALogThatForgotItsHistoryIsReadAnew)
