--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -95,7 +95,7 @@
 
 void DocumentFollower::offerToAllDomains()
 {
-    m_offers.sendNear(m_settings.nearOffers);
+    m_offers.sendToSameDomain(m_settings.sameDomainOffers);
     m_offers.sendToEachDomain();
 }
 
@@ -179,13 +179,13 @@
 
 bool DocumentFollower::isReader() const
 {
-    std::vector<DaemonId> near;
+    std::vector<DaemonId> sameDomainPeers;
     for (const ControlPeer &peer : m_exchange.peers()) {
         if (peer.domain == m_settings.domain) {
-            near.push_back(peer.id);
+            sameDomainPeers.push_back(peer.id);
         }
     }
-    return isFastPoller(m_settings.self, near, m_settings.readersPerDomain);
+    return isFastPoller(m_settings.self, sameDomainPeers, m_settings.readersPerDomain);
 }
 
 /// Returns whether it is newer than the one that was in force.
@@ -240,7 +240,7 @@
     }
     const bool isLater = confirm(now - age);
     if (isLater && (!own || *own > age + worthTelling)) {
-        m_offers.sendNear(m_settings.nearOffers);
+        m_offers.sendToSameDomain(m_settings.sameDomainOffers);
     }
 }
 
@@ -287,8 +287,8 @@
 void DocumentFollower::handle(const DaemonId &from, const DocumentPush &push)
 {
     if (adopt(push.document, from.value().c_str())) {
-        m_offers.sendNear(m_settings.nearOffers);
-        m_offers.sendFar(m_settings.farOffers);
+        m_offers.sendToSameDomain(m_settings.sameDomainOffers);
+        m_offers.sendToOtherDomains(m_settings.otherDomainOffers);
     }
 }
 
@@ -303,12 +303,12 @@
 void DocumentFollower::offerAgain()
 {
     if (m_freshness->isStale(m_loop.now())) {
-        m_offers.sendNear(m_settings.staleNearOffers);
-        m_offers.sendFar(m_settings.staleFarOffers);
-    } else if (m_random.below(m_settings.offersPerFarOffer) == 0) {
-        m_offers.sendFar(1);
+        m_offers.sendToSameDomain(m_settings.staleSameDomainOffers);
+        m_offers.sendToOtherDomains(m_settings.staleOtherDomainOffers);
+    } else if (m_random.below(m_settings.offersPerOtherDomainOffer) == 0) {
+        m_offers.sendToOtherDomains(1);
     } else {
-        m_offers.sendNear(1);
+        m_offers.sendToSameDomain(1);
     }
     m_watch.checkDuty();
     m_offerTimer = m_loop.callLater(untilNextOffer(), [this] { offerAgain(); });
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -32,22 +32,22 @@
     Duration wait = std::chrono::seconds(5);
     /// Random peers of the own failure domain that hear at once of a new version, or of how the log
     /// stood a moment ago.
-    std::uint32_t nearOffers = 3;
+    std::uint32_t sameDomainOffers = 3;
     /// Random peers of other failure domains that hear of a version which a peer brought. Of what
     /// was read from the log, one in each domain hears.
-    std::uint32_t farOffers = 1;
+    std::uint32_t otherDomainOffers = 1;
     /// Time in which a daemon that hears of a newer version usually gets it from the log, if it is
     /// a reader, or from the peer that it asked.
     Duration offerPatience = std::chrono::milliseconds(150);
     /// How often a random peer hears which version is in force here; one of so many times it is a
     /// peer of another failure domain.
     Duration offerInterval = std::chrono::milliseconds(500);
-    std::uint32_t offersPerFarOffer = 8;
+    std::uint32_t offersPerOtherDomainOffer = 8;
     /// The same while neither the log nor a peer told this daemon anything in time, and to how
     /// many.
     Duration staleOfferInterval = std::chrono::milliseconds(150);
-    std::uint32_t staleNearOffers = 2;
-    std::uint32_t staleFarOffers = 1;
+    std::uint32_t staleSameDomainOffers = 2;
+    std::uint32_t staleOtherDomainOffers = 1;
 };
 
 /// The two connections of a follower to the log: a read that waits must not hold up one that does
--- a/src/app/internal/control/documentoffers.cpp
+++ b/src/app/internal/control/documentoffers.cpp
@@ -21,38 +21,39 @@
     m_exchange.send(peer, encodeDocumentMessage(m_makeOffer()));
 }
 
-void DocumentOffers::sendNear(std::uint32_t count)
+void DocumentOffers::sendToSameDomain(std::uint32_t count)
 {
-    std::vector<ControlPeer> near = peersWhere(true);
-    sendToSome(near.empty() ? m_exchange.peers() : std::move(near), count);
+    std::vector<ControlPeer> sameDomainPeers = selectPeers(true);
+    sendToRandom(sameDomainPeers.empty() ? m_exchange.peers() : std::move(sameDomainPeers), count);
 }
 
-void DocumentOffers::sendFar(std::uint32_t count)
+void DocumentOffers::sendToOtherDomains(std::uint32_t count)
 {
-    sendToSome(peersWhere(false), count);
+    sendToRandom(selectPeers(false), count);
 }
 
 void DocumentOffers::sendToEachDomain()
 {
     std::map<DomainName, std::vector<ControlPeer>> domains;
-    for (ControlPeer &peer : peersWhere(false)) {
+    for (ControlPeer &peer : selectPeers(false)) {
         domains[peer.domain].push_back(std::move(peer));
     }
     for (auto &[domain, peers] : domains) {
-        sendToSome(std::move(peers), 1);
+        sendToRandom(std::move(peers), 1);
     }
 }
 
-std::vector<ControlPeer> DocumentOffers::peersWhere(bool isNear) const
+std::vector<ControlPeer> DocumentOffers::selectPeers(bool inSameDomain) const
 {
     std::vector<ControlPeer> all = m_exchange.peers();
     std::vector<ControlPeer> chosen;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(chosen),
-                 [&](const ControlPeer &peer) { return (peer.domain == m_domain) == isNear; });
+    std::copy_if(all.begin(), all.end(), std::back_inserter(chosen), [&](const ControlPeer &peer) {
+        return (peer.domain == m_domain) == inSameDomain;
+    });
     return chosen;
 }
 
-void DocumentOffers::sendToSome(std::vector<ControlPeer> peers, std::uint32_t count)
+void DocumentOffers::sendToRandom(std::vector<ControlPeer> peers, std::uint32_t count)
 {
     for (std::uint32_t i = 0; i < count && !peers.empty(); ++i) {
         const std::size_t chosen = m_random.below(peers.size());
--- a/src/app/internal/control/documentoffers.h
+++ b/src/app/internal/control/documentoffers.h
@@ -22,15 +22,15 @@
 
     void sendTo(const DaemonId &peer);
     /// To peers of the own failure domain, or to any if it has none.
-    void sendNear(std::uint32_t count);
+    void sendToSameDomain(std::uint32_t count);
     /// To peers of other failure domains.
-    void sendFar(std::uint32_t count);
+    void sendToOtherDomains(std::uint32_t count);
     /// To one peer of each other failure domain.
     void sendToEachDomain();
 
 private:
-    std::vector<ControlPeer> peersWhere(bool isNear) const;
-    void sendToSome(std::vector<ControlPeer> peers, std::uint32_t count);
+    std::vector<ControlPeer> selectPeers(bool inSameDomain) const;
+    void sendToRandom(std::vector<ControlPeer> peers, std::uint32_t count);
 
     DomainName m_domain;
     IControlExchange &m_exchange;
