--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -30,7 +30,7 @@
 
 DocumentFollower::~DocumentFollower()
 {
-    m_loop.cancelTimer(m_patienceTimer);
+    m_loop.cancelTimer(m_offeredTimer);
     m_loop.cancelTimer(m_offerTimer);
 }
 
@@ -38,7 +38,7 @@
 {
     m_check.start();
     m_watch.start();
-    m_offerTimer = m_loop.callLater(m_settings.offerInterval, [this] { offerAgain(); });
+    m_offerTimer = m_loop.callLater(m_settings.offerInterval, [this] { sendPeriodicOffer(); });
 }
 
 void DocumentFollower::stop()
@@ -80,20 +80,20 @@
         onReadFailed(read);
         return;
     }
-    const bool wasLost = m_isLogLost;
+    const bool wasUnreachable = m_isLogUnreachable;
     applyPage(*read.page);
     confirm(read.startedAt);
     onReadDone(read);
     m_watch.cursor().skipTo(read.page->era, read.page->next);
     m_watch.checkDuty();
     // What the watch should have brought, or cannot, it waits for on a connection that went silent.
-    if (wasLost || !read.page->records.empty()) {
+    if (wasUnreachable || !read.page->records.empty()) {
         m_watch.restart();
     }
-    offerToAllDomains();
+    sendOffersToAllDomains();
 }
 
-void DocumentFollower::offerToAllDomains()
+void DocumentFollower::sendOffersToAllDomains()
 {
     m_offers.sendToSameDomain(m_settings.sameDomainOffers);
     m_offers.sendToEachDomain();
@@ -109,7 +109,7 @@
     onReadDone(read);
     m_check.cursor().skipTo(read.page->era, read.page->next);
     if (isNews) {
-        offerToAllDomains();
+        sendOffersToAllDomains();
     }
     // Nothing came for as long as the log was asked to wait.
     if (read.page->records.empty() && read.took >= m_settings.wait) {
@@ -138,11 +138,11 @@
 
 void DocumentFollower::onReadDone(const DocumentRead &read)
 {
-    if (m_isLogLost) {
+    if (m_isLogUnreachable) {
         notice("configuration: the log can be read again");
-        tellContact(false, read.took);
+        notifyLogContact(false, read.took);
     }
-    m_isLogLost = false;
+    m_isLogUnreachable = false;
     m_logError.clear();
     m_answeredAt = m_loop.now();
 }
@@ -152,9 +152,9 @@
 void DocumentFollower::onReadFailed(const DocumentRead &read)
 {
     m_logError = read.page.error().text;
-    if (!std::exchange(m_isLogLost, true)) {
+    if (!std::exchange(m_isLogUnreachable, true)) {
         notice("configuration: the log cannot be read: " + m_logError);
-        tellContact(true, read.took);
+        notifyLogContact(true, read.took);
     }
     const std::vector<ControlPeer> peers = m_exchange.peers();
     if (!peers.empty()) {
@@ -162,14 +162,14 @@
     }
 }
 
-void DocumentFollower::tellContact(bool isLost, Duration took) const
+void DocumentFollower::notifyLogContact(bool isLost, Duration took) const
 {
     if (m_events.onLogContact) {
-        m_events.onLogContact(LogContact{ isLost, took, silence(), m_logError });
+        m_events.onLogContact(LogContact{ isLost, took, timeSinceAnswer(), m_logError });
     }
 }
 
-std::optional<Duration> DocumentFollower::silence() const
+std::optional<Duration> DocumentFollower::timeSinceAnswer() const
 {
     if (!m_answeredAt) {
         return std::nullopt;
@@ -218,53 +218,53 @@
         return;
     }
     if (offer.version > version()) {
-        pursue(from, offer.version);
+        onNewerOffer(from, offer.version);
         return;
     }
     if (offer.age) {
-        takeAge(from, *offer.age);
+        onOfferedAge(from, *offer.age);
     } else if (m_freshness->age(m_loop.now())) {
         m_offers.sendTo(from);
     }
 }
 
 /// Passed on by those to whom it is worth something, so that all hear of it and it ends.
-void DocumentFollower::takeAge(const DaemonId &from, Duration age)
+void DocumentFollower::onOfferedAge(const DaemonId &from, Duration age)
 {
     const TimePoint now = m_loop.now();
-    const Duration worthTelling = m_settings.freshness.maxAge() / 4;
+    const Duration relevantDifference = m_settings.freshness.maxAge() / 4;
     const std::optional<Duration> own = m_freshness->age(now);
-    if (own && age > *own + worthTelling) {
+    if (own && age > *own + relevantDifference) {
         m_offers.sendTo(from);
         return;
     }
     const bool isLater = confirm(now - age);
-    if (isLater && (!own || *own > age + worthTelling)) {
+    if (isLater && (!own || *own > age + relevantDifference)) {
         m_offers.sendToSameDomain(m_settings.sameDomainOffers);
     }
 }
 
 /// Several offer a new version in the same moment, and a document may be large: only one is asked
 /// at a time. The next one is asked if that one is gone.
-void DocumentFollower::pursue(const DaemonId &from, ConfigurationVersion offered)
+void DocumentFollower::onNewerOffer(const DaemonId &from, ConfigurationVersion offered)
 {
     m_offered = std::max(m_offered, offered);
     m_offeredBy = from;
-    if (m_isPatient) {
+    if (m_isAwaitingOffered) {
         return;
     }
     // A reader gets it from the log in the same moment, unless it cannot read there.
-    if (!isReader() || m_isLogLost) {
+    if (!isReader() || m_isLogUnreachable) {
         requestFrom(from);
     }
-    waitForOffered();
+    startOfferedTimer();
 }
 
-void DocumentFollower::waitForOffered()
+void DocumentFollower::startOfferedTimer()
 {
-    m_isPatient = true;
-    m_patienceTimer = m_loop.callLater(m_settings.offerPatience, [this] {
-        m_isPatient = false;
+    m_isAwaitingOffered = true;
+    m_offeredTimer = m_loop.callLater(m_settings.offeredVersionTimeout, [this] {
+        m_isAwaitingOffered = false;
         if (m_offered <= version()) {
             return;
         }
@@ -300,7 +300,7 @@
 /// Those who adopt a version tell a few others at random, and by chance nobody may tell this
 /// daemon. Telling somebody again and again brings an answer from whoever knows more. Now and then
 /// it is somebody far: all of a failure domain may be behind.
-void DocumentFollower::offerAgain()
+void DocumentFollower::sendPeriodicOffer()
 {
     if (m_freshness->isStale(m_loop.now())) {
         m_offers.sendToSameDomain(m_settings.staleSameDomainOffers);
@@ -311,7 +311,7 @@
         m_offers.sendToSameDomain(1);
     }
     m_watch.checkDuty();
-    m_offerTimer = m_loop.callLater(untilNextOffer(), [this] { offerAgain(); });
+    m_offerTimer = m_loop.callLater(untilNextOffer(), [this] { sendPeriodicOffer(); });
 }
 
 Duration DocumentFollower::untilNextOffer() const
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -38,7 +38,7 @@
     std::uint32_t otherDomainOffers = 1;
     /// Time in which a daemon that hears of a newer version usually gets it from the log, if it is
     /// a reader, or from the peer that it asked.
-    Duration offerPatience = std::chrono::milliseconds(150);
+    Duration offeredVersionTimeout = std::chrono::milliseconds(150);
     /// How often a random peer hears which version is in force here; one of so many times it is a
     /// peer of another failure domain.
     Duration offerInterval = std::chrono::milliseconds(500);
@@ -83,21 +83,21 @@
     bool applyPage(const KeyedPage &page);
     /// Returns whether that is later than what was known.
     bool confirm(TimePoint asOf);
-    void offerToAllDomains();
+    void sendOffersToAllDomains();
     void onReadFailed(const DocumentRead &read);
     void onReadDone(const DocumentRead &read);
-    void tellContact(bool isLost, Duration took) const;
-    std::optional<Duration> silence() const;
+    void notifyLogContact(bool isLost, Duration took) const;
+    std::optional<Duration> timeSinceAnswer() const;
     bool isReader() const;
     bool adopt(const std::string &document, const char *source);
     void handle(const DaemonId &from, const DocumentOffer &offer);
     void handle(const DaemonId &from, const DocumentRequest &request);
     void handle(const DaemonId &from, const DocumentPush &push);
-    void takeAge(const DaemonId &from, Duration age);
-    void pursue(const DaemonId &from, ConfigurationVersion offered);
-    void waitForOffered();
+    void onOfferedAge(const DaemonId &from, Duration age);
+    void onNewerOffer(const DaemonId &from, ConfigurationVersion offered);
+    void startOfferedTimer();
     void requestFrom(const DaemonId &peer);
-    void offerAgain();
+    void sendPeriodicOffer();
     Duration untilNextOffer() const;
     DocumentOffer makeOffer() const;
     ConfigurationVersion version() const;
@@ -117,15 +117,15 @@
     ConfigurationPtr m_inForce;
     std::string m_document;
     std::string m_unreadable;
-    bool m_isLogLost = false;
+    bool m_isLogUnreachable = false;
     std::string m_logError;
     /// When the last read that the log answered ended.
     std::optional<TimePoint> m_answeredAt;
     /// The newest version offered here, and by whom.
     ConfigurationVersion m_offered;
     DaemonId m_offeredBy;
-    bool m_isPatient = false;
-    TimerId m_patienceTimer;
+    bool m_isAwaitingOffered = false;
+    TimerId m_offeredTimer;
     TimerId m_offerTimer;
 };
 
--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -42,7 +42,7 @@
     settings.stream = STREAM;
     settings.key = "newest";
     settings.freshness.baseRetryInterval = std::chrono::milliseconds(1);
-    settings.offerPatience = std::chrono::milliseconds(1);
+    settings.offeredVersionTimeout = std::chrono::milliseconds(1);
     settings.offerInterval = std::chrono::hours(1);
     return settings;
 }
