--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -85,7 +85,7 @@
     confirm(read.startedAt);
     onReadDone(read);
     m_watch.cursor().skipTo(read.page->era, read.page->next);
-    m_watch.checkDuty();
+    m_watch.wakeIfNeeded();
     // What the watch should have brought, or cannot, it waits for on a connection that went silent.
     if (wasUnreachable || !read.page->records.empty()) {
         m_watch.restart();
@@ -310,7 +310,7 @@
     } else {
         m_offers.sendToSameDomain(1);
     }
-    m_watch.checkDuty();
+    m_watch.wakeIfNeeded();
     m_offerTimer = m_loop.callLater(untilNextOffer(), [this] { sendPeriodicOffer(); });
 }
 
--- a/src/app/internal/control/documentwatch.cpp
+++ b/src/app/internal/control/documentwatch.cpp
@@ -7,16 +7,17 @@
 namespace {
 
 /// `wake` ends it early.
-constexpr Duration UNTIL_NEEDED = std::chrono::seconds(60);
+constexpr Duration IDLE_PAUSE = std::chrono::seconds(60);
 
 } // namespace
 
 DocumentWatch::DocumentWatch(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
-                             Duration wait, Duration retry, IsNeeded isNeeded, OnRead onRead)
+                             Duration longPollTimeout, Duration retryInterval, IsNeeded isNeeded,
+                             OnRead onRead)
     : m_loop(loop)
     , m_log(log)
-    , m_wait(wait)
-    , m_retry(retry)
+    , m_longPollTimeout(longPollTimeout)
+    , m_retryInterval(retryInterval)
     , m_isNeeded(std::move(isNeeded))
     , m_onRead(std::move(onRead))
     , m_fiber(loop)
@@ -43,9 +44,9 @@
     m_fiber.wake();
 }
 
-void DocumentWatch::checkDuty()
+void DocumentWatch::wakeIfNeeded()
 {
-    if (m_isOffDuty && m_isNeeded()) {
+    if (m_isIdle && m_isNeeded()) {
         m_fiber.wake();
     }
 }
@@ -55,14 +56,14 @@
     while (!m_fiber.isStopped()) {
         // The check reads what stands there first.
         if (!m_cursor.next() || !m_isNeeded()) {
-            m_isOffDuty = true;
-            m_fiber.pause(UNTIL_NEEDED);
-            m_isOffDuty = false;
+            m_isIdle = true;
+            m_fiber.pause(IDLE_PAUSE);
+            m_isIdle = false;
             continue;
         }
         const TimePoint startedAt = m_loop.now();
         m_isReading = true;
-        const RetVal<KeyedPage> page = m_cursor.read(m_wait);
+        const RetVal<KeyedPage> page = m_cursor.read(m_longPollTimeout);
         m_isReading = false;
         if (m_fiber.isStopped()) {
             return;
@@ -73,9 +74,9 @@
         }
         const auto took = std::chrono::duration_cast<Duration>(m_loop.now() - startedAt);
         m_onRead(DocumentRead{ page, startedAt, took });
-        const bool isCutShort = page && page->records.empty() && took < m_wait / 2;
-        if (!page || isCutShort) {
-            m_fiber.pause(m_retry);
+        const bool returnedEarly = page && page->records.empty() && took < m_longPollTimeout / 2;
+        if (!page || returnedEarly) {
+            m_fiber.pause(m_retryInterval);
         }
     }
 }
--- a/src/app/internal/control/documentwatch.h
+++ b/src/app/internal/control/documentwatch.h
@@ -19,14 +19,15 @@
     /// All references outlive the object. `onRead` runs in the fiber and must not suspend. After a
     /// read that failed, or that the log did not hold back, the next one begins after `retry`, or
     /// with `restart`.
-    DocumentWatch(IEventLoop &loop, IKeyedLog &log, const StreamName &stream, Duration wait,
-                  Duration retry, IsNeeded isNeeded, OnRead onRead);
+    DocumentWatch(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
+                  Duration longPollTimeout, Duration retryInterval, IsNeeded isNeeded,
+                  OnRead onRead);
 
     void start();
     /// Suspends until its fiber has ended.
     void stop();
     /// Whether it is needed may have changed.
-    void checkDuty();
+    void wakeIfNeeded();
     /// Gives up the read that waits now, whose connection may be silent, and reads anew.
     void restart();
     KeyedCursor &cursor() { return m_cursor; }
@@ -36,14 +37,14 @@
 
     IEventLoop &m_loop;
     IKeyedLog &m_log;
-    Duration m_wait;
-    Duration m_retry;
+    Duration m_longPollTimeout;
+    Duration m_retryInterval;
     IsNeeded m_isNeeded;
     OnRead m_onRead;
     BackgroundFiber m_fiber;
     KeyedCursor m_cursor;
     bool m_isReading = false;
-    bool m_isOffDuty = false;
+    bool m_isIdle = false;
 };
 
 } // namespace ivyspar
