--- a/src/app/internal/control/keyedcursor.cpp
+++ b/src/app/internal/control/keyedcursor.cpp
@@ -15,16 +15,16 @@
 {
     const bool isFirst = !m_next;
     RetVal<KeyedPage> page = isFirst ? m_log.newest(m_stream) : m_log.read(m_stream, *m_next, wait);
-    const bool isForgotten = !page && page.error().code == ErrorCode::NotFound;
+    const bool isTruncated = !page && page.error().code == ErrorCode::NotFound;
     const bool isOtherEra = page && page->era != m_era;
-    const bool isAnew = !isFirst && (isForgotten || isOtherEra);
-    if (isAnew) {
+    const bool isRestart = !isFirst && (isTruncated || isOtherEra);
+    if (isRestart) {
         page = m_log.newest(m_stream);
     }
     if (page) {
         m_next = page->next;
         m_era = page->era;
-        m_isWhole = isFirst || isAnew;
+        m_isNewestPerKey = isFirst || isRestart;
     }
     return page;
 }
--- a/src/app/internal/control/keyedcursor.h
+++ b/src/app/internal/control/keyedcursor.h
@@ -20,7 +20,7 @@
     /// What comes before that place is known already.
     void skipTo(LogEra era, LogOffset next);
     /// Whether the last read gave the newest record of each key, and not what came after others.
-    bool isWhole() const { return m_isWhole; }
+    bool isNewestPerKey() const { return m_isNewestPerKey; }
     /// Where it reads on; nothing before the newest records were read.
     const std::optional<LogOffset> &next() const { return m_next; }
 
@@ -29,7 +29,7 @@
     StreamName m_stream;
     std::optional<LogOffset> m_next;
     LogEra m_era;
-    bool m_isWhole = false;
+    bool m_isNewestPerKey = false;
 };
 
 } // namespace ivyspar
--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -96,7 +96,7 @@
 /// A log that came back from an older copy may have lost this daemon's record.
 void MemberDirectory::applyPage(const KeyedPage &page)
 {
-    if (m_cursor.isWhole()) {
+    if (m_cursor.isNewestPerKey()) {
         m_isRegistered = false;
     }
     for (const KeyedRecord &record : page.records) {
