--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "app/internal/control/configurationfollower.h"
-#include "app/internal/control/countedlog.h"
 #include "app/internal/control/documentfollower.h"
+#include "app/internal/control/instrumentedlog.h"
 #include "app/internal/control/logaccess.h"
 #include "app/internal/control/statusdocument.h"
 #include "protocol/accountexchange.h"
@@ -117,8 +117,8 @@
 
 std::unique_ptr<IKeyedLog> ControlNode::makeKeyedLog(const IPlatform &platform)
 {
-    return std::make_unique<CountedLog>(platform.makeKeyedLog(m_loop, m_settings), m_loop,
-                                        m_observers.metrics);
+    return std::make_unique<InstrumentedLog>(platform.makeKeyedLog(m_loop, m_settings), m_loop,
+                                             m_observers.metrics);
 }
 
 ControlSend ControlNode::makeSend()
--- a/src/app/internal/control/countedlog.h
+++ b/src/app/internal/control/instrumentedlog.h
@@ -9,10 +9,10 @@
 namespace ivyspar {
 
 /// Counts and times what a daemon asks of the platform's log, which is shared by all.
-class CountedLog : public IKeyedLog
+class InstrumentedLog : public IKeyedLog
 {
 public:
-    CountedLog(std::unique_ptr<IKeyedLog> log, const IEventLoop &loop, IMetrics &metrics);
+    InstrumentedLog(std::unique_ptr<IKeyedLog> log, const IEventLoop &loop, IMetrics &metrics);
 
     RetVal<KeyedPage> newest(const StreamName &stream) override;
     RetVal<KeyedPage> read(const StreamName &stream, LogOffset from, Duration wait) override;
@@ -20,8 +20,8 @@
     void cancel() override { m_log->cancel(); }
 
 private:
-    RetVal<KeyedPage> count(TimePoint startedAt, RetVal<KeyedPage> page);
-    Duration since(TimePoint time) const;
+    RetVal<KeyedPage> recordRead(TimePoint startedAt, RetVal<KeyedPage> page);
+    Duration elapsedSince(TimePoint time) const;
 
     std::unique_ptr<IKeyedLog> m_log;
     const IEventLoop &m_loop;
--- a/src/app/tests/controlchanneltest.cpp
+++ b/src/app/tests/controlchanneltest.cpp
@@ -2,7 +2,7 @@
 
 #include <vector>
 
-#include "app/internal/control/countedlog.h"
+#include "app/internal/control/instrumentedlog.h"
 #include "app/tests/mocks/fakekeyedlog.h"
 #include "app/tests/mocks/inlineeventloop.h"
 #include "app/tests/mocks/silentobservers.h"
@@ -96,15 +96,15 @@
     STRCMP_CONTAINS("ivyspar_datagrams_malformed_total 4", m_observers.metrics().text().c_str());
 }
 
-TEST_GROUP(CountedLog){};
+TEST_GROUP(InstrumentedLog){};
 
-TEST(CountedLog, CountsReadsAppendsAndFailures)
+TEST(InstrumentedLog, CountsReadsAppendsAndFailures)
 {
     InlineEventLoop loop;
     SilentObservers observers;
     auto fake = std::make_unique<FakeKeyedLog>(loop);
     FakeKeyedLog &inner = *fake;
-    CountedLog log(std::move(fake), loop, observers.metrics());
+    InstrumentedLog log(std::move(fake), loop, observers.metrics());
     const StreamName stream("s");
     CHECK(log.put(stream, { "k", "v" }).has_value());
     CHECK_EQUAL(1, log.newest(stream)->records.size());
@@ -117,11 +117,11 @@
     STRCMP_CONTAINS("ivyspar_log_appends_total 1", text.c_str());
 }
 
-TEST(CountedLog, TimesReadsThatWait)
+TEST(InstrumentedLog, TimesReadsThatWait)
 {
     InlineEventLoop loop;
     SilentObservers observers;
-    CountedLog log(std::make_unique<FakeKeyedLog>(loop), loop, observers.metrics());
+    InstrumentedLog log(std::make_unique<FakeKeyedLog>(loop), loop, observers.metrics());
     CHECK(log.read(StreamName("s"), LogOffset(0), std::chrono::seconds(2)).has_value());
     const std::string text = observers.metrics().text();
     STRCMP_CONTAINS("ivyspar_log_read_duration_seconds_sum 2.0", text.c_str());
