--- a/src/app/internal/control/backgroundfiber.cpp
+++ b/src/app/internal/control/backgroundfiber.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Only a broken body takes longer than its cancelled call.
-constexpr Duration LONGEST_STOP = std::chrono::seconds(3);
+constexpr Duration STOP_TIMEOUT = std::chrono::seconds(3);
 
 } // namespace
 
@@ -53,7 +53,7 @@
     m_ended = std::make_unique<OneShot<bool>>(m_loop);
     wake();
     cancel();
-    m_ended->wait(LONGEST_STOP);
+    m_ended->wait(STOP_TIMEOUT);
 }
 
 } // namespace ivyspar
--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -16,7 +16,7 @@
 constexpr Duration REQUEST_TIMEOUT = std::chrono::milliseconds(500);
 /// So often a daemon that holds the current version asks for its position in the log.
 constexpr Duration POSITION_REQUEST_INTERVAL = std::chrono::seconds(10);
-constexpr Duration LONGEST_STOP = std::chrono::minutes(1);
+constexpr Duration STOP_TIMEOUT = std::chrono::minutes(1);
 
 } // namespace
 
@@ -49,7 +49,7 @@
 void ConfigurationFollower::stop()
 {
     m_isStopped = true;
-    if (m_fibers == 0) {
+    if (m_runningFibers == 0) {
         return;
     }
     m_ended = std::make_unique<OneShot<bool>>(m_loop);
@@ -59,7 +59,7 @@
         }
     }
     m_log.cancelReads();
-    m_ended->wait(LONGEST_STOP);
+    m_ended->wait(STOP_TIMEOUT);
 }
 
 bool ConfigurationFollower::receive(const DaemonId &from, const std::string &payload)
@@ -94,11 +94,11 @@
 
 void ConfigurationFollower::spawn(void (ConfigurationFollower::*body)())
 {
-    ++m_fibers;
+    ++m_runningFibers;
     m_loop.spawn([this, body] {
         (this->*body)();
-        --m_fibers;
-        if (m_fibers == 0 && m_ended) {
+        --m_runningFibers;
+        if (m_runningFibers == 0 && m_ended) {
             m_ended->set(true);
         }
     });
@@ -174,29 +174,29 @@
     }
     // Nobody waits for these here; a publisher reads the stream itself.
     m_stateMachine->takeDeferredResults();
-    useCurrent();
+    activateCurrent();
 }
 
 void ConfigurationFollower::applyRecord(const LogRecord &record)
 {
     const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
-    const std::string place = "record " + std::to_string(record.offset.value());
+    const std::string recordText = "record " + std::to_string(record.offset.value());
     if (!decoded) {
         m_stateMachine->skip(record.offset);
-        notice(place + " skipped: " + decoded.error().text);
+        notice(recordText + " skipped: " + decoded.error().text);
         return;
     }
     const std::string change = "change " + decoded->changeId + " based on version "
         + std::to_string(decoded->base.value());
     switch (m_stateMachine->apply(record.offset, *decoded)) {
     case ApplyResult::Conflict:
-        notice(place + " refused: " + change + " is not based on the current version");
+        notice(recordText + " refused: " + change + " is not based on the current version");
         break;
     case ApplyResult::Malformed:
-        notice(place + " refused: the text of " + change + " is damaged");
+        notice(recordText + " refused: the text of " + change + " is damaged");
         break;
     case ApplyResult::Deferred:
-        notice(place + " not judged yet: older records were lost, waiting for a snapshot");
+        notice(recordText + " not judged yet: older records were lost, waiting for a snapshot");
         break;
     case ApplyResult::Accepted:
     case ApplyResult::Duplicate:
@@ -250,14 +250,14 @@
         send(from, own);
         return;
     }
-    if (mayRequest(offer)) {
+    if (shouldRequest(offer)) {
         send(from, ConfigurationRequest{});
     }
 }
 
 void ConfigurationFollower::handle(const DaemonId &from, const ConfigurationRequest & /*request*/)
 {
-    if (const AcceptedConfiguration *accepted = held()) {
+    if (const AcceptedConfiguration *accepted = heldConfiguration()) {
         send(from, ConfigurationPush{ *accepted });
     }
 }
@@ -268,7 +268,7 @@
         notice("version " + std::to_string(push.accepted.version.value()) + " learned from "
                + from.value());
     }
-    useCurrent();
+    activateCurrent();
 }
 
 void ConfigurationFollower::send(const DaemonId &to, const ConfigurationMessage &message)
@@ -292,7 +292,7 @@
 
 /// Whether what is offered helps, and has not just been asked for: a version that is newer, or the
 /// position of the held one, without which no record can be judged.
-bool ConfigurationFollower::mayRequest(const ConfigurationOffer &offer)
+bool ConfigurationFollower::shouldRequest(const ConfigurationOffer &offer)
 {
     const ConfigurationOffer own = makeOffer();
     const bool isNewer = offer.version > own.version;
@@ -303,17 +303,17 @@
     }
     const TimePoint now = m_loop.now();
     const Duration interval = isNewer ? REQUEST_TIMEOUT : POSITION_REQUEST_INTERVAL;
-    if (offer.version <= m_requested && now - m_requestedAt < interval) {
+    if (offer.version <= m_requestedVersion && now - m_requestedAt < interval) {
         return false;
     }
-    m_requested = offer.version;
+    m_requestedVersion = offer.version;
     m_requestedAt = now;
     return true;
 }
 
 ConfigurationOffer ConfigurationFollower::makeOffer() const
 {
-    const AcceptedConfiguration *accepted = held();
+    const AcceptedConfiguration *accepted = heldConfiguration();
     if (!accepted) {
         return {};
     }
@@ -321,7 +321,7 @@
 }
 
 /// The version that is held, with a position if one is known.
-const AcceptedConfiguration *ConfigurationFollower::held() const
+const AcceptedConfiguration *ConfigurationFollower::heldConfiguration() const
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
     const AcceptedConfiguration *logState = m_stateMachine->logState();
@@ -330,7 +330,7 @@
 
 /// Brings the accepted version into force. One that this program cannot read, as it may be older
 /// than the version's publisher, is still held and passed on; the previous one stays in force.
-void ConfigurationFollower::useCurrent()
+void ConfigurationFollower::activateCurrent()
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isKnown =
--- a/src/app/internal/control/configurationfollower.h
+++ b/src/app/internal/control/configurationfollower.h
@@ -71,11 +71,11 @@
     void handle(const DaemonId &from, const ConfigurationPush &push);
     void send(const DaemonId &to, const ConfigurationMessage &message);
     void offerToRandomPeers(std::uint32_t count);
-    bool mayRequest(const ConfigurationOffer &offer);
+    bool shouldRequest(const ConfigurationOffer &offer);
 
     ConfigurationOffer makeOffer() const;
-    const AcceptedConfiguration *held() const;
-    void useCurrent();
+    const AcceptedConfiguration *heldConfiguration() const;
+    void activateCurrent();
     std::string describe(const AcceptedConfiguration &accepted) const;
     void notice(const std::string &text) const;
 
@@ -97,11 +97,11 @@
     std::string m_unreadable;
     std::string m_logError;
     std::uint64_t m_snapshotsAppended = 0;
-    ConfigurationVersion m_requested;
+    ConfigurationVersion m_requestedVersion;
     TimePoint m_requestedAt;
 
     bool m_isStopped = false;
-    int m_fibers = 0;
+    int m_runningFibers = 0;
     Pause m_pollPause;
     Pause m_offerPause;
     Pause m_ended;
