--- a/src/app/internal/control/controlchannel.cpp
+++ b/src/app/internal/control/controlchannel.cpp
@@ -45,7 +45,7 @@
 /// False where a link has to carry the payload.
 bool ControlChannel::sendDatagram(const Endpoint &endpoint, const std::string &payload)
 {
-    if (m_hasLinksOnly || payload.size() >= IDatagramSocket::MOST_BYTES) {
+    if (m_usesLinksOnly || payload.size() >= IDatagramSocket::MOST_BYTES) {
         return false;
     }
     ControlMessage message;
@@ -66,9 +66,10 @@
 {
     m_observers.metrics.add(Counter::DatagramsReceived);
     m_observers.metrics.add(Counter::DatagramBytesReceived, payload.size());
-    const bool isOurs = !payload.empty() && payload.front() == DATAGRAM_VERSION;
-    const auto message = isOurs ? m_codec.decode(payload.substr(1))
-                                : RetVal<PeerMessage>(makeError(ErrorCode::InvalidArgument, ""));
+    const bool isSupportedVersion = !payload.empty() && payload.front() == DATAGRAM_VERSION;
+    const auto message = isSupportedVersion
+        ? m_codec.decode(payload.substr(1))
+        : RetVal<PeerMessage>(makeError(ErrorCode::InvalidArgument, ""));
     const auto *control = message ? std::get_if<ControlMessage>(&*message) : nullptr;
     if (control == nullptr) {
         m_observers.metrics.add(Counter::DatagramsMalformed);
--- a/src/app/internal/control/controlchannel.h
+++ b/src/app/internal/control/controlchannel.h
@@ -29,7 +29,7 @@
     /// The endpoint at which this daemon takes links too.
     Ret listen(const Endpoint &endpoint);
     /// From now on all messages go over links. Datagrams are taken all the same.
-    void useLinksOnly() { m_hasLinksOnly = true; }
+    void useLinksOnly() { m_usesLinksOnly = true; }
     void send(const DaemonId &to, const Endpoint &endpoint, std::string payload);
     void onDatagram(std::string payload) override;
 
@@ -42,7 +42,7 @@
     Observers m_observers;
     SendByLink m_sendByLink;
     OnControl m_onControl;
-    bool m_hasLinksOnly = false;
+    bool m_usesLinksOnly = false;
 };
 
 } // namespace ivyspar
--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -277,7 +277,7 @@
 
 HttpResponse ControlNode::answerHealth() const
 {
-    if (m_isLeaving) {
+    if (m_isUnready) {
         return makeAnswer(UNAVAILABLE, "text/plain", "leaving\n");
     }
     if (!m_configuration) {
@@ -333,7 +333,7 @@
     DaemonStatus status;
     status.traffic = fetchTraffic();
     status.self = m_membership.self();
-    status.isLeaving = m_isLeaving;
+    status.isLeaving = m_isUnready;
     status.configuration = m_configuration;
     status.configurationStatus = m_configurationDriver->status();
     status.members = m_membership.allMembers();
--- a/src/app/internal/control/controlnode.h
+++ b/src/app/internal/control/controlnode.h
@@ -63,7 +63,7 @@
     void send(const DaemonId &to, std::string payload) { m_exchange.send(to, std::move(payload)); }
     void onUnreachable(const DaemonId &daemon) { m_membership.onUnreachable(daemon); }
     /// Whoever asks for the health of this daemon hears from now on that it leaves.
-    void setUnready() { m_isLeaving = true; }
+    void setUnready() { m_isUnready = true; }
     /// Tells the other daemons that this one takes no more calls.
     void startLeaving() { m_membership.startLeaving(); }
     void leave() { m_membership.leave(); }
@@ -111,7 +111,7 @@
     std::unique_ptr<IHttpServer> m_readinessServer;
     ConfigurationPtr m_configuration;
     TimePoint m_configuredAt;
-    bool m_isLeaving = false;
+    bool m_isUnready = false;
 };
 
 } // namespace ivyspar
--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -88,10 +88,10 @@
 /// A crash makes suspects of all that was under way, and most of them are cleared soon.
 Json makeSuspects(const std::vector<SuspectStatus> &suspects)
 {
-    constexpr std::size_t MOST_LISTED = 50;
+    constexpr std::size_t MAX_LISTED = 50;
     Json list = Json::array();
     for (const SuspectStatus &suspect : suspects) {
-        if (list.size() >= MOST_LISTED) {
+        if (list.size() >= MAX_LISTED) {
             break;
         }
         list.push_back(makeSuspect(suspect));
@@ -102,10 +102,10 @@
 /// Accounts that ask for more than they may have stand first.
 Json makeAccounts(const std::vector<AccountStatus> &accounts)
 {
-    constexpr std::size_t MOST_LISTED = 20;
+    constexpr std::size_t MAX_LISTED = 20;
     Json list = Json::array();
     for (const AccountStatus &each : accounts) {
-        if (list.size() >= MOST_LISTED) {
+        if (list.size() >= MAX_LISTED) {
             break;
         }
         list.push_back({ { "account", each.account.value() },
