--- a/src/app/tests/controlchanneltest.cpp
+++ b/src/app/tests/controlchanneltest.cpp
@@ -52,7 +52,7 @@
                               } };
 };
 
-TEST(ControlChannel, ShortMessagesAreDatagrams)
+TEST(ControlChannel, SendsShortMessagesAsDatagrams)
 {
     m_channel.send(DaemonId("b"), PEER, "ping");
     CHECK_EQUAL(1, m_socket.sent.size());
@@ -65,7 +65,7 @@
 }
 
 // A table of members or a configuration does not fit into a datagram and goes over a link.
-TEST(ControlChannel, LongMessagesGoOverALink)
+TEST(ControlChannel, SendsLongMessagesOverALink)
 {
     m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES, 'x'));
     // Fits alone, but not with the name of the sender.
@@ -74,7 +74,7 @@
     CHECK_EQUAL(2, m_byLink.size());
 }
 
-TEST(ControlChannel, WithoutDatagramsAllGoOverLinks)
+TEST(ControlChannel, SendsAllMessagesOverLinksWhenDatagramsAreDisabled)
 {
     m_channel.useLinksOnly();
     m_channel.send(DaemonId("b"), PEER, "ping");
@@ -83,7 +83,7 @@
 }
 
 // Anything may arrive at an open port: other programs, other versions, calls outside a link.
-TEST(ControlChannel, WhatIsNoControlMessageIsDropped)
+TEST(ControlChannel, DropsMalformedDatagrams)
 {
     m_channel.onDatagram("");
     m_channel.onDatagram("\1rubbish");
@@ -117,7 +117,7 @@
     STRCMP_CONTAINS("ivyspar_log_appends_total 1", text.c_str());
 }
 
-TEST(InstrumentedLog, TimesReadsThatWait)
+TEST(InstrumentedLog, MeasuresDurationOfLongPolls)
 {
     InlineEventLoop loop;
     SilentObservers observers;
--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -128,7 +128,7 @@
 // 2. Each has to know all others within seconds: until then callers hear that there is no server.
 // 3. Each took whole tables from any other, and rumours went anywhere, so that a failure domain
 //    sent as much to another as it has pairs of daemons.
-TEST(ControlPlaneGossip, TenTimesTheDaemonsSendNoMoreAcrossFailureDomains)
+TEST(ControlPlaneGossip, CrossDomainTrafficPerDaemonDoesNotGrowWithDeploymentSize)
 {
     Gossip few(FEW);
     Gossip many(MANY);
@@ -152,7 +152,7 @@
     CHECK(againMany <= againFew);
 }
 
-TEST(ControlPlaneGossip, NoDaemonSendsMuchInAnySecondAfterTheFirst)
+TEST(ControlPlaneGossip, PeakRatePerDaemonIsBoundedAfterTheFirstSecond)
 {
     Gossip many(MANY);
     many.run(seconds(1));
@@ -169,7 +169,7 @@
 
 // 1. A failure domain of fifty is cut off, and its daemons are taken for dead by all others.
 // 2. It comes back. Both sides find each other again without a flood over the narrow way between.
-TEST(ControlPlaneGossip, AFailureDomainThatReturnsIsKnownSoonAndCheaply)
+TEST(ControlPlaneGossip, ReconnectedFailureDomainConvergesWithinTrafficBound)
 {
     Gossip many(MANY);
     many.run(seconds(10));
@@ -229,7 +229,7 @@
 // 2. Each daemon waits there for news, and each reads the new version and waits anew: the log is
 //    asked in proportion to the daemons for each change, and of a small log nothing is left.
 // 3. With readers, all learn of it within a part of a second from a few reads.
-TEST(ControlPlaneLog, AVersionCostsAFewReadsHoweverManyDaemonsThereAre)
+TEST(ControlPlaneLog, ReadsPerVersionStayFarBelowDaemonCount)
 {
     start(MANY, 2);
     std::size_t most = 0;
@@ -240,7 +240,7 @@
 }
 
 // The same without any reader: by turns alone.
-TEST(ControlPlaneLog, AllHaveAVersionSoonAlsoWithoutReaders)
+TEST(ControlPlaneLog, VersionReachesAllDaemonsWithoutReaders)
 {
     start(FEW, 0);
     CHECK(readsForAVersion(2) < FEW);
@@ -248,7 +248,7 @@
 }
 
 // Guards against reads and messages for currency that grow with the daemons.
-TEST(ControlPlaneLog, ACalmDeploymentReadsLittleHoweverManyDaemonsThereAre)
+TEST(ControlPlaneLog, IdleReadsAreBoundedInLargeDeployments)
 {
     constexpr std::size_t SECONDS = 20;
     start(FEW, 2);
@@ -267,7 +267,7 @@
 
 // Guards against daemons that press a log which turns all of them away: what they tell each other
 // is old, and must not make them read at once.
-TEST(ControlPlaneLog, ALogThatTurnsAllAwayIsNotPressed)
+TEST(ControlPlaneLog, ReadRateIsBoundedWhenLogRefusesAllDaemons)
 {
     constexpr std::size_t SECONDS = 8;
     // What the log serves, and the size of the aim.
@@ -283,7 +283,7 @@
 }
 
 // Each reads the list, enters itself and reads once more, and reads the configuration.
-TEST(ControlPlaneLog, AStartCostsAFewReadsOfEachDaemon)
+TEST(ControlPlaneLog, StartTakesAFewReadsPerDaemon)
 {
     start(MANY, 2);
     CHECK(m_all->reads() <= 5 * MANY);
--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -63,7 +63,7 @@
     std::unique_ptr<DocumentFollower> m_follower;
 
     /// So many others in the failure domain that this daemon is no reader.
-    void crowd()
+    void makeNonReader()
     {
         m_settings.self = DaemonId("self");
         m_settings.domain = DomainName("here");
@@ -101,7 +101,7 @@
     }
 };
 
-TEST(DocumentFollower, TakesTheNewestAndThenEachThatComes)
+TEST(DocumentFollower, AppliesTheNewestDocumentAndEachLaterOne)
 {
     m_log.write(STREAM, "other", "99");
     m_log.write(STREAM, "newest", "7");
@@ -117,7 +117,7 @@
 //    adopted the version happened to tell it.
 // 2. It tells a peer which version it has, again and again. One that knows a newer one says so.
 // 3. Without that it would answer callers by the old version until its read is given up.
-TEST(DocumentFollower, SaysAgainAndAgainWhichVersionIsInForceHere)
+TEST(DocumentFollower, OffersItsVersionPeriodically)
 {
     m_settings.offerInterval = std::chrono::milliseconds(5);
     m_log.write(STREAM, "newest", "7");
@@ -133,7 +133,7 @@
     CHECK(m_runner.reaches([&] { return offers() > 5; }));
 }
 
-TEST(DocumentFollower, WhoOffersAnOlderVersionHearsOfTheNewerOne)
+TEST(DocumentFollower, AnswersAnOlderOfferWithItsNewerVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -153,7 +153,7 @@
 // 1. The log has forgotten the records after the place where the daemon stopped.
 // 2. The newest document stands all the same. A daemon that waited for the lost ones would go on
 //    under its old configuration for ever.
-TEST(DocumentFollower, ALogThatForgotItsHistoryIsReadAnew)
+TEST(DocumentFollower, ReadsNewestRecordsAfterLogTruncation)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -169,7 +169,7 @@
 
 // 1. The platform turns this daemon away, and serves others.
 // 2. It asks a peer, and takes what the peer pushes.
-TEST(DocumentFollower, ADaemonThatIsTurnedAwayFollowsItsPeers)
+TEST(DocumentFollower, FollowsPeersWhenTheLogRefusesIt)
 {
     m_log.isDown = true;
     start();
@@ -182,7 +182,7 @@
     CHECK_EQUAL(12, m_versions.at(0));
 }
 
-TEST(DocumentFollower, TellsWhenTheLogIsLostAndRegained)
+TEST(DocumentFollower, ReportsLossAndRecoveryOfTheLog)
 {
     m_log.isDown = true;
     start();
@@ -198,7 +198,7 @@
     STRCMP_EQUAL("log", m_origins.at(0).source.c_str());
 }
 
-TEST(DocumentFollower, NeverGoesBack)
+TEST(DocumentFollower, NeverRevertsToAnOlderVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -212,7 +212,7 @@
 
 // Guards against a change that is never seen, as it got an offset that was read before the log came
 // back from an older copy, and against going back to what that copy holds.
-TEST(DocumentFollower, ALogThatComesBackOlderIsReadAnew)
+TEST(DocumentFollower, ReadsNewestRecordsAfterLogIsRestoredFromOlderCopy)
 {
     for (const char *version : { "3", "4", "5" }) {
         m_log.write(STREAM, "newest", version);
@@ -231,7 +231,7 @@
 }
 
 // The newest change is written again only later.
-TEST(DocumentFollower, WhatIsInForceOutlivesALogThatComesBackOlder)
+TEST(DocumentFollower, KeepsVersionInForceWhenLogIsRestoredFromOlderCopy)
 {
     m_log.write(STREAM, "newest", "3");
     m_log.write(STREAM, "newest", "5");
@@ -247,7 +247,7 @@
     CHECK((m_versions == std::vector<std::uint64_t>{ 5, 6 }));
 }
 
-TEST(DocumentFollower, AnswersAPeerThatIsBehind)
+TEST(DocumentFollower, PushesDocumentToAPeerWithAnOlderVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -267,9 +267,9 @@
 // 2. This daemon reads once, at its start, and then hears of versions from them, and asks who
 // offers.
 // 3. With each daemon reading for itself, a new version would cost the log a read of each.
-TEST(DocumentFollower, ADaemonThatIsNoReaderHearsFromOthers)
+TEST(DocumentFollower, NonReaderLearnsOfVersionsFromPeers)
 {
-    crowd();
+    makeNonReader();
     m_log.write(STREAM, "newest", "7");
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
@@ -290,9 +290,9 @@
 
 // Guards against an old version that stays in force when all readers are gone, cut off from the log
 // or turned away by it in the same moment.
-TEST(DocumentFollower, ADaemonThatNobodyTellsReadsForItself)
+TEST(DocumentFollower, NonReaderReadsLogWhenNoPeerConfirms)
 {
-    crowd();
+    makeNonReader();
     m_settings.freshness.applyWithin = std::chrono::milliseconds(4);
     m_log.write(STREAM, "newest", "7");
     start();
@@ -308,9 +308,9 @@
 
 // 1. The readers of the failure domain end, and membership takes them for dead.
 // 2. This daemon is a reader now. Its next turn would come after minutes: it must not wait for it.
-TEST(DocumentFollower, ADaemonThatBecomesAReaderStartsAtOnce)
+TEST(DocumentFollower, StartsLongPollAtOnceWhenItBecomesAReader)
 {
-    crowd();
+    makeNonReader();
     m_settings.offerInterval = std::chrono::milliseconds(5);
     m_log.write(STREAM, "newest", "7");
     start();
@@ -324,9 +324,9 @@
 
 // 1. A peer offers a new version, and ends before it answers the request.
 // 2. Another one offered it in the same moment, and is asked a little later.
-TEST(DocumentFollower, AnotherIsAskedWhenThePeerThatWasAskedIsGone)
+TEST(DocumentFollower, RequestsFromAnotherPeerWhenTheFirstDoesNotAnswer)
 {
-    crowd();
+    makeNonReader();
     m_log.write(STREAM, "newest", "7");
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
@@ -341,7 +341,7 @@
     STRCMP_EQUAL("other", m_exchange.receivers[1].value().c_str());
 }
 
-TEST(DocumentFollower, MostOffersStayInTheFailureDomain)
+TEST(DocumentFollower, SendsMostOffersWithinTheFailureDomain)
 {
     m_settings.offerInterval = std::chrono::milliseconds(1);
     m_settings.domain = DomainName("here");
@@ -357,7 +357,7 @@
 
 // Guards against a daemon that cannot read the newest document and tells others that theirs is the
 // newest.
-TEST(DocumentFollower, WhoCannotReadTheNewestVouchesForNothing)
+TEST(DocumentFollower, OffersNoAgeWhenTheNewestDocumentIsUnreadable)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -376,7 +376,7 @@
 }
 
 // Guards against a log that answers at once and is read again and again.
-TEST(DocumentFollower, ALogThatHoldsNoAnswerBackIsNotFlooded)
+TEST(DocumentFollower, LimitsReadRateWhenLogDoesNotHoldReads)
 {
     m_log.holdsBack = false;
     m_log.write(STREAM, "newest", "7");
@@ -391,7 +391,7 @@
 }
 
 // A configuration read that went silent must not leave the daemon behind when others know better.
-TEST(DocumentFollower, ADaemonThatHearsOfANewerVersionAsksForIt)
+TEST(DocumentFollower, RequestsAnOfferedNewerVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -412,7 +412,7 @@
     SilentObservers m_observers;
     SeededRandom m_random{ 4 };
     std::vector<std::string> m_found;
-    std::size_t m_listed = 0;
+    std::size_t m_directorySize = 0;
     Duration m_meanReadInterval = std::chrono::milliseconds(1);
     std::size_t m_readsMeanwhile = 0;
     std::unique_ptr<MemberDirectory> m_directory;
@@ -428,7 +428,8 @@
             m_directory = std::make_unique<MemberDirectory>(
                 settings, m_runner.loop(), m_log, m_random, m_observers.observers(),
                 [this](const MembershipSeed &seed) { m_found.push_back(seed.endpoint.text()); },
-                [this](std::size_t daemons) { m_listed = daemons; }, [] { return std::size_t(1); });
+                [this](std::size_t daemons) { m_directorySize = daemons; },
+                [] { return std::size_t(1); });
             m_directory->start();
         });
     }
@@ -441,7 +442,7 @@
     }
 };
 
-TEST(MemberDirectory, EntersItselfAndFindsTheOthers)
+TEST(MemberDirectory, RegistersItselfAndFindsOtherDaemons)
 {
     m_log.write(STREAM, "b", "10.0.0.2:7000");
     m_log.write(STREAM, "c", "not an endpoint");
@@ -449,7 +450,7 @@
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 3; }));
     m_runner.run([this] { m_log.write(STREAM, "d", "10.0.0.4:7000"); });
     CHECK(m_runner.reaches([this] { return m_found.size() == 2; }));
-    CHECK_COMPARE(m_listed, >=, 2);
+    CHECK_COMPARE(m_directorySize, >=, 2);
     STRCMP_EQUAL("10.0.0.2:7000", m_found[0].c_str());
     STRCMP_EQUAL("10.0.0.4:7000", m_found[1].c_str());
 }
@@ -457,7 +458,7 @@
 // 1. Two daemons start together. One reads before the other is entered, and finds nobody.
 // 2. Whoever is entered later reads once more, and finds the other.
 // 3. Without that read neither would know of the other until its next turn to read.
-TEST(MemberDirectory, ReadsOnceMoreAfterItIsEntered)
+TEST(MemberDirectory, ReadsAgainAfterRegistration)
 {
     m_meanReadInterval = std::chrono::hours(1);
     m_log.onPut = [this] { m_log.write(STREAM, "b", "10.0.0.2:7000"); };
@@ -468,7 +469,7 @@
 // 1. Hundreds of daemons start, and each enters itself.
 // 2. One that was there before reads at its next turn and not for each of them: with a read for
 //    each, the start would cost the square of their number.
-TEST(MemberDirectory, DoesNotReadForEachThatIsEntered)
+TEST(MemberDirectory, DoesNotReadOnEachRegistration)
 {
     m_meanReadInterval = std::chrono::hours(1);
     start();
@@ -485,7 +486,7 @@
 }
 
 // Guards against a daemon that nobody finds any more, as the log lost its record.
-TEST(MemberDirectory, ADaemonWhoseRecordIsLostEntersItselfAgain)
+TEST(MemberDirectory, RegistersAgainWhenItsRecordIsLost)
 {
     m_meanReadInterval = std::chrono::milliseconds(2);
     start();
@@ -495,7 +496,7 @@
 }
 
 // When hundreds of daemons start again at once, none of them writes what stands there already.
-TEST(MemberDirectory, ADaemonThatStandsThereDoesNotWrite)
+TEST(MemberDirectory, DoesNotWriteWhenAlreadyRegistered)
 {
     m_log.write(STREAM, "a", "10.0.0.1:7000 here");
     start();
--- a/src/app/tests/membershipdrivertest.cpp
+++ b/src/app/tests/membershipdrivertest.cpp
@@ -20,7 +20,7 @@
 }
 
 /// What a peer tells that still holds the record of another run of this daemon.
-std::string tellOf(std::uint64_t incarnation)
+std::string makeGossip(std::uint64_t incarnation)
 {
     MemberUpdate update;
     update.id = DaemonId("a");
@@ -57,16 +57,16 @@
 // 2. A peer still holds the record of its previous run, which looks newer.
 // 3. The daemon goes on under a larger incarnation. Stopping for it, it would stop again at each
 //    start until the clock has caught up, and its server would get no calls.
-TEST(MembershipDriver, ADaemonWhoseClockWasSetBackOutbidsItsPreviousRun)
+TEST(MembershipDriver, RaisesIncarnationAbovePreviousRunAfterClockSetBack)
 {
-    CHECK(m_driver->receive(DaemonId("b"), tellOf(900)));
+    CHECK(m_driver->receive(DaemonId("b"), makeGossip(900)));
     CHECK_EQUAL(0, m_duplicates);
     CHECK(m_driver->self().incarnation > Incarnation(900));
 }
 
-TEST(MembershipDriver, ASecondDaemonUnderTheSameIdStopsThisOne)
+TEST(MembershipDriver, StopsWhenAnotherDaemonRunsUnderTheSameId)
 {
     m_loop.advance(std::chrono::seconds(40));
-    CHECK(m_driver->receive(DaemonId("b"), tellOf(900)));
+    CHECK(m_driver->receive(DaemonId("b"), makeGossip(900)));
     CHECK_EQUAL(1, m_duplicates);
 }
