--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -16,14 +16,14 @@
 namespace {
 
 constexpr std::size_t DOMAINS = 6;
-constexpr std::size_t FEW = 30;
-constexpr std::size_t MANY = 300;
+constexpr std::size_t SMALL_DEPLOYMENT = 30;
+constexpr std::size_t LARGE_DEPLOYMENT = 300;
 
 /// What a datagram takes besides the gossip in it: headers, the name of the sender.
 constexpr std::size_t OVERHEAD_BYTES = 60;
 /// The share of a daemon in the control traffic, in the mean and in any second.
-constexpr std::size_t BYTES_PER_SECOND = 11 * 1024;
-constexpr std::size_t MOST_BYTES_PER_SECOND = 3 * BYTES_PER_SECOND;
+constexpr std::size_t MEAN_BYTES_PER_SECOND = 11 * 1024;
+constexpr std::size_t MAX_BYTES_PER_SECOND = 3 * MEAN_BYTES_PER_SECOND;
 
 DomainName domainOf(std::size_t index)
 {
@@ -31,18 +31,18 @@
 }
 
 /// A deployment of daemons that gossip, found by a list of all of them, with what each sends.
-class Gossip
+class GossipDeployment
 {
 public:
-    explicit Gossip(std::size_t count)
+    explicit GossipDeployment(std::size_t count)
         : m_sent(count)
     {
         m_simulation.onDatagram = [this](std::size_t sender, const MembershipDatagram &datagram) {
-            note(sender, datagram);
+            recordSent(sender, datagram);
         };
         for (std::size_t i = 0; i < count; ++i) {
             m_simulation.start(domainOf(i).value());
-            showList(i, i);
+            addSeeds(i, i);
             m_simulation.run(milliseconds(1));
         }
     }
@@ -60,30 +60,30 @@
             m_simulation.restart(index, MembershipSimulation::NONE);
         }
         for (const std::size_t index : daemons) {
-            showList(index, m_simulation.size());
+            addSeeds(index, m_simulation.size());
         }
     }
 
-    bool agree() const { return m_simulation.agreeOn(m_sent.size()); }
+    bool hasConverged() const { return m_simulation.agreeOn(m_sent.size()); }
 
     /// Returns the bytes that each daemon sent to other failure domains, in the mean.
     std::size_t run(Duration time)
     {
-        m_far = 0;
+        m_bytesToOtherDomains = 0;
         for (Duration done{ 0 }; done < time; done += seconds(1)) {
             std::fill(m_sent.begin(), m_sent.end(), 0);
             m_simulation.run(seconds(1));
-            m_mostInASecond = *std::max_element(m_sent.begin(), m_sent.end());
-            m_mostEver = std::max(m_mostEver, m_mostInASecond);
+            m_peakInLastSecond = *std::max_element(m_sent.begin(), m_sent.end());
+            m_peakBytesPerSecond = std::max(m_peakBytesPerSecond, m_peakInLastSecond);
         }
-        return m_far / m_sent.size();
+        return m_bytesToOtherDomains / m_sent.size();
     }
 
     /// Bytes of the busiest daemon in the busiest second of the last `run`s.
-    std::size_t takeMostInASecond() { return std::exchange(m_mostEver, 0); }
+    std::size_t takePeakBytesPerSecond() { return std::exchange(m_peakBytesPerSecond, 0); }
 
 private:
-    void showList(std::size_t index, std::size_t entered)
+    void addSeeds(std::size_t index, std::size_t entered)
     {
         for (std::size_t other = 0; other < entered; ++other) {
             const Member &member = m_simulation.node(other).record;
@@ -93,21 +93,21 @@
         }
     }
 
-    void note(std::size_t sender, const MembershipDatagram &datagram)
+    void recordSent(std::size_t sender, const MembershipDatagram &datagram)
     {
         const std::size_t bytes = encodeMembership(datagram.message).size() + OVERHEAD_BYTES;
         const std::size_t owner = m_simulation.ownerOf(datagram.endpoint);
-        const bool isNear =
+        const bool isSameDomain =
             owner != MembershipSimulation::NONE && domainOf(owner) == domainOf(sender);
         m_sent[sender] += bytes;
-        m_far += isNear ? 0 : bytes;
+        m_bytesToOtherDomains += isSameDomain ? 0 : bytes;
     }
 
     MembershipSimulation m_simulation{ 11 };
     std::vector<std::size_t> m_sent;
-    std::size_t m_far = 0;
-    std::size_t m_mostInASecond = 0;
-    std::size_t m_mostEver = 0;
+    std::size_t m_bytesToOtherDomains = 0;
+    std::size_t m_peakInLastSecond = 0;
+    std::size_t m_peakBytesPerSecond = 0;
 };
 
 std::vector<std::size_t> allOf(std::size_t count)
@@ -130,63 +130,63 @@
 //    sent as much to another as it has pairs of daemons.
 TEST(ControlPlaneGossip, CrossDomainTrafficPerDaemonDoesNotGrowWithDeploymentSize)
 {
-    Gossip few(FEW);
-    Gossip many(MANY);
+    GossipDeployment few(SMALL_DEPLOYMENT);
+    GossipDeployment many(LARGE_DEPLOYMENT);
     const std::size_t startOfFew = few.run(seconds(10));
     const std::size_t startOfMany = many.run(seconds(10));
-    CHECK(few.agree());
-    CHECK(many.agree());
+    CHECK(few.hasConverged());
+    CHECK(many.hasConverged());
     CHECK(startOfMany <= startOfFew);
 
     const std::size_t calmFew = few.run(seconds(60));
     const std::size_t calmMany = many.run(seconds(60));
     CHECK(calmMany <= calmFew);
-    CHECK(calmMany <= 60 * BYTES_PER_SECOND);
+    CHECK(calmMany <= 60 * MEAN_BYTES_PER_SECOND);
 
-    few.restart(allOf(FEW));
-    many.restart(allOf(MANY));
+    few.restart(allOf(SMALL_DEPLOYMENT));
+    many.restart(allOf(LARGE_DEPLOYMENT));
     const std::size_t againFew = few.run(seconds(10));
     const std::size_t againMany = many.run(seconds(10));
-    CHECK(few.agree());
-    CHECK(many.agree());
+    CHECK(few.hasConverged());
+    CHECK(many.hasConverged());
     CHECK(againMany <= againFew);
 }
 
 TEST(ControlPlaneGossip, PeakRatePerDaemonIsBoundedAfterTheFirstSecond)
 {
-    Gossip many(MANY);
+    GossipDeployment many(LARGE_DEPLOYMENT);
     many.run(seconds(1));
-    many.takeMostInASecond();
+    many.takePeakBytesPerSecond();
     many.run(seconds(30));
-    CHECK(many.takeMostInASecond() <= MOST_BYTES_PER_SECOND);
+    CHECK(many.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 
-    many.restart(allOf(MANY));
+    many.restart(allOf(LARGE_DEPLOYMENT));
     many.run(seconds(1));
-    many.takeMostInASecond();
+    many.takePeakBytesPerSecond();
     many.run(seconds(30));
-    CHECK(many.takeMostInASecond() <= MOST_BYTES_PER_SECOND);
+    CHECK(many.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 }
 
 // 1. A failure domain of fifty is cut off, and its daemons are taken for dead by all others.
 // 2. It comes back. Both sides find each other again without a flood over the narrow way between.
 TEST(ControlPlaneGossip, ReconnectedFailureDomainConvergesWithinTrafficBound)
 {
-    Gossip many(MANY);
+    GossipDeployment many(LARGE_DEPLOYMENT);
     many.run(seconds(10));
     many.simulation().partition(domainOf(0).value());
     many.run(seconds(40));
-    CHECK(!many.agree());
+    CHECK(!many.hasConverged());
     many.simulation().heal();
-    many.takeMostInASecond();
+    many.takePeakBytesPerSecond();
     const Duration limit = seconds(30);
-    CHECK(many.simulation().runUntil([&] { return many.agree(); }, limit) < limit);
+    CHECK(many.simulation().runUntil([&] { return many.hasConverged(); }, limit) < limit);
     many.run(seconds(10));
-    CHECK(many.takeMostInASecond() <= MOST_BYTES_PER_SECOND);
+    CHECK(many.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 }
 
 TEST_GROUP(ControlPlaneLog)
 {
-    std::unique_ptr<SimulatedFollowers> m_all;
+    std::unique_ptr<SimulatedFollowers> m_followers;
 
     void start(std::size_t count, std::uint32_t readersPerDomain)
     {
@@ -194,34 +194,34 @@
         deployment.daemons = count;
         deployment.domains = DOMAINS;
         deployment.readersPerDomain = readersPerDomain;
-        m_all = std::make_unique<SimulatedFollowers>(deployment);
-        m_all->publish(1);
-        m_all->start();
-        CHECK(reaches([this] { return m_all->haveAll(1); }));
-        CHECK(reaches([&] { return m_all->entered() == count; }));
+        m_followers = std::make_unique<SimulatedFollowers>(deployment);
+        m_followers->publish(1);
+        m_followers->start();
+        CHECK(reaches([this] { return m_followers->haveAll(1); }));
+        CHECK(reaches([&] { return m_followers->entered() == count; }));
     }
     bool reaches(const std::function<bool()> &condition)
     {
         for (Duration waited{ 0 }; waited < seconds(5) && !condition(); waited += milliseconds(1)) {
-            m_all->run(milliseconds(1));
+            m_followers->run(milliseconds(1));
         }
         return condition();
     }
     /// Calls of the log from a new version until all have it in force.
-    std::size_t readsForAVersion(std::uint64_t version)
+    std::size_t readsUntilInForce(std::uint64_t version)
     {
-        const std::size_t before = m_all->reads();
-        m_all->publish(version);
-        CHECK(reaches([&] { return m_all->haveAll(version); }));
-        return m_all->reads() - before;
+        const std::size_t before = m_followers->reads();
+        m_followers->publish(version);
+        CHECK(reaches([&] { return m_followers->haveAll(version); }));
+        return m_followers->reads() - before;
     }
-    std::size_t bytesOnTheWay() const
+    std::size_t totalBytesSent() const
     {
-        return m_all->bytes() + m_all->messages() * OVERHEAD_BYTES;
+        return m_followers->bytes() + m_followers->messages() * OVERHEAD_BYTES;
     }
     void teardown() override
     {
-        m_all.reset();
+        m_followers.reset();
     }
 };
 
@@ -231,38 +231,38 @@
 // 3. With readers, all learn of it within a part of a second from a few reads.
 TEST(ControlPlaneLog, ReadsPerVersionStayFarBelowDaemonCount)
 {
-    start(MANY, 2);
+    start(LARGE_DEPLOYMENT, 2);
     std::size_t most = 0;
     for (std::uint64_t version = 2; version < 6; ++version) {
-        most = std::max(most, readsForAVersion(version));
+        most = std::max(most, readsUntilInForce(version));
     }
-    CHECK(most < MANY / 3);
+    CHECK(most < LARGE_DEPLOYMENT / 3);
 }
 
 // The same without any reader: by turns alone.
 TEST(ControlPlaneLog, VersionReachesAllDaemonsWithoutReaders)
 {
-    start(FEW, 0);
-    CHECK(readsForAVersion(2) < FEW);
-    CHECK(readsForAVersion(3) < FEW);
+    start(SMALL_DEPLOYMENT, 0);
+    CHECK(readsUntilInForce(2) < SMALL_DEPLOYMENT);
+    CHECK(readsUntilInForce(3) < SMALL_DEPLOYMENT);
 }
 
 // Guards against reads and messages for currency that grow with the daemons.
 TEST(ControlPlaneLog, IdleReadsAreBoundedInLargeDeployments)
 {
     constexpr std::size_t SECONDS = 20;
-    start(FEW, 2);
-    std::size_t before = m_all->reads();
-    m_all->run(seconds(SECONDS));
-    const std::size_t few = m_all->reads() - before;
-
-    m_all.reset();
-    start(MANY, 2);
-    before = m_all->reads();
-    const std::size_t bytesBefore = bytesOnTheWay();
-    m_all->run(seconds(SECONDS));
-    CHECK(m_all->reads() - before <= 3 * few);
-    CHECK(bytesOnTheWay() - bytesBefore <= MANY * SECONDS * BYTES_PER_SECOND);
+    start(SMALL_DEPLOYMENT, 2);
+    std::size_t before = m_followers->reads();
+    m_followers->run(seconds(SECONDS));
+    const std::size_t few = m_followers->reads() - before;
+
+    m_followers.reset();
+    start(LARGE_DEPLOYMENT, 2);
+    before = m_followers->reads();
+    const std::size_t bytesBefore = totalBytesSent();
+    m_followers->run(seconds(SECONDS));
+    CHECK(m_followers->reads() - before <= 3 * few);
+    CHECK(totalBytesSent() - bytesBefore <= LARGE_DEPLOYMENT * SECONDS * MEAN_BYTES_PER_SECOND);
 }
 
 // Guards against daemons that press a log which turns all of them away: what they tell each other
@@ -273,18 +273,18 @@
     // What the log serves, and the size of the aim.
     constexpr std::size_t READS_PER_SECOND = 2000;
     constexpr std::size_t DAEMONS = 790;
-    start(FEW, 2);
-    m_all->setServiceForAll(SimulatedLog::Service::Refuses);
-    m_all->run(seconds(2));
-    const std::size_t before = m_all->reads();
-    m_all->run(seconds(SECONDS));
-    const std::size_t reads = m_all->reads() - before;
-    CHECK(reads * DAEMONS <= FEW * SECONDS * READS_PER_SECOND);
+    start(SMALL_DEPLOYMENT, 2);
+    m_followers->setServiceForAll(SimulatedLog::Service::Refuses);
+    m_followers->run(seconds(2));
+    const std::size_t before = m_followers->reads();
+    m_followers->run(seconds(SECONDS));
+    const std::size_t reads = m_followers->reads() - before;
+    CHECK(reads * DAEMONS <= SMALL_DEPLOYMENT * SECONDS * READS_PER_SECOND);
 }
 
 // Each reads the list, enters itself and reads once more, and reads the configuration.
 TEST(ControlPlaneLog, StartTakesAFewReadsPerDaemon)
 {
-    start(MANY, 2);
-    CHECK(m_all->reads() <= 5 * MANY);
+    start(LARGE_DEPLOYMENT, 2);
+    CHECK(m_followers->reads() <= 5 * LARGE_DEPLOYMENT);
 }
