--- a/src/app/tests/configurationboundtest.cpp
+++ b/src/app/tests/configurationboundtest.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 /// A version is in force everywhere so long after the log acknowledged it.
-constexpr Duration BOUND = seconds(2);
+constexpr Duration PROPAGATION_BOUND = seconds(2);
 /// After a failure of the log for all daemons the bound holds again.
-constexpr Duration SETTLING = seconds(3);
+constexpr Duration RECOVERY_TIME = seconds(3);
 
 constexpr std::uint64_t SEEDS = 60;
 
@@ -27,10 +27,10 @@
 };
 
 /// Plays faults and changes on a deployment and finds the versions that came too late.
-class Schedule
+class FaultSchedule
 {
 public:
-    explicit Schedule(const SimulatedDeployment &deployment)
+    explicit FaultSchedule(const SimulatedDeployment &deployment)
         : m_followers(deployment)
     {
         m_followers.publish(m_version);
@@ -41,8 +41,8 @@
     SimulatedFollowers &followers() { return m_followers; }
     void run(Duration duration) { m_followers.run(duration); }
 
-    /// From then on, a change each `interval` until `duration` has passed.
-    void change(Duration interval, Duration duration)
+    /// From then on, a publishPeriodically each `interval` until `duration` has passed.
+    void publishPeriodically(Duration interval, Duration duration)
     {
         for (Duration done{ 0 }; done < duration; done += interval) {
             m_followers.publish(++m_version);
@@ -51,7 +51,7 @@
     }
 
     /// Nobody can read the log, and nothing can be written to it.
-    void silenceAll(Duration duration)
+    void silenceLog(Duration duration)
     {
         const TimePoint begin = m_followers.now();
         m_followers.setServiceForAll(SimulatedLog::Service::Silent);
@@ -70,7 +70,7 @@
     }
 
     /// One line for each version and daemon that broke the bound; empty when all kept it.
-    std::string findLate() const
+    std::string findLateVersions() const
     {
         std::ostringstream late;
         for (const auto &[version, publishedAt] : m_followers.published()) {
@@ -90,10 +90,10 @@
 private:
     TimePoint limitOf(TimePoint publishedAt) const
     {
-        TimePoint limit = publishedAt + BOUND;
+        TimePoint limit = publishedAt + PROPAGATION_BOUND;
         for (const Outage &outage : m_outages) {
-            if (limit >= outage.begin && limit < outage.end + SETTLING) {
-                limit = outage.end + SETTLING;
+            if (limit >= outage.begin && limit < outage.end + RECOVERY_TIME) {
+                limit = outage.end + RECOVERY_TIME;
             }
         }
         return limit;
@@ -104,19 +104,19 @@
     std::vector<Outage> m_outages;
 };
 
-using Play = std::function<void(Schedule &)>;
+using Scenario = std::function<void(FaultSchedule &)>;
 
 /// Plays each seed on a thread of its own, as a simulated loop takes the thread's scheduler.
-std::string playSeeds(SimulatedDeployment deployment, const Play &play)
+std::string runSeeds(SimulatedDeployment deployment, const Scenario &scenario)
 {
     std::string late;
     for (std::uint64_t seed = 1; seed <= SEEDS && late.empty(); ++seed) {
         deployment.seed = seed;
         std::thread([&] {
-            Schedule schedule(deployment);
-            play(schedule);
+            FaultSchedule schedule(deployment);
+            scenario(schedule);
             schedule.run(seconds(10));
-            late = schedule.findLate();
+            late = schedule.findLateVersions();
         }).join();
         if (!late.empty()) {
             late.insert(0, "seed " + std::to_string(seed) + ":\n");
@@ -133,30 +133,30 @@
     return deployment;
 }
 
-void playSilenceThenHalf(Schedule &schedule)
+void runOutageThenHalfSilent(FaultSchedule &schedule)
 {
-    schedule.change(milliseconds(1500), seconds(3));
-    schedule.silenceAll(seconds(5));
+    schedule.publishPeriodically(milliseconds(1500), seconds(3));
+    schedule.silenceLog(seconds(5));
     schedule.failHalf(SimulatedLog::Service::Silent);
     schedule.run(milliseconds(200));
-    schedule.change(milliseconds(1200), seconds(6));
+    schedule.publishPeriodically(milliseconds(1200), seconds(6));
     schedule.followers().setServiceForAll(SimulatedLog::Service::Answers);
-    schedule.change(milliseconds(700), seconds(4));
+    schedule.publishPeriodically(milliseconds(700), seconds(4));
 }
 
 /// Changes that the operators held back come in a burst once the log answers again.
-void playSilenceBetweenChanges(Schedule &schedule)
+void runOutageBetweenChanges(FaultSchedule &schedule)
 {
     schedule.run(milliseconds(schedule.followers().random().below(5000)));
-    schedule.change(seconds(2), seconds(6));
-    schedule.silenceAll(milliseconds(5370));
-    schedule.change(milliseconds(41), milliseconds(82));
+    schedule.publishPeriodically(seconds(2), seconds(6));
+    schedule.silenceLog(milliseconds(5370));
+    schedule.publishPeriodically(milliseconds(41), milliseconds(82));
     schedule.run(milliseconds(548));
-    schedule.change(seconds(2), seconds(6));
+    schedule.publishPeriodically(seconds(2), seconds(6));
 }
 
 /// Connections go silent one after the other, each without a word.
-void playLostConnections(Schedule &schedule)
+void runLostConnections(FaultSchedule &schedule)
 {
     SimulatedFollowers &followers = schedule.followers();
     for (int round = 0; round < 40; ++round) {
@@ -165,12 +165,12 @@
                 followers.loseConnections(i);
             }
         }
-        schedule.change(milliseconds(400), milliseconds(400));
+        schedule.publishPeriodically(milliseconds(400), milliseconds(400));
     }
 }
 
 /// Only one daemon is served, and another one every two seconds.
-void playOneServed(Schedule &schedule)
+void runOneDaemonServed(FaultSchedule &schedule)
 {
     SimulatedFollowers &followers = schedule.followers();
     for (int round = 0; round < 8; ++round) {
@@ -179,12 +179,12 @@
         followers.setServiceForAll(isSilent ? SimulatedLog::Service::Silent
                                             : SimulatedLog::Service::Refuses);
         followers.setService(served, SimulatedLog::Service::Answers);
-        schedule.change(milliseconds(500), seconds(2));
+        schedule.publishPeriodically(milliseconds(500), seconds(2));
     }
 }
 
 /// A failure domain is cut off from the others, and half of the daemons are turned away.
-void playCutAndHalf(Schedule &schedule)
+void runPartitionWithHalfRefused(FaultSchedule &schedule)
 {
     SimulatedFollowers &followers = schedule.followers();
     schedule.failHalf(SimulatedLog::Service::Refuses);
@@ -192,45 +192,46 @@
         followers.setService(domain, SimulatedLog::Service::Answers);
     }
     followers.cut(1);
-    schedule.change(milliseconds(900), seconds(8));
+    schedule.publishPeriodically(milliseconds(900), seconds(8));
     followers.mend();
-    schedule.change(milliseconds(900), seconds(3));
+    schedule.publishPeriodically(milliseconds(900), seconds(3));
 }
 
 } // namespace
 
 TEST_GROUP(ConfigurationBound){};
 
-// Guards against a change that comes into force too late where the log was silent for all daemons
-// and then for half of them.
+// Guards against a publishPeriodically that comes into force too late where the log was silent for
+// all daemons and then for half of them.
 TEST(ConfigurationBound, HoldsAfterTheLogWasSilentForAllThenForHalf)
 {
-    STRCMP_EQUAL("", playSeeds(makeDeployment(13, 3), playSilenceThenHalf).c_str());
-    STRCMP_EQUAL("", playSeeds(makeDeployment(30, 6), playSilenceThenHalf).c_str());
+    STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runOutageThenHalfSilent).c_str());
+    STRCMP_EQUAL("", runSeeds(makeDeployment(30, 6), runOutageThenHalfSilent).c_str());
 }
 
 // Guards against readers that lost their reads in step, and lose the next ones in step too.
 TEST(ConfigurationBound, HoldsForChangesHeldBackWhileTheLogWasSilent)
 {
-    STRCMP_EQUAL("", playSeeds(makeDeployment(13, 3), playSilenceBetweenChanges).c_str());
+    STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runOutageBetweenChanges).c_str());
 }
 
-// Guards against a change that comes too late where connections to the log went silent for good.
+// Guards against a publishPeriodically that comes too late where connections to the log went silent
+// for good.
 TEST(ConfigurationBound, HoldsWhileConnectionsToTheLogGoSilent)
 {
-    STRCMP_EQUAL("", playSeeds(makeDeployment(13, 3), playLostConnections).c_str());
+    STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runLostConnections).c_str());
 }
 
-// Guards against a change that only the last daemon that the log serves can know of.
+// Guards against a publishPeriodically that only the last daemon that the log serves can know of.
 TEST(ConfigurationBound, HoldsWhileTheLogServesOneDaemonOnly)
 {
-    STRCMP_EQUAL("", playSeeds(makeDeployment(13, 3), playOneServed).c_str());
-    STRCMP_EQUAL("", playSeeds(makeDeployment(30, 6), playOneServed).c_str());
+    STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runOneDaemonServed).c_str());
+    STRCMP_EQUAL("", runSeeds(makeDeployment(30, 6), runOneDaemonServed).c_str());
 }
 
 // Guards against a failure domain that stays behind because its readers are turned away and no
 // other domain can tell it.
 TEST(ConfigurationBound, HoldsInAFailureDomainThatIsCutOff)
 {
-    STRCMP_EQUAL("", playSeeds(makeDeployment(13, 3), playCutAndHalf).c_str());
+    STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runPartitionWithHalfRefused).c_str());
 }
