--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -83,9 +83,9 @@
     std::size_t takePeakBytesPerSecond() { return std::exchange(m_peakBytesPerSecond, 0); }
 
 private:
-    void addSeeds(std::size_t index, std::size_t entered)
+    void addSeeds(std::size_t index, std::size_t registeredDaemons)
     {
-        for (std::size_t other = 0; other < entered; ++other) {
+        for (std::size_t other = 0; other < registeredDaemons; ++other) {
             const Member &member = m_simulation.node(other).record;
             const MembershipSeed seed{ member.peerEndpoint, member.domain };
             m_simulation.deliver(
@@ -197,8 +197,8 @@
         m_followers = std::make_unique<SimulatedFollowers>(deployment);
         m_followers->publish(1);
         m_followers->start();
-        CHECK(reaches([this] { return m_followers->haveAll(1); }));
-        CHECK(reaches([&] { return m_followers->entered() == count; }));
+        CHECK(reaches([this] { return m_followers->isInForceEverywhere(1); }));
+        CHECK(reaches([&] { return m_followers->registeredDaemons() == count; }));
     }
     bool reaches(const std::function<bool()> &condition)
     {
@@ -212,7 +212,7 @@
     {
         const std::size_t before = m_followers->reads();
         m_followers->publish(version);
-        CHECK(reaches([&] { return m_followers->haveAll(version); }));
+        CHECK(reaches([&] { return m_followers->isInForceEverywhere(version); }));
         return m_followers->reads() - before;
     }
     std::size_t totalBytesSent() const
--- a/src/app/tests/mocks/simulatedfollowers.h
+++ b/src/app/tests/mocks/simulatedfollowers.h
@@ -24,7 +24,7 @@
     std::uint64_t seed = 1;
     std::uint32_t readersPerDomain = 2;
     /// Of 100 messages between daemons, so many are lost.
-    std::uint64_t lostMessages = 1;
+    std::uint64_t lossPercent = 1;
 };
 
 /// The daemons of a deployment that follow one configuration, in one simulated loop, with a network
@@ -79,7 +79,7 @@
         const auto found = history.lower_bound(version);
         return found == history.end() ? TimePoint::max() : found->second;
     }
-    bool haveAll(std::uint64_t version) const
+    bool isInForceEverywhere(std::uint64_t version) const
     {
         for (std::size_t i = 0; i < size(); ++i) {
             if (inForceSince(i, version) == TimePoint::max()) {
@@ -106,13 +106,13 @@
         }
     }
     /// Messages between this failure domain and the others are lost.
-    void cut(std::size_t domain) { m_cutDomains.insert(domain); }
-    void mend() { m_cutDomains.clear(); }
+    void cut(std::size_t domain) { m_partitionedDomains.insert(domain); }
+    void mend() { m_partitionedDomains.clear(); }
     std::size_t domainOf(std::size_t index) const { return index % m_deployment.domains; }
 
     /// Of the configuration and of the list of members.
     std::size_t reads() const { return m_stream.reads + m_directory.reads; }
-    std::size_t entered() const { return m_directory.records.size(); }
+    std::size_t registeredDaemons() const { return m_directory.records.size(); }
     std::size_t messages() const { return m_messages; }
     std::size_t bytes() const { return m_bytes; }
 
@@ -216,7 +216,7 @@
         ++m_messages;
         m_bytes += payload.size();
         const std::size_t target = indexOf(to);
-        if (isCut(from, target) || m_random.below(HUNDRED) < m_deployment.lostMessages) {
+        if (isPartitioned(from, target) || m_random.below(HUNDRED) < m_deployment.lossPercent) {
             return;
         }
         m_loop.callLater(DELAY, [this, from, target, payload = std::move(payload)] {
@@ -224,11 +224,12 @@
         });
     }
 
-    bool isCut(std::size_t from, std::size_t to) const
+    bool isPartitioned(std::size_t from, std::size_t to) const
     {
         const std::size_t here = domainOf(from);
         const std::size_t there = domainOf(to);
-        return here != there && m_cutDomains.count(here) + m_cutDomains.count(there) > 0;
+        return here != there
+            && m_partitionedDomains.count(here) + m_partitionedDomains.count(there) > 0;
     }
 
     SimulatedDeployment m_deployment;
@@ -239,7 +240,7 @@
     SilentObservers m_observers;
     std::vector<std::unique_ptr<Host>> m_hosts;
     std::map<std::uint64_t, TimePoint> m_published;
-    std::set<std::size_t> m_cutDomains;
+    std::set<std::size_t> m_partitionedDomains;
     std::size_t m_messages = 0;
     std::size_t m_bytes = 0;
 };
