--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -159,7 +159,7 @@
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
     m_runner.run([this] {
-        m_log.isForgetful = true;
+        m_log.isTruncated = true;
         m_log.write(STREAM, "newest", "8");
         m_log.cancel();
     });
@@ -220,7 +220,7 @@
     start();
     CHECK(m_runner.reaches([this] { return m_versions == std::vector<std::uint64_t>{ 5 }; }));
     m_runner.run([this] {
-        m_log.goBack(STREAM, 2);
+        m_log.restoreOlderCopy(STREAM, 2);
         m_log.write(STREAM, "newest", "6");
         for (int i = 0; i < 3; ++i) {
             m_log.write(STREAM, "other", "1");
@@ -238,7 +238,7 @@
     start();
     CHECK(m_runner.reaches([this] { return m_versions == std::vector<std::uint64_t>{ 5 }; }));
     m_runner.run([this] {
-        m_log.goBack(STREAM, 1);
+        m_log.restoreOlderCopy(STREAM, 1);
         m_runner.loop().sleepFor(std::chrono::milliseconds(20));
         m_log.write(STREAM, "newest", "5");
         m_log.write(STREAM, "newest", "6");
@@ -378,7 +378,7 @@
 // Guards against a log that answers at once and is read again and again.
 TEST(DocumentFollower, LimitsReadRateWhenLogDoesNotHoldReads)
 {
-    m_log.holdsBack = false;
+    m_log.supportsLongPoll = false;
     m_log.write(STREAM, "newest", "7");
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
@@ -491,7 +491,7 @@
     m_meanReadInterval = std::chrono::milliseconds(2);
     start();
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
-    m_runner.run([this] { m_log.goBack(STREAM, 1); });
+    m_runner.run([this] { m_log.restoreOlderCopy(STREAM, 1); });
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
 }
 
--- a/src/app/tests/mocks/fakekeyedlog.h
+++ b/src/app/tests/mocks/fakekeyedlog.h
@@ -22,9 +22,9 @@
     /// Answers nothing but errors.
     bool isDown = false;
     /// The next read finds its records forgotten.
-    bool isForgetful = false;
+    bool isTruncated = false;
     /// Reads wait for news.
-    bool holdsBack = true;
+    bool supportsLongPoll = true;
     /// Calls of `newest` and `read`.
     std::size_t reads = 0;
     /// Runs after each record that is put.
@@ -35,7 +35,7 @@
         m_streams[stream].push_back({ key, value });
     }
     /// Comes back from a copy that lacks the last records of the stream.
-    void goBack(const StreamName &stream, std::size_t records)
+    void restoreOlderCopy(const StreamName &stream, std::size_t records)
     {
         m_streams[stream].resize(m_streams[stream].size() - records);
         m_era = LogEra(m_era.value() + 1);
@@ -65,13 +65,13 @@
     {
         ++reads;
         const std::uint64_t calls = m_cancels;
-        const TimePoint end = m_loop.now() + (holdsBack ? wait : Duration::zero());
+        const TimePoint end = m_loop.now() + (supportsLongPoll ? wait : Duration::zero());
         while (m_streams[stream].size() <= from.value() && m_loop.now() < end
                && calls == m_cancels) {
             m_loop.sleepFor(std::chrono::milliseconds(1));
         }
-        if (isForgetful) {
-            isForgetful = false;
+        if (isTruncated) {
+            isTruncated = false;
             return makeError(ErrorCode::NotFound, "forgotten");
         }
         if (calls != m_cancels) {
