--- a/src/app/tests/configurationboundtest.cpp
+++ b/src/app/tests/configurationboundtest.cpp
@@ -191,9 +191,9 @@
     for (std::size_t domain = 0; domain < 3; ++domain) {
         followers.setService(domain, SimulatedLog::Service::Answers);
     }
-    followers.cut(1);
+    followers.partition(1);
     schedule.publishPeriodically(milliseconds(900), seconds(8));
-    followers.mend();
+    followers.heal();
     schedule.publishPeriodically(milliseconds(900), seconds(3));
 }
 
--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -83,9 +83,9 @@
     std::size_t takePeakBytesPerSecond() { return std::exchange(m_peakBytesPerSecond, 0); }
 
 private:
-    void addSeeds(std::size_t index, std::size_t registeredDaemons)
+    void addSeeds(std::size_t index, std::size_t knownDaemons)
     {
-        for (std::size_t other = 0; other < registeredDaemons; ++other) {
+        for (std::size_t other = 0; other < knownDaemons; ++other) {
             const Member &member = m_simulation.node(other).record;
             const MembershipSeed seed{ member.peerEndpoint, member.domain };
             m_simulation.deliver(
--- a/src/app/tests/mocks/simulatedfollowers.h
+++ b/src/app/tests/mocks/simulatedfollowers.h
@@ -106,8 +106,8 @@
         }
     }
     /// Messages between this failure domain and the others are lost.
-    void cut(std::size_t domain) { m_partitionedDomains.insert(domain); }
-    void mend() { m_partitionedDomains.clear(); }
+    void partition(std::size_t domain) { m_partitionedDomains.insert(domain); }
+    void heal() { m_partitionedDomains.clear(); }
     std::size_t domainOf(std::size_t index) const { return index % m_deployment.domains; }
 
     /// Of the configuration and of the list of members.
