--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -22,7 +22,7 @@
     , m_check(loop, logs.check, m_settings.stream, *m_freshness,
               [this](const DocumentRead &read) { onCheck(read); })
     , m_watch(
-          loop, logs.watch, m_settings.stream, m_settings.wait,
+          loop, logs.watch, m_settings.stream, m_settings.longPollTimeout,
           m_settings.freshness.maxRetryInterval, [this] { return isReader(); },
           [this](const DocumentRead &read) { onWatch(read); })
 {
@@ -112,8 +112,8 @@
         sendOffersToAllDomains();
     }
     // Nothing came for as long as the log was asked to wait.
-    if (read.page->records.empty() && read.took >= m_settings.wait) {
-        confirm(read.startedAt + m_settings.wait);
+    if (read.page->records.empty() && read.took >= m_settings.longPollTimeout) {
+        confirm(read.startedAt + m_settings.longPollTimeout);
     }
 }
 
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -29,7 +29,7 @@
     /// Daemons of each failure domain that wait at the log for news.
     std::uint32_t readersPerDomain = 2;
     /// How long one read of a reader waits for news.
-    Duration wait = std::chrono::seconds(5);
+    Duration longPollTimeout = std::chrono::seconds(5);
     /// Random peers of the own failure domain that hear at once of a new version, or of how the log
     /// stood a moment ago.
     std::uint32_t sameDomainOffers = 3;
