--- a/src/app/internal/control/backgroundfiber.cpp
+++ b/src/app/internal/control/backgroundfiber.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Only a broken body takes longer than its cancelled call.
+/// Far longer than a body takes to return from a cancelled call.
 constexpr Duration STOP_TIMEOUT = std::chrono::seconds(3);
 
 } // namespace
--- a/src/app/internal/control/backgroundfiber.h
+++ b/src/app/internal/control/backgroundfiber.h
@@ -8,19 +8,19 @@
 
 namespace ivyspar {
 
-/// A fiber that works in the background until it is stopped.
+/// A background fiber that runs until it is stopped.
 class BackgroundFiber
 {
 public:
     explicit BackgroundFiber(IEventLoop &loop);
 
-    /// `body` runs once, in a fiber, and is to return soon after `isStopped` becomes true.
+    /// Runs `body` once in a fiber. It must return soon after `isStopped` becomes true.
     void start(std::function<void()> body);
-    /// Suspends the background fiber; `wake` and `stop` end it early.
+    /// Suspends the background fiber; `wake` and `stop` end the pause early. Call it from the body.
     void pause(Duration duration);
     void wake();
-    /// `cancel` ends what the body waits for besides `pause`. Suspends the calling fiber until the
-    /// body has returned, before destruction and once started.
+    /// Suspends the calling fiber until the body has returned, or for 3 s at most. `cancel` ends
+    /// whatever the body waits for besides `pause`. Required before destruction once started.
     void stop(const std::function<void()> &cancel);
     bool isStopped() const { return m_isStopped; }
 
--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr std::uint32_t PAGE_RECORDS = 64;
-/// A request that got no push is repeated after this time.
+/// A version that was requested and not received may be requested again after this time.
 constexpr Duration REQUEST_TIMEOUT = std::chrono::milliseconds(500);
-/// So often a daemon that holds the current version asks for its position in the log.
+/// Minimum time between requests for the log position of the version that is already held.
 constexpr Duration POSITION_REQUEST_INTERVAL = std::chrono::seconds(10);
 constexpr Duration STOP_TIMEOUT = std::chrono::minutes(1);
 
@@ -125,14 +125,14 @@
 {
     while (!m_isStopped) {
         offerToRandomPeers(1);
-        // Drawn anew each time, so that daemons that start together do not stay in step.
+        // Random, so that daemons that start together do not stay synchronized.
         const auto half = static_cast<std::uint64_t>(
             std::max<Duration::rep>(1, m_settings.offerInterval.count()));
         pause(m_offerPause, m_settings.offerInterval / 2 + Duration(m_random.below(half)));
     }
 }
 
-/// Reads and folds one page. Returns the pause before the next read.
+/// Reads and applies one page. Returns the pause before the next read.
 Duration ConfigurationFollower::readOnce()
 {
     std::vector<DaemonId> domainPeers;
@@ -172,7 +172,7 @@
     for (const LogRecord &record : page.records) {
         applyRecord(record);
     }
-    // Nobody waits for these here; a publisher reads the stream itself.
+    // Discarded: only publishers need them, and they read the stream themselves.
     m_stateMachine->takeDeferredResults();
     activateCurrent();
 }
@@ -196,7 +196,7 @@
         notice(recordText + " refused: the text of " + change + " is damaged");
         break;
     case ApplyResult::Deferred:
-        notice(recordText + " not judged yet: older records were lost, waiting for a snapshot");
+        notice(recordText + " not applied yet: older records were lost, waiting for a snapshot");
         break;
     case ApplyResult::Accepted:
     case ApplyResult::Duplicate:
@@ -221,7 +221,7 @@
         return;
     }
     const RetVal<LogOffset> offset = m_log.append(StreamName(CONFIGURATION_STREAM), *payload);
-    // A snapshot that was appended although its answer was lost is seen by the next read.
+    // A snapshot that was appended although its response was lost is found by the next read.
     if (!offset) {
         m_snapshot.onFailure(m_loop.now(), m_random);
         notice("snapshot not written: " + offset.error().text);
@@ -232,7 +232,7 @@
            + std::to_string(offset->value()));
 }
 
-/// Notes only changes: an outage may last for hours.
+/// Logs only transitions: an outage may last for hours.
 void ConfigurationFollower::setLogError(const std::string &text)
 {
     if (text.empty() != m_logError.empty()) {
@@ -241,8 +241,8 @@
     m_logError = text;
 }
 
-/// A peer that is behind is offered the version rather than sent it: several daemons may find it at
-/// the same time, and it asks only one of them.
+/// A peer with an older version is sent an offer rather than the version: several daemons may
+/// answer it at the same time, and it requests the version from only one of them.
 void ConfigurationFollower::handle(const DaemonId &from, const ConfigurationOffer &offer)
 {
     const ConfigurationOffer own = makeOffer();
@@ -265,7 +265,7 @@
 void ConfigurationFollower::handle(const DaemonId &from, const ConfigurationPush &push)
 {
     if (m_stateMachine->adopt(push.accepted)) {
-        notice("version " + std::to_string(push.accepted.version.value()) + " learned from "
+        notice("version " + std::to_string(push.accepted.version.value()) + " received from "
                + from.value());
     }
     activateCurrent();
@@ -290,8 +290,8 @@
     }
 }
 
-/// Whether what is offered helps, and has not just been asked for: a version that is newer, or the
-/// position of the held one, without which no record can be judged.
+/// Whether the offer is useful and was not requested recently: it has a newer version, or the log
+/// position of the held version, without which no record can be applied.
 bool ConfigurationFollower::shouldRequest(const ConfigurationOffer &offer)
 {
     const ConfigurationOffer own = makeOffer();
@@ -320,7 +320,7 @@
     return { accepted->version, accepted->position.has_value() };
 }
 
-/// The version that is held, with a position if one is known.
+/// The held version, with its log position if that is known.
 const AcceptedConfiguration *ConfigurationFollower::heldConfiguration() const
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
@@ -328,8 +328,8 @@
     return current && logState && logState->version == current->version ? logState : current;
 }
 
-/// Brings the accepted version into force. One that this program cannot read, as it may be older
-/// than the version's publisher, is still held and passed on; the previous one stays in force.
+/// Puts the accepted version into force. A version that this program cannot read, for example
+/// because the publisher is newer, is still held and offered; the previous one stays in force.
 void ConfigurationFollower::activateCurrent()
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
--- a/src/app/internal/control/configurationfollower.h
+++ b/src/app/internal/control/configurationfollower.h
@@ -18,7 +18,7 @@
 
 namespace ivyspar {
 
-/// Name of the stream that operators publish on.
+/// Stream on which operators publish changes of the configuration.
 constexpr char CONFIGURATION_STREAM[] = "configuration";
 
 struct ConfigurationFollowerSettings
@@ -27,15 +27,15 @@
     DomainName domain;
     PollSettings poll;
     SnapshotSettings snapshot;
-    /// Time between two offers to a random peer.
+    /// Mean time between offers to a random peer; each interval is drawn from 0.5 to 1.5 times.
     Duration offerInterval = std::chrono::seconds(1);
-    /// Random peers that hear of a new version at once.
+    /// Number of random peers to which a new version is offered at once.
     std::uint32_t changeFanout = 6;
 };
 
-/// Keeps this daemon's configuration up to date: follows the stream in the platform's log, folds
-/// it, exchanges versions with other daemons, and renews the snapshot in the log. Runs in two
-/// fibers of the control thread.
+/// Keeps this daemon's configuration up to date: follows the stream in the platform's log, applies
+/// its records, exchanges versions with other daemons, and renews the snapshot in the log. Runs in
+/// two fibers of the control thread.
 class ConfigurationFollower : public IConfigurationDriver
 {
 public:
@@ -45,14 +45,16 @@
     ~ConfigurationFollower() override;
 
     void start() override;
-    /// Suspends until both fibers have ended; to be called before destruction, once started.
+    /// Suspends until both fibers have ended, or for 1 min at most. Required before destruction
+    /// once started.
     void stop() override;
-    /// A control payload from another daemon. False if it is not for the configuration.
+    /// Handles a control payload of another daemon. Returns false if it is no configuration
+    /// message.
     bool receive(const DaemonId &from, const std::string &payload) override;
     ConfigurationStatus status() const override;
 
 private:
-    /// A fiber's sleep that `stop` can end.
+    /// A pause of a fiber that `stop` can end.
     using Pause = std::unique_ptr<OneShot<bool>>;
 
     void spawn(void (ConfigurationFollower::*body)());
@@ -90,7 +92,7 @@
     std::unique_ptr<IConfigurationStateMachine> m_stateMachine;
     PollSchedule m_poll;
     SnapshotSchedule m_snapshot;
-    /// The accepted version that was last given to the reader.
+    /// The accepted version that was last passed to the reader, whether or not it could be read.
     ConfigurationVersion m_readVersion;
     std::uint64_t m_readDigest = 0;
     ConfigurationPtr m_inForce;
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr std::uint32_t PAGE_RECORDS = 64;
-/// Between two tries while the log refuses or cannot be reached.
+/// Delay between attempts while the result is open.
 constexpr Duration RETRY_DELAY = std::chrono::milliseconds(100);
-/// For how long the log may hold back its answer while the change's record is awaited. An append
-/// that was not seen after this time is sent again.
+/// Timeout of a long poll for the record of the change. An append that the log did not acknowledge
+/// is repeated after it.
 constexpr Duration RESULT_WAIT = std::chrono::milliseconds(500);
 
-/// A version above all that ever were: changes add one each, and there are fewer than one each
+/// A version above all earlier ones: each change adds one, and there is less than one change per
 /// millisecond.
 ConfigurationVersion restartVersion()
 {
@@ -56,10 +56,11 @@
     }
     if (!isDecided() && m_mayBeAppended) {
         finish(PublishResult::Kind::Unknown,
-               "the change may have been made: its verdict was not found in time");
+               "the change may have been made: its record was not found in the log in time");
     }
     if (!isDecided()) {
-        finish(PublishResult::Kind::NotSent, m_logError.empty() ? "no time left" : m_logError);
+        finish(PublishResult::Kind::NotSent,
+               m_logError.empty() ? "timed out before the change was sent" : m_logError);
     }
     return *m_result;
 }
@@ -74,7 +75,8 @@
     m_loop.sleepFor(std::clamp(m_deadline - m_loop.now(), Duration::zero(), RETRY_DELAY));
 }
 
-/// Reads until the log has nothing newer; for that it may wait once. False on an error.
+/// Reads to the end of the log; only the first read waits, for up to `wait`. Returns false on an
+/// error, or when time is up.
 bool ConfigurationPublisher::readToEnd(Duration wait)
 {
     while (isTimeLeft() && !isDecided()) {
@@ -121,7 +123,7 @@
     }
 }
 
-/// Copies of one change may get different verdicts; one that was accepted counts for all.
+/// Copies of one change may have different results; an accepted copy decides for all.
 void ConfigurationPublisher::recordOwnResult(const std::string &changeId, ApplyResult result,
                                              ConfigurationVersion version)
 {
@@ -134,7 +136,7 @@
     m_ownVersion = version;
 }
 
-/// Reads what is there and chooses the base. False if that decided the outcome or time is up.
+/// Reads the log and chooses the base. Returns false if the outcome is decided or time is up.
 bool ConfigurationPublisher::prepare()
 {
     while (isTimeLeft()) {
@@ -154,21 +156,22 @@
     return false;
 }
 
-/// False while the stream does not show enough yet.
+/// Returns false while the records read so far do not suffice.
 bool ConfigurationPublisher::chooseBase()
 {
     const AcceptedConfiguration *logState = m_stateMachine->logState();
     if (m_settings.isRestart) {
         if (logState) {
             finish(PublishResult::Kind::NotSent,
-                   "the log knows the current version; publish without --restart");
+                   "the log holds the current version; publish without --restart");
         }
         m_base = restartVersion();
         return true;
     }
     if (!logState) {
-        m_logError = "the log has forgotten too much to tell the current version. A daemon that "
-                     "knows it writes it again shortly; if none is left, begin anew with --restart";
+        m_logError =
+            "the log was truncated past the current version. A daemon that holds it appends "
+            "a snapshot shortly; if no daemon is left, start over with --restart";
         return false;
     }
     if (m_settings.base && *m_settings.base > logState->version) {
@@ -176,11 +179,11 @@
             + " as the newest, and not yet the base " + std::to_string(m_settings.base->value());
         return false;
     }
-    // The repeated change may have been made, and its record forgotten since. With its old base a
-    // second copy could not win; with a new one it would be made twice.
+    // The repeated change may have been accepted and its record truncated since. A second copy with
+    // the old base cannot be accepted; with a new base the change would be made twice.
     if (m_settings.isRepeat && !m_settings.base && !m_isHistoryComplete) {
         finish(PublishResult::Kind::Unknown,
-               "older records are gone, so this change may have been made already; repeat it with "
+               "older records were truncated, so this change may already be made; repeat it with "
                "the --base that was printed with its id");
         return true;
     }
@@ -205,7 +208,7 @@
     if (offset) {
         return;
     }
-    m_logError = "the log does not take the change: " + offset.error().text;
+    m_logError = "the change cannot be appended to the log: " + offset.error().text;
     if (offset.error().code == ErrorCode::InvalidArgument && !m_mayBeAppended) {
         finish(PublishResult::Kind::NotSent, m_logError);
     }
@@ -224,13 +227,13 @@
     return record;
 }
 
-/// Ends with the outcome if what was read decides it.
+/// Sets the outcome if the records read so far decide it.
 void ConfigurationPublisher::decide()
 {
     if (isDecided()) {
         return;
     }
-    // The snapshot of a version tells the change that made it.
+    // The snapshot of a version contains the id of the change that created it.
     const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isCurrent = current && current->changeId == m_settings.changeId;
     if (isCurrent || m_ownApplyResult == ApplyResult::Accepted) {
@@ -239,8 +242,8 @@
             m_ownApplyResult == ApplyResult::Accepted ? m_ownVersion : current->version;
         return;
     }
-    // Another change took the place of this one's base: this one can no longer win, even if its
-    // record is still on the way.
+    // Another change with the same base was accepted: this one cannot be accepted any more, even if
+    // its record is still in flight.
     if (m_ownApplyResult == ApplyResult::Conflict || m_successor) {
         finishConflict();
     }
@@ -258,7 +261,7 @@
 
 void ConfigurationPublisher::finishConflict()
 {
-    finish(PublishResult::Kind::Conflict, "another change came first");
+    finish(PublishResult::Kind::Conflict, "another change was accepted first");
     const AcceptedConfiguration *current = m_stateMachine->current();
     if (m_successor) {
         m_result->winner = *m_successor;
--- a/src/app/internal/control/configurationpublisher.h
+++ b/src/app/internal/control/configurationpublisher.h
@@ -11,37 +11,38 @@
 
 namespace ivyspar {
 
-/// What became of a change.
+/// Outcome of publishing a change.
 struct PublishResult
 {
     enum class Kind {
         Accepted,
-        Conflict, ///< Another change came first; this one never takes effect.
-        NotSent, ///< Proof that nothing was appended.
-        Unknown, ///< It may have been, or may still be, appended.
+        Conflict, ///< Another change with the same base was accepted first; this one never will be.
+        NotSent, ///< Certainly not appended to the log.
+        Unknown, ///< May have been appended, or may still be.
     };
     Kind kind = Kind::NotSent;
-    /// Accepted: the version that the change made.
+    /// Accepted: the version that the change created.
     ConfigurationVersion version;
     /// The version that the change is based on; none if nothing was appended.
     std::optional<ConfigurationVersion> base;
-    /// Conflict: the version that came first, if the log still has it, else the newest one.
+    /// Conflict: the version that was accepted on the same base, if the log still has it, else the
+    /// newest one.
     AcceptedConfiguration winner;
-    /// Why, when it was not accepted.
+    /// Reason why the change was not accepted; empty if it was.
     std::string text;
 };
 
-/// Appends one change and finds out its verdict by reading the stream.
+/// Appends one change and determines its result by reading the stream.
 ///
-/// An append may be repeated without harm: a change is accepted only if its base is the current
-/// version, and a version is current only once in the life of the stream. Of any number of copies
-/// of one change with one base at most one is accepted, however late they take effect.
+/// Repeating an append is safe: a change is accepted only if its base is the current version, and a
+/// version is current only once in the lifetime of the stream. Of any number of copies of a change
+/// with the same base at most one is accepted, however late they arrive.
 class ConfigurationPublisher
 {
 public:
     ConfigurationPublisher(const PublishSettings &settings, IEventLoop &loop, ILogService &log);
 
-    /// Suspends the calling fiber until the verdict is known or the time is up.
+    /// Suspends the calling fiber until the result is known or the timeout has passed. Call once.
     PublishResult publish();
 
 private:
@@ -72,11 +73,11 @@
     std::optional<AcceptedConfiguration> m_successor;
     std::optional<ApplyResult> m_ownApplyResult;
     ConfigurationVersion m_ownVersion;
-    /// The log said that it took an append.
+    /// The log acknowledged an append.
     bool m_isAppended = false;
-    /// An append may have taken effect.
+    /// An append was acknowledged, or its outcome is unknown.
     bool m_mayBeAppended = false;
-    /// The stream was read from its very beginning.
+    /// No record of the stream was truncated before it was read.
     bool m_isHistoryComplete = true;
     std::string m_logError;
 };
--- a/src/app/internal/control/controlchannel.cpp
+++ b/src/app/internal/control/controlchannel.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// First byte of each datagram. A port is used again by other programs, and a daemon of another
-/// version may run there.
+/// First byte of each datagram. A port may be reused by another program or by a daemon of another
+/// version.
 constexpr char DATAGRAM_VERSION = '\1';
 
 } // namespace
@@ -42,7 +42,7 @@
     }
 }
 
-/// False where a link has to carry the payload.
+/// Returns false if the payload has to go over a link.
 bool ControlChannel::sendDatagram(const Endpoint &endpoint, const std::string &payload)
 {
     if (m_usesLinksOnly || payload.size() >= IDatagramSocket::MOST_BYTES) {
@@ -55,7 +55,7 @@
     if (datagram.size() > IDatagramSocket::MOST_BYTES) {
         return false;
     }
-    // Where it cannot be sent now it is lost, as on the way: a link would not get through either.
+    // A failed send counts as a lost datagram: a link would not get through either.
     (void)m_socket.send(endpoint, datagram);
     m_observers.metrics.add(Counter::DatagramsSent);
     m_observers.metrics.add(Counter::DatagramBytesSent, datagram.size());
--- a/src/app/internal/control/controlchannel.h
+++ b/src/app/internal/control/controlchannel.h
@@ -11,10 +11,11 @@
 
 namespace ivyspar {
 
-/// Carries control messages to other daemons: short ones as datagrams, the others over the links of
-/// the traffic thread. In the course of a day a daemon speaks with every other one; with links for
-/// that, all would stay linked to all, and opening and keeping the links would cost a multiple of
-/// what is said on them. Whoever sends must bear the loss of any message. Control thread only.
+/// Sends control messages to other daemons: short ones as datagrams, long ones over the links of
+/// the traffic thread. In the course of a day a daemon exchanges messages with every other one;
+/// over links this would keep a full mesh open, whose upkeep costs a multiple of the messages
+/// themselves. Delivery is best effort: senders must tolerate the loss of any message. Control
+/// thread only.
 class ControlChannel : public IDatagramHandler
 {
 public:
@@ -26,10 +27,11 @@
                    Observers observers, SendByLink sendByLink, OnControl onControl);
     ~ControlChannel() override;
 
-    /// The endpoint at which this daemon takes links too.
+    /// Receives datagrams at `endpoint`, where this daemon accepts links too.
     Ret listen(const Endpoint &endpoint);
-    /// From now on all messages go over links. Datagrams are taken all the same.
+    /// Sends all further messages over links. Datagrams are still received.
     void useLinksOnly() { m_usesLinksOnly = true; }
+    /// `endpoint`: where daemon `to` receives datagrams and accepts links.
     void send(const DaemonId &to, const Endpoint &endpoint, std::string payload);
     void onDatagram(std::string payload) override;
 
--- a/src/app/internal/control/controlexchange.h
+++ b/src/app/internal/control/controlexchange.h
@@ -12,7 +12,7 @@
 /// Sends a control payload to a daemon at an endpoint.
 using ControlSend = std::function<void(DaemonId, Endpoint, std::string)>;
 
-/// The links of the traffic thread, to the daemons that membership takes for alive.
+/// Exchanges control payloads with the available members.
 class ControlExchange : public IControlExchange
 {
 public:
--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -28,7 +28,7 @@
 constexpr std::uint16_t NOT_FOUND = 404;
 constexpr std::uint16_t METHOD_NOT_ALLOWED = 405;
 constexpr std::uint16_t UNAVAILABLE = 503;
-/// Followed by the fingerprint.
+/// Path prefix that is followed by the fingerprint.
 constexpr char LIFT_PREFIX[] = "/quarantine/lift/";
 
 HttpResponse makeAnswer(std::uint16_t status, const char *type, std::string body)
@@ -259,7 +259,7 @@
 HttpResponse ControlNode::answerLift(const HttpRequest &request)
 {
     if (request.method != "POST") {
-        return makeAnswer(METHOD_NOT_ALLOWED, "text/plain", "a quarantine is lifted by POST\n");
+        return makeAnswer(METHOD_NOT_ALLOWED, "text/plain", "use POST to lift a quarantine\n");
     }
     const Fingerprint fingerprint(request.target.substr(sizeof(LIFT_PREFIX) - 1));
     // Shared, as the answer of the traffic thread may come after this handler gave up.
@@ -269,10 +269,10 @@
     });
     const auto isKnown = answer->wait(STATUS_TIMEOUT);
     if (!isKnown) {
-        return makeAnswer(UNAVAILABLE, "text/plain", "the daemon is too busy to answer\n");
+        return makeAnswer(UNAVAILABLE, "text/plain", "the traffic thread did not answer in time\n");
     }
     return *isKnown ? makeAnswer(OK, "text/plain", "lifted\n")
-                    : makeAnswer(NOT_FOUND, "text/plain", "no such fingerprint is known\n");
+                    : makeAnswer(NOT_FOUND, "text/plain", "the fingerprint is unknown\n");
 }
 
 HttpResponse ControlNode::answerHealth() const
--- a/src/app/internal/control/controlnode.h
+++ b/src/app/internal/control/controlnode.h
@@ -22,28 +22,29 @@
 
 namespace ivyspar {
 
-/// How the control thread reaches the traffic thread. Called on the control thread.
+/// Calls from the control thread into the traffic thread. Called on the control thread.
 struct TrafficPort
 {
     std::function<void(std::vector<Member>)> setMembers;
     std::function<void(ConfigurationPtr)> setConfiguration;
-    /// Over a link.
+    /// Sends a control payload over a link.
     std::function<void(DaemonId, Endpoint, std::string)> send;
     /// The callback runs on the traffic thread.
     std::function<void(std::function<void(TrafficStatus)>)> fetchStatus;
     std::function<void(DaemonId, std::string)> receiveSuspects;
     std::function<void(DaemonId, std::string)> receiveAccounts;
-    /// So many daemons stand in the platform's directory.
+    /// Number of daemons that the platform's member directory lists.
     std::function<void(std::size_t)> setDirectorySize;
-    /// The configuration in force was the newest one at that time.
+    /// The configuration in force was confirmed as the newest one as of that time.
     std::function<void(TimePoint)> confirm;
-    /// The callback runs on the traffic thread; false if nothing is known of the fingerprint.
+    /// The callback runs on the traffic thread, with false if the fingerprint is unknown.
     std::function<void(Fingerprint, std::function<void(bool)>)> liftQuarantine;
+    /// Stops this daemon because another one runs under its id.
     std::function<void()> stopForDuplicate;
 };
 
-/// All that the control thread owns: membership, configuration and the operators' listener. Made,
-/// used and destroyed on the control thread.
+/// The components of the control thread: membership, configuration and the operators' listener.
+/// Created, used and destroyed on the control thread.
 class ControlNode
 {
 public:
@@ -51,7 +52,8 @@
                 Member self, TrafficPort traffic, Observers observers);
     ~ControlNode();
 
-    /// Opens the operators' listener, and takes datagrams of other daemons at `peers`.
+    /// Opens the operators' listener and, if configured, the readiness listener; receives datagrams
+    /// of other daemons at `peers`. Returns the endpoint of the operators' listener.
     RetVal<Endpoint> listen(const Endpoint &peers);
     void start();
     void setUpstreams(std::vector<UpstreamInfo> upstreams)
@@ -62,11 +64,14 @@
     /// Sends a payload of the traffic thread to another daemon.
     void send(const DaemonId &to, std::string payload) { m_exchange.send(to, std::move(payload)); }
     void onUnreachable(const DaemonId &daemon) { m_membership.onUnreachable(daemon); }
-    /// Whoever asks for the health of this daemon hears from now on that it leaves.
+    /// From now on health checks are answered with 503.
     void setUnready() { m_isUnready = true; }
-    /// Tells the other daemons that this one takes no more calls.
+    /// Announces to the other daemons that this one accepts no more calls.
     void startLeaving() { m_membership.startLeaving(); }
+    /// Announces to the other daemons that this one ends.
     void leave() { m_membership.leave(); }
+    /// Suspends until the fibers have ended and each listener has drained, or `timeout` has
+    /// passed for it.
     void stop(Duration timeout);
 
 private:
--- a/src/app/internal/control/controlrecorder.h
+++ b/src/app/internal/control/controlrecorder.h
@@ -9,13 +9,13 @@
 
 namespace ivyspar {
 
-/// Tells the decision log and the metrics what the control thread believes.
+/// Records membership, configuration and log reachability in the decision log and the metrics.
 class ControlRecorder
 {
 public:
     explicit ControlRecorder(Observers observers);
 
-    /// One line for each daemon that joined or left since the last call.
+    /// Writes one line for each daemon that joined or left since the last call.
     void recordMembers(const std::vector<Member> &members);
     void recordConfiguration(ConfigurationVersion version, const ConfigurationOrigin &origin);
     void recordLogContact(const LogContact &contact);
--- a/src/app/internal/control/documentcheck.h
+++ b/src/app/internal/control/documentcheck.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// What a read of the log brought.
+/// Result of a read of the log.
 struct DocumentRead
 {
     RetVal<KeyedPage> page;
@@ -16,7 +16,7 @@
     Duration took{ 0 };
 };
 
-/// Reads the log without waiting whenever what this daemon knows of it becomes too old.
+/// Polls the log, without a long poll, whenever the last confirmation becomes too old.
 class DocumentCheck
 {
 public:
@@ -27,9 +27,9 @@
                   const IFreshness &freshness, OnRead onRead);
 
     void start();
-    /// Suspends until its fiber has ended.
+    /// Suspends until the fiber has ended.
     void stop();
-    /// What is known became older than it seemed.
+    /// Re-evaluates when the next read is due, after the confirmation was expired.
     void wake() { m_fiber.wake(); }
     KeyedCursor &cursor() { return m_cursor; }
     const KeyedCursor &cursor() const { return m_cursor; }
--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -72,7 +72,7 @@
     return status;
 }
 
-/// A read that did not wait tells how the log stood when it began.
+/// An immediate read returns the state of the log at its start.
 void DocumentFollower::onCheck(const DocumentRead &read)
 {
     if (!read.page) {
@@ -86,7 +86,7 @@
     onReadDone(read);
     m_watch.cursor().skipTo(read.page->era, read.page->next);
     m_watch.wakeIfNeeded();
-    // What the watch should have brought, or cannot, it waits for on a connection that went silent.
+    // The watch missed these records, or the outage: its connection may have gone silent.
     if (wasUnreachable || !read.page->records.empty()) {
         m_watch.restart();
     }
@@ -111,7 +111,7 @@
     if (isNews) {
         sendOffersToAllDomains();
     }
-    // Nothing came for as long as the log was asked to wait.
+    // The long poll ran its full time without a new record.
     if (read.page->records.empty() && read.took >= m_settings.longPollTimeout) {
         confirm(read.startedAt + m_settings.longPollTimeout);
     }
@@ -126,10 +126,10 @@
     return isLater;
 }
 
-/// Returns whether a version came into force.
+/// Returns whether a new version came into force.
 bool DocumentFollower::applyPage(const KeyedPage &page)
 {
-    // Only the last one counts: those before it were replaced by it.
+    // The last record of the key supersedes those before it.
     const auto last =
         std::find_if(page.records.rbegin(), page.records.rend(),
                      [this](const KeyedRecord &record) { return record.key == m_settings.key; });
@@ -147,8 +147,8 @@
     m_answeredAt = m_loop.now();
 }
 
-/// While the platform turns this daemon away, others may still be served: without asking them it
-/// would go on under an old configuration, or without any after a start.
+/// While the platform refuses this daemon, it may still serve others. Without a request to a peer
+/// this daemon would keep an old configuration or, after a start, have none.
 void DocumentFollower::onReadFailed(const DocumentRead &read)
 {
     m_logError = read.page.error().text;
@@ -188,14 +188,14 @@
     return isFastPoller(m_settings.self, sameDomainPeers, m_settings.readersPerDomain);
 }
 
-/// Returns whether it is newer than the one that was in force.
+/// Returns whether the document came into force because its version is newer.
 bool DocumentFollower::adopt(const std::string &document, const char *source)
 {
     const RetVal<ConfigurationPtr> read = m_reader.read(document);
     if (!read) {
         m_unreadable = read.error().text;
-        notice("configuration: the one from " + std::string(source)
-               + " is not used: " + m_unreadable);
+        notice("configuration: the document from " + std::string(source)
+               + " cannot be read: " + m_unreadable);
         return false;
     }
     if ((*read)->version <= version()) {
@@ -228,7 +228,8 @@
     }
 }
 
-/// Passed on by those to whom it is worth something, so that all hear of it and it ends.
+/// Passes a confirmation on only if it is considerably more recent than the own one, so that it
+/// reaches all daemons and the gossip about it ends.
 void DocumentFollower::onOfferedAge(const DaemonId &from, Duration age)
 {
     const TimePoint now = m_loop.now();
@@ -244,8 +245,8 @@
     }
 }
 
-/// Several offer a new version in the same moment, and a document may be large: only one is asked
-/// at a time. The next one is asked if that one is gone.
+/// Several peers offer a new version at the same time, and a document may be large: only one peer
+/// is asked at a time, and another one if it does not answer.
 void DocumentFollower::onNewerOffer(const DaemonId &from, ConfigurationVersion offered)
 {
     m_offered = std::max(m_offered, offered);
@@ -253,7 +254,7 @@
     if (m_isAwaitingOffered) {
         return;
     }
-    // A reader gets it from the log in the same moment, unless it cannot read there.
+    // A reader receives the version from the log at about the same time, unless the log is lost.
     if (!isReader() || m_isLogUnreachable) {
         requestFrom(from);
     }
@@ -269,7 +270,7 @@
             return;
         }
         requestFrom(m_offeredBy);
-        // One that this program cannot read would be read from the log again and again.
+        // A document that this program cannot read would be read from the log repeatedly.
         if (m_unreadable.empty()) {
             m_freshness->expire();
             m_check.wake();
@@ -297,9 +298,9 @@
     m_exchange.send(peer, encodeDocumentMessage(DocumentRequest{ version() }));
 }
 
-/// Those who adopt a version tell a few others at random, and by chance nobody may tell this
-/// daemon. Telling somebody again and again brings an answer from whoever knows more. Now and then
-/// it is somebody far: all of a failure domain may be behind.
+/// Daemons offer a version that they adopt to a few random peers, which may miss this daemon by
+/// chance. A peer that receives an older offer answers with its newer version. Some offers go to
+/// other failure domains, as a whole domain may lack the version.
 void DocumentFollower::sendPeriodicOffer()
 {
     if (m_freshness->isStale(m_loop.now())) {
@@ -326,7 +327,7 @@
 {
     DocumentOffer offer;
     offer.version = version();
-    // What this program cannot read is newer, and others may be able to.
+    // The unreadable version is newer, and other daemons may be able to read it.
     if (m_unreadable.empty()) {
         offer.age = m_freshness->age(m_loop.now());
     }
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -20,49 +20,48 @@
 struct DocumentFollowerSettings
 {
     StreamName stream;
-    /// Key under which the newest configuration stands.
+    /// Key of the records that hold the configuration.
     std::string key;
     DaemonId self;
     DomainName domain;
-    /// How current each daemon keeps itself.
+    /// Limits of the age of the last confirmation.
     FreshnessOptions freshness;
-    /// Daemons of each failure domain that wait at the log for news.
+    /// Number of daemons in each failure domain that long-poll the log.
     std::uint32_t readersPerDomain = 2;
-    /// How long one read of a reader waits for news.
+    /// Timeout of one long poll of a reader.
     Duration longPollTimeout = std::chrono::seconds(5);
-    /// Random peers of the own failure domain that hear at once of a new version, or of how the log
-    /// stood a moment ago.
+    /// Number of random peers in this failure domain that are offered a new version, or a more
+    /// recent confirmation, at once.
     std::uint32_t sameDomainOffers = 3;
-    /// Random peers of other failure domains that hear of a version which a peer brought. Of what
-    /// was read from the log, one in each domain hears.
+    /// Number of random peers in other failure domains that are offered a version received from a
+    /// peer. What was read from the log is offered to one peer in each of them.
     std::uint32_t otherDomainOffers = 1;
-    /// Time in which a daemon that hears of a newer version usually gets it from the log, if it is
-    /// a reader, or from the peer that it asked.
+    /// Time after which an offered version that was received neither from the log nor from the peer
+    /// that was asked is requested again.
     Duration offeredVersionTimeout = std::chrono::milliseconds(150);
-    /// How often a random peer hears which version is in force here; one of so many times it is a
-    /// peer of another failure domain.
+    /// Interval between periodic offers to a random peer.
     Duration offerInterval = std::chrono::milliseconds(500);
+    /// One periodic offer in this many goes to another failure domain.
     std::uint32_t offersPerOtherDomainOffer = 8;
-    /// The same while neither the log nor a peer told this daemon anything in time, and to how
-    /// many.
+    /// Interval and number of periodic offers while the last confirmation is too old.
     Duration staleOfferInterval = std::chrono::milliseconds(150);
     std::uint32_t staleSameDomainOffers = 2;
     std::uint32_t staleOtherDomainOffers = 1;
 };
 
-/// The two connections of a follower to the log: a read that waits must not hold up one that does
-/// not.
+/// A follower's two connections to the log: a long poll must not delay an immediate read.
 struct DocumentLogs
 {
     IKeyedLog &check;
     IKeyedLog &watch;
 };
 
-/// Follows a configuration that stands as one document in a keyed stream of the platform.
+/// Follows a configuration that is stored as one document in a keyed stream of the platform.
 ///
-/// A daemon that does not know how the log stood a moment ago reads it. Whoever reads tells others,
-/// who pass it on, so that few read; a daemon that nobody tells reads for itself in time. Readers
-/// in each failure domain wait at the log besides, so that news are usually in force at once.
+/// A daemon reads the log when its last confirmation becomes too old. Each read is passed on by
+/// gossip, so that few daemons read; one that the gossip does not reach reads by itself in time.
+/// Readers in each failure domain also long-poll the log, so that a new version is usually in force
+/// at once.
 class DocumentFollower : public IConfigurationDriver
 {
 public:
@@ -81,7 +80,7 @@
     void onCheck(const DocumentRead &read);
     void onWatch(const DocumentRead &read);
     bool applyPage(const KeyedPage &page);
-    /// Returns whether that is later than what was known.
+    /// Returns whether `asOf` is later than the previous confirmation.
     bool confirm(TimePoint asOf);
     void sendOffersToAllDomains();
     void onReadFailed(const DocumentRead &read);
@@ -119,9 +118,9 @@
     std::string m_unreadable;
     bool m_isLogUnreachable = false;
     std::string m_logError;
-    /// When the last read that the log answered ended.
+    /// End of the last read that succeeded.
     std::optional<TimePoint> m_answeredAt;
-    /// The newest version offered here, and by whom.
+    /// The newest version that a peer offered, and the peer of the last offer of a newer version.
     ConfigurationVersion m_offered;
     DaemonId m_offeredBy;
     bool m_isAwaitingOffered = false;
--- a/src/app/internal/control/documentoffers.h
+++ b/src/app/internal/control/documentoffers.h
@@ -10,7 +10,7 @@
 
 namespace ivyspar {
 
-/// Tells random peers which version is in force here, and how current that is.
+/// Offers peers the version that is in force here, with the age of its last confirmation.
 class DocumentOffers
 {
 public:
@@ -21,11 +21,11 @@
                    MakeOffer makeOffer);
 
     void sendTo(const DaemonId &peer);
-    /// To peers of the own failure domain, or to any if it has none.
+    /// Sends to random peers of this failure domain, or of any if this one has no other daemon.
     void sendToSameDomain(std::uint32_t count);
-    /// To peers of other failure domains.
+    /// Sends to random peers of other failure domains.
     void sendToOtherDomains(std::uint32_t count);
-    /// To one peer of each other failure domain.
+    /// Sends to one random peer of each other failure domain.
     void sendToEachDomain();
 
 private:
--- a/src/app/internal/control/documentwatch.cpp
+++ b/src/app/internal/control/documentwatch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// `wake` ends it early.
+/// Pause while the watch is not needed; `wake` ends it early.
 constexpr Duration IDLE_PAUSE = std::chrono::seconds(60);
 
 } // namespace
@@ -54,7 +54,7 @@
 void DocumentWatch::follow()
 {
     while (!m_fiber.isStopped()) {
-        // The check reads what stands there first.
+        // DocumentCheck reads the newest records first and then sets the offset of this cursor.
         if (!m_cursor.next() || !m_isNeeded()) {
             m_isIdle = true;
             m_fiber.pause(IDLE_PAUSE);
--- a/src/app/internal/control/documentwatch.h
+++ b/src/app/internal/control/documentwatch.h
@@ -8,8 +8,8 @@
 
 namespace ivyspar {
 
-/// Waits at the log for news while this daemon is one of those that do. It is for speed alone: a
-/// connection that goes silent is noticed late, and DocumentCheck bounds how late news may come.
+/// Long-polls the log while this daemon is one of the readers. It only shortens the delay of new
+/// versions: a connection that goes silent is noticed late, and DocumentCheck bounds the delay.
 class DocumentWatch
 {
 public:
@@ -17,18 +17,18 @@
     using OnRead = std::function<void(const DocumentRead &)>;
 
     /// All references outlive the object. `onRead` runs in the fiber and must not suspend. After a
-    /// read that failed, or that the log did not hold back, the next one begins after `retry`, or
-    /// with `restart`.
+    /// read that failed, or that returned empty well before `longPollTimeout`, the next one begins
+    /// after `retryInterval`, or with `restart`.
     DocumentWatch(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
                   Duration longPollTimeout, Duration retryInterval, IsNeeded isNeeded,
                   OnRead onRead);
 
     void start();
-    /// Suspends until its fiber has ended.
+    /// Suspends until the fiber has ended.
     void stop();
-    /// Whether it is needed may have changed.
+    /// Starts reading at once if the watch was idle and is needed now.
     void wakeIfNeeded();
-    /// Gives up the read that waits now, whose connection may be silent, and reads anew.
+    /// Cancels the pending read, whose connection may be silent, and reads again.
     void restart();
     KeyedCursor &cursor() { return m_cursor; }
 
--- a/src/app/internal/control/iconfigurationdriver.h
+++ b/src/app/internal/control/iconfigurationdriver.h
@@ -11,54 +11,56 @@
 
 namespace ivyspar {
 
-/// How a version came into force.
+/// Where a version in force came from.
 struct ConfigurationOrigin
 {
-    /// `log`, or the daemon that sent it.
+    /// `log`, `files` for the bootstrap configuration, or the id of the daemon that sent it.
     std::string source = "log";
-    /// Time since this daemon last knew that the log held nothing newer; nothing if it never did.
+    /// Age of the last confirmation that the log held nothing newer; nothing if there was none.
     std::optional<Duration> unconfirmed;
 };
 
-/// The log cannot be read from here any more, or can be again.
+/// This daemon lost or regained read access to the log.
 struct LogContact
 {
     bool isLost = false;
-    /// From the start of the read that showed it to its end.
+    /// Duration of the read that showed it.
     Duration took{ 0 };
-    /// Since the log last answered; nothing if it never did.
+    /// Time since the last successful read; nothing if there was none.
     std::optional<Duration> silent;
+    /// Error of the read; empty if access was regained.
     std::string error;
 };
 
 struct ConfigurationEvents
 {
-    /// A new version is in force. Never goes back.
+    /// A new version is in force; versions never decrease.
     std::function<void(ConfigurationPtr, const ConfigurationOrigin &)> onConfiguration;
     std::function<void(const LogContact &)> onLogContact;
-    /// What is in force here was the newest one at that time.
+    /// The configuration in force was confirmed as the newest one as of that time.
     std::function<void(TimePoint)> onConfirmed;
-    /// One line for the log.
+    /// One line for the daemon's log.
     std::function<void(std::string)> onNotice;
 };
 
-/// For operators.
+/// State of the configuration, for `/status`.
 struct ConfigurationStatus
 {
-    /// In force here; 0 for none.
+    /// Version in force here; 0 for none.
     ConfigurationVersion inForce;
-    /// Accepted and passed on, also if this program cannot read it; 0 for none.
+    /// Newest accepted version, offered to peers even if this program cannot read it; 0 for none.
     ConfigurationVersion accepted;
     std::string changeId;
     /// Why the accepted version is not in force; empty if it is.
     std::string unreadable;
-    /// What the log's records say can be judged.
+    /// The state of the log is known, so that its records can be applied.
     bool hasLogState = false;
     bool isFastPoller = false;
     LogOffset nextOffset;
-    /// A daemon that starts can judge the stream if the log still has the records from here on.
+    /// A starting daemon can determine the current version if the log still has the records from
+    /// this offset on.
     LogOffset anchor;
-    /// Why the log cannot be read now; empty if it can.
+    /// Error of the last read of the log; empty if it succeeded.
     std::string logError;
     std::uint64_t snapshotsAppended = 0;
 };
@@ -70,9 +72,10 @@
     virtual ~IConfigurationDriver() = default;
 
     virtual void start() = 0;
-    /// Suspends until nothing of it runs any more; before destruction, once started.
+    /// Suspends until the driver's fibers have ended. Required before destruction once started.
     virtual void stop() = 0;
-    /// A control payload from another daemon. False if it is not for the configuration.
+    /// Handles a control payload of another daemon. Returns false if it is no configuration
+    /// message.
     virtual bool receive(const DaemonId &from, const std::string &payload) = 0;
     virtual ConfigurationStatus status() const = 0;
 };
--- a/src/app/internal/control/instrumentedlog.h
+++ b/src/app/internal/control/instrumentedlog.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// Counts and times what a daemon asks of the platform's log, which is shared by all.
+/// Counts and times this daemon's calls of the platform's log, which all daemons share.
 class InstrumentedLog : public IKeyedLog
 {
 public:
--- a/src/app/internal/control/keyedcursor.h
+++ b/src/app/internal/control/keyedcursor.h
@@ -7,21 +7,21 @@
 
 namespace ivyspar {
 
-/// Follows a keyed stream: first the newest record of each key, then what is written after them.
+/// Reads a keyed stream: first the newest record of each key, then the records after them.
 class KeyedCursor
 {
 public:
     KeyedCursor(IKeyedLog &log, StreamName stream);
 
-    /// Suspends the calling fiber, for `wait` while there are no news. Where the log forgot what
-    /// came after the place that was reached, or came back from an older copy, gives the newest
-    /// records, which are all that counts.
+    /// Suspends the calling fiber, for up to `wait` while there are no new records. If the log
+    /// truncated the records at this position, or was restored from an older copy, returns the
+    /// newest record of each key instead, which supersede all others. Errors are the log's.
     RetVal<KeyedPage> read(Duration wait);
-    /// What comes before that place is known already.
+    /// Skips the records before `next`, which are known already. Never moves back within an era.
     void skipTo(LogEra era, LogOffset next);
-    /// Whether the last read gave the newest record of each key, and not what came after others.
+    /// Whether the last successful read returned the newest record of each key.
     bool isNewestPerKey() const { return m_isNewestPerKey; }
-    /// Where it reads on; nothing before the newest records were read.
+    /// Offset of the next read; nothing before the newest records were read.
     const std::optional<LogOffset> &next() const { return m_next; }
 
 private:
--- a/src/app/internal/control/logaccess.h
+++ b/src/app/internal/control/logaccess.h
@@ -9,8 +9,9 @@
 
 namespace ivyspar {
 
-/// A thread's own way to the platform's log.
+/// Creates the HTTP client of a thread for the platform's log.
 std::unique_ptr<IHttpClient> makeLogClient(IEventLoop &loop);
+/// Creates access to the platform's log; `client` must outlive it.
 std::unique_ptr<ILogService> makeLog(const DaemonSettings &settings, IHttpClient &client);
 
 } // namespace ivyspar
--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Endpoint, space, failure domain.
+/// Format: endpoint, space, failure domain.
 std::string formatSeed(const MembershipSeed &seed)
 {
     return seed.endpoint.text() + ' ' + seed.domain.value();
 }
 
-/// Records without a failure domain are taken too.
+/// The failure domain may be missing.
 RetVal<MembershipSeed> parseSeed(const std::string &text)
 {
     const std::size_t space = text.find(' ');
@@ -71,8 +71,8 @@
     }
 }
 
-/// Reads first: a daemon that starts again at the same address need not write. Reads again after
-/// it wrote: of two daemons that start together, the one that is registered later finds the other.
+/// Reads first: a daemon that restarts at the same endpoint need not write. Reads again after
+/// writing: of two daemons that start together, the one that registers later finds the other.
 Ret MemberDirectory::step()
 {
     Ret read = readNewRecords();
@@ -93,7 +93,7 @@
     return {};
 }
 
-/// A log that came back from an older copy may have lost this daemon's record.
+/// Registers again if the log was restored from an older copy that lacks this daemon's record.
 void MemberDirectory::applyPage(const KeyedPage &page)
 {
     if (m_cursor.isNewestPerKey()) {
--- a/src/app/internal/control/memberdirectory.h
+++ b/src/app/internal/control/memberdirectory.h
@@ -19,32 +19,35 @@
 {
     StreamName stream;
     DaemonId self;
+    /// Endpoint and failure domain of this daemon.
     MembershipSeed selfSeed;
-    /// Mean time between two reads of all daemons together.
+    /// Mean time between reads by any daemon of the deployment.
     Duration meanReadInterval = std::chrono::milliseconds(500);
+    /// Interval before the first retry; doubles with each failure up to `maxRetryInterval`.
     Duration retryInterval = std::chrono::milliseconds(200);
     Duration maxRetryInterval = std::chrono::seconds(2);
 };
 
-/// A list of daemons and where they are reached, in a keyed stream of the platform. It is only how
-/// daemons meet for the first time; who is alive is told by membership. Nobody follows the stream:
-/// each write would wake a read of every daemon, and a start of all cost the square of their
-/// number. Control thread only.
+/// A list of the daemons and their endpoints in a keyed stream of the platform. It only bootstraps
+/// membership, which tracks who is alive. The stream is polled and not long-polled: each write
+/// would complete a read of every daemon, so that a start of all daemons would cost a number of
+/// reads quadratic in theirs. Control thread only.
 class MemberDirectory
 {
 public:
     using OnSeed = std::function<void(const MembershipSeed &)>;
-    /// Number of daemons that are known to be alive, with this one.
-    /// Gets the number of daemons that the directory lists.
+    /// Receives the number of daemons that the directory lists.
     using OnDirectorySize = std::function<void(std::size_t)>;
+    /// Returns the number of available daemons, including this one.
     using CountDaemons = std::function<std::size_t()>;
 
-    /// `onSeed` hears of each daemon, also of those long gone.
+    /// `onSeed` is called for each other daemon in the list, including those that are gone.
     MemberDirectory(MemberDirectorySettings settings, IEventLoop &loop, IKeyedLog &log,
                     IRandom &random, Observers observers, OnSeed onSeed,
                     OnDirectorySize onDirectorySize, CountDaemons countDaemons);
 
     void start();
+    /// Suspends until the fiber has ended. Required before destruction once started.
     void stop();
 
 private:
--- a/src/app/internal/control/membershipdriver.cpp
+++ b/src/app/internal/control/membershipdriver.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Later than this after the start, a conflicting record under this daemon's id is not of its
-/// previous run.
+/// After this time since the start, a newer record under this daemon's id is that of another daemon
+/// and not of this daemon's previous run.
 constexpr Duration PREVIOUS_RUN_WINDOW = std::chrono::seconds(30);
 
 } // namespace
@@ -88,7 +88,7 @@
 }
 
 /// The clock of this host may have been set back since the previous run of this daemon, whose
-/// record then looks conflicting. Stopping for it would stop each new run too, until the clock has
+/// record then looks newer. Stopping because of it would stop each new run too, until the clock has
 /// caught up.
 void MembershipDriver::onConflictingIncarnation(Incarnation conflicting)
 {
--- a/src/app/internal/control/membershipdriver.h
+++ b/src/app/internal/control/membershipdriver.h
@@ -16,16 +16,18 @@
 
 namespace ivyspar {
 
-/// What the control thread tells the traffic thread. Called on the control thread.
+/// Events of membership. Called on the control thread.
 struct ControlEvents
 {
+    /// The available members, at the start and whenever they change.
     std::function<void(std::vector<Member>)> onMembers;
+    /// Sends a membership payload to a daemon at an endpoint.
     std::function<void(DaemonId, Endpoint, std::string)> send;
-    /// Another daemon runs under this daemon's id: this one has to stop.
+    /// Another daemon runs under this daemon's id: this one must stop.
     std::function<void()> onDuplicate;
 };
 
-/// Membership on the control thread: drives the gossip and keeps this daemon's own record.
+/// Runs membership on the control thread: drives the gossip and maintains this daemon's own record.
 class MembershipDriver
 {
 public:
@@ -35,11 +37,11 @@
     void start(const std::vector<Endpoint> &seeds);
     void addSeed(const MembershipSeed &seed);
     void setUpstreams(std::vector<UpstreamInfo> upstreams);
-    /// Tells the others that this daemon takes no new work.
+    /// Announces that this daemon accepts no more calls.
     void startLeaving();
-    /// Says goodbye; the process may end once what was sent is on its way.
+    /// Announces that this daemon ends; the process may exit once the messages have been sent.
     void leave();
-    /// False when the payload is not of the membership exchange.
+    /// Returns false if the payload is no membership message.
     bool receive(const DaemonId &from, const std::string &payload);
     void onUnreachable(const DaemonId &daemon);
     std::vector<MemberStatus> allMembers() const { return m_membership->allMembers(); }
--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -85,7 +85,7 @@
                  { "runs", runs } };
 }
 
-/// A crash makes suspects of all that was under way, and most of them are cleared soon.
+/// Limits the list: a crash makes all requests in flight suspects, most of which are cleared soon.
 Json makeSuspects(const std::vector<SuspectStatus> &suspects)
 {
     constexpr std::size_t MAX_LISTED = 50;
@@ -99,7 +99,7 @@
     return list;
 }
 
-/// Accounts that ask for more than they may have stand first.
+/// Accounts that exceed their limit come first.
 Json makeAccounts(const std::vector<AccountStatus> &accounts)
 {
     constexpr std::size_t MAX_LISTED = 20;
@@ -148,7 +148,7 @@
     document["calls_in_flight"] = status.traffic.calls;
     document["links"] = status.traffic.links;
     document["caller_connections"] = status.traffic.callerConnections;
-    // Change ids come from the log: a byte that is no UTF-8 must not cost the whole answer.
+    // Change ids come from the log: invalid UTF-8 in one must not fail the whole response.
     return document.dump(2, ' ', false, Json::error_handler_t::replace) + '\n';
 }
 
--- a/src/app/internal/control/statusdocument.h
+++ b/src/app/internal/control/statusdocument.h
@@ -9,7 +9,7 @@
 
 namespace ivyspar {
 
-/// What `/status` tells of a daemon.
+/// Data of `/status`.
 struct DaemonStatus
 {
     Member self;
@@ -20,7 +20,7 @@
     TrafficStatus traffic;
 };
 
-/// The JSON text of `/status`; docs/INTERFACES.md describes it.
+/// Returns the JSON text of `/status`, which docs/INTERFACES.md describes.
 std::string makeStatusDocument(const DaemonStatus &status);
 
 } // namespace ivyspar
--- a/src/app/tests/configurationboundtest.cpp
+++ b/src/app/tests/configurationboundtest.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// A version is in force everywhere so long after the log acknowledged it.
+/// Maximum time from the log's acknowledgement of a version until it is in force everywhere.
 constexpr Duration PROPAGATION_BOUND = seconds(2);
-/// After a failure of the log for all daemons the bound holds again.
+/// Time after an outage of the log for all daemons from which the bound holds again.
 constexpr Duration RECOVERY_TIME = seconds(3);
 
 constexpr std::uint64_t SEEDS = 60;
@@ -26,7 +26,7 @@
     TimePoint end;
 };
 
-/// Plays faults and changes on a deployment and finds the versions that came too late.
+/// Applies faults and changes to a deployment and finds the versions that came into force too late.
 class FaultSchedule
 {
 public:
@@ -41,7 +41,7 @@
     SimulatedFollowers &followers() { return m_followers; }
     void run(Duration duration) { m_followers.run(duration); }
 
-    /// From then on, a publishPeriodically each `interval` until `duration` has passed.
+    /// Publishes a change each `interval` until `duration` has passed.
     void publishPeriodically(Duration interval, Duration duration)
     {
         for (Duration done{ 0 }; done < duration; done += interval) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Nobody can read the log, and nothing can be written to it.
+    /// The log answers no daemon for `duration`, in which no change is published.
     void silenceLog(Duration duration)
     {
         const TimePoint begin = m_followers.now();
@@ -60,7 +60,7 @@
         m_outages.push_back({ begin, m_followers.now() });
     }
 
-    /// A random half of the daemons gets no service, until the next call.
+    /// The log fails for each daemon with a probability of one half, until the next call.
     void failHalf(SimulatedLog::Service service)
     {
         for (std::size_t i = 0; i < m_followers.size(); ++i) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// One line for each version and daemon that broke the bound; empty when all kept it.
+    /// Returns one line for each version and daemon that exceeded the bound; empty if none did.
     std::string findLateVersions() const
     {
         std::ostringstream late;
@@ -106,7 +106,8 @@
 
 using Scenario = std::function<void(FaultSchedule &)>;
 
-/// Plays each seed on a thread of its own, as a simulated loop takes the thread's scheduler.
+/// Runs each seed on a thread of its own, as a simulated loop occupies the thread's scheduler.
+/// Returns the late versions of the first seed that has any.
 std::string runSeeds(SimulatedDeployment deployment, const Scenario &scenario)
 {
     std::string late;
@@ -144,7 +145,7 @@
     schedule.publishPeriodically(milliseconds(700), seconds(4));
 }
 
-/// Changes that the operators held back come in a burst once the log answers again.
+/// Changes that were held back during the outage come in a burst after it.
 void runOutageBetweenChanges(FaultSchedule &schedule)
 {
     schedule.run(milliseconds(schedule.followers().random().below(5000)));
@@ -155,7 +156,7 @@
     schedule.publishPeriodically(seconds(2), seconds(6));
 }
 
-/// Connections go silent one after the other, each without a word.
+/// Connections go silent at random, without an error.
 void runLostConnections(FaultSchedule &schedule)
 {
     SimulatedFollowers &followers = schedule.followers();
@@ -169,7 +170,7 @@
     }
 }
 
-/// Only one daemon is served, and another one every two seconds.
+/// The log serves only one daemon, another one every two seconds.
 void runOneDaemonServed(FaultSchedule &schedule)
 {
     SimulatedFollowers &followers = schedule.followers();
@@ -183,7 +184,7 @@
     }
 }
 
-/// A failure domain is cut off from the others, and half of the daemons are turned away.
+/// One failure domain is partitioned from the others, and the log refuses half of the daemons.
 void runPartitionWithHalfRefused(FaultSchedule &schedule)
 {
     SimulatedFollowers &followers = schedule.followers();
@@ -201,36 +202,35 @@
 
 TEST_GROUP(ConfigurationBound){};
 
-// Guards against a publishPeriodically that comes into force too late where the log was silent for
-// all daemons and then for half of them.
+// Guards against a change that comes into force too late when the log was silent for all daemons
+// and then for half of them.
 TEST(ConfigurationBound, HoldsAfterTheLogWasSilentForAllThenForHalf)
 {
     STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runOutageThenHalfSilent).c_str());
     STRCMP_EQUAL("", runSeeds(makeDeployment(30, 6), runOutageThenHalfSilent).c_str());
 }
 
-// Guards against readers that lost their reads in step, and lose the next ones in step too.
+// Guards against readers whose reads failed together and are then retried and fail together again.
 TEST(ConfigurationBound, HoldsForChangesHeldBackWhileTheLogWasSilent)
 {
     STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runOutageBetweenChanges).c_str());
 }
 
-// Guards against a publishPeriodically that comes too late where connections to the log went silent
-// for good.
+// Guards against a change that comes into force too late when connections to the log went silent.
 TEST(ConfigurationBound, HoldsWhileConnectionsToTheLogGoSilent)
 {
     STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runLostConnections).c_str());
 }
 
-// Guards against a publishPeriodically that only the last daemon that the log serves can know of.
+// Guards against a change that does not spread from the only daemon that the log serves.
 TEST(ConfigurationBound, HoldsWhileTheLogServesOneDaemonOnly)
 {
     STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runOneDaemonServed).c_str());
     STRCMP_EQUAL("", runSeeds(makeDeployment(30, 6), runOneDaemonServed).c_str());
 }
 
-// Guards against a failure domain that stays behind because its readers are turned away and no
-// other domain can tell it.
+// Guards against a failure domain that misses a version because the log refuses its readers and no
+// other domain can reach it.
 TEST(ConfigurationBound, HoldsInAFailureDomainThatIsCutOff)
 {
     STRCMP_EQUAL("", runSeeds(makeDeployment(13, 3), runPartitionWithHalfRefused).c_str());
--- a/src/app/tests/controlchanneltest.cpp
+++ b/src/app/tests/controlchanneltest.cpp
@@ -64,11 +64,11 @@
     STRCMP_EQUAL("ping", m_received[0].payload.c_str());
 }
 
-// A table of members or a configuration does not fit into a datagram and goes over a link.
+// For example member tables and configurations.
 TEST(ControlChannel, SendsLongMessagesOverALink)
 {
     m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES, 'x'));
-    // Fits alone, but not with the name of the sender.
+    // Fits into a datagram by itself, but not together with the sender's id.
     m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES - 1, 'x'));
     CHECK(m_socket.sent.empty());
     CHECK_EQUAL(2, m_byLink.size());
@@ -82,7 +82,7 @@
     CHECK_EQUAL(1, m_byLink.size());
 }
 
-// Anything may arrive at an open port: other programs, other versions, calls outside a link.
+// Datagrams of other programs or versions, and messages that are only valid on a link.
 TEST(ControlChannel, DropsMalformedDatagrams)
 {
     m_channel.onDatagram("");
--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -19,9 +19,9 @@
 constexpr std::size_t SMALL_DEPLOYMENT = 30;
 constexpr std::size_t LARGE_DEPLOYMENT = 300;
 
-/// What a datagram takes besides the gossip in it: headers, the name of the sender.
+/// Size of a datagram without the gossip in it: headers and the sender's id.
 constexpr std::size_t OVERHEAD_BYTES = 60;
-/// The share of a daemon in the control traffic, in the mean and in any second.
+/// Limits of the control traffic of a daemon, on average and in any second.
 constexpr std::size_t MEAN_BYTES_PER_SECOND = 11 * 1024;
 constexpr std::size_t MAX_BYTES_PER_SECOND = 3 * MEAN_BYTES_PER_SECOND;
 
@@ -30,7 +30,7 @@
     return DomainName("domain-" + std::to_string(index % DOMAINS));
 }
 
-/// A deployment of daemons that gossip, found by a list of all of them, with what each sends.
+/// A simulated deployment that gossips, seeded with a list of its daemons; counts the bytes sent.
 class GossipDeployment
 {
 public:
@@ -49,7 +49,7 @@
 
     MembershipSimulation &simulation() { return m_simulation; }
 
-    /// The processes of these daemons end at once and start again.
+    /// Crashes these daemons at once and restarts them a second later.
     void restart(const std::vector<std::size_t> &daemons)
     {
         for (const std::size_t index : daemons) {
@@ -66,7 +66,7 @@
 
     bool hasConverged() const { return m_simulation.agreeOn(m_sent.size()); }
 
-    /// Returns the bytes that each daemon sent to other failure domains, in the mean.
+    /// Returns the mean number of bytes that a daemon sent to other failure domains.
     std::size_t run(Duration time)
     {
         m_bytesToOtherDomains = 0;
@@ -79,7 +79,7 @@
         return m_bytesToOtherDomains / m_sent.size();
     }
 
-    /// Bytes of the busiest daemon in the busiest second of the last `run`s.
+    /// Returns the most bytes that any daemon sent in a second since the last call.
     std::size_t takePeakBytesPerSecond() { return std::exchange(m_peakBytesPerSecond, 0); }
 
 private:
@@ -123,11 +123,10 @@
 
 TEST_GROUP(ControlPlaneGossip){};
 
-// 1. All daemons of a deployment start at once; later a power failure ends all, and they start
-//    again at once.
-// 2. Each has to know all others within seconds: until then callers hear that there is no server.
-// 3. Each took whole tables from any other, and rumours went anywhere, so that a failure domain
-//    sent as much to another as it has pairs of daemons.
+// Guards against traffic between failure domains that grows with the number of pairs of daemons
+// when all daemons start at once, for example after a power failure: full tables were exchanged
+// with any daemon, and updates were sent anywhere. All daemons must know each other within seconds,
+// since until then calls fail for lack of a server.
 TEST(ControlPlaneGossip, CrossDomainTrafficPerDaemonDoesNotGrowWithDeploymentSize)
 {
     GossipDeployment few(SMALL_DEPLOYMENT);
@@ -167,8 +166,8 @@
     CHECK(many.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 }
 
-// 1. A failure domain of fifty is cut off, and its daemons are taken for dead by all others.
-// 2. It comes back. Both sides find each other again without a flood over the narrow way between.
+// Guards against a failure domain that rejoins too late after a partition in which all others
+// declared its daemons dead, or floods the narrow link between the domains.
 TEST(ControlPlaneGossip, ReconnectedFailureDomainConvergesWithinTrafficBound)
 {
     GossipDeployment many(LARGE_DEPLOYMENT);
@@ -207,7 +206,7 @@
         }
         return condition();
     }
-    /// Calls of the log from a new version until all have it in force.
+    /// Publishes a version and returns the number of reads until it is in force everywhere.
     std::size_t readsUntilInForce(std::uint64_t version)
     {
         const std::size_t before = m_followers->reads();
@@ -225,10 +224,8 @@
     }
 };
 
-// 1. Operators put a new version of the configuration into the platform's log.
-// 2. Each daemon waits there for news, and each reads the new version and waits anew: the log is
-//    asked in proportion to the daemons for each change, and of a small log nothing is left.
-// 3. With readers, all learn of it within a part of a second from a few reads.
+// Guards against one read per daemon for each new version, which overloads a small log. That is the
+// case if each daemon long-polls the log; with a few readers, the others receive it from peers.
 TEST(ControlPlaneLog, ReadsPerVersionStayFarBelowDaemonCount)
 {
     start(LARGE_DEPLOYMENT, 2);
@@ -239,7 +236,7 @@
     CHECK(most < LARGE_DEPLOYMENT / 3);
 }
 
-// The same without any reader: by turns alone.
+// Without readers, versions are found only by the reads of DocumentCheck.
 TEST(ControlPlaneLog, VersionReachesAllDaemonsWithoutReaders)
 {
     start(SMALL_DEPLOYMENT, 0);
@@ -247,7 +244,7 @@
     CHECK(readsUntilInForce(3) < SMALL_DEPLOYMENT);
 }
 
-// Guards against reads and messages for currency that grow with the daemons.
+// Guards against reads and messages for confirmations that grow with the number of daemons.
 TEST(ControlPlaneLog, IdleReadsAreBoundedInLargeDeployments)
 {
     constexpr std::size_t SECONDS = 20;
@@ -265,12 +262,12 @@
     CHECK(totalBytesSent() - bytesBefore <= LARGE_DEPLOYMENT * SECONDS * MEAN_BYTES_PER_SECOND);
 }
 
-// Guards against daemons that press a log which turns all of them away: what they tell each other
-// is old, and must not make them read at once.
+// Guards against overload of a log that refuses all daemons: the confirmations that they exchange
+// are old, and must not trigger reads at once.
 TEST(ControlPlaneLog, ReadRateIsBoundedWhenLogRefusesAllDaemons)
 {
     constexpr std::size_t SECONDS = 8;
-    // What the log serves, and the size of the aim.
+    // Capacity of the log, and the size of the target deployment.
     constexpr std::size_t READS_PER_SECOND = 2000;
     constexpr std::size_t DAEMONS = 790;
     start(SMALL_DEPLOYMENT, 2);
@@ -282,7 +279,7 @@
     CHECK(reads * DAEMONS <= SMALL_DEPLOYMENT * SECONDS * READS_PER_SECOND);
 }
 
-// Each reads the list, enters itself and reads once more, and reads the configuration.
+// Each daemon reads the directory, registers, reads it again, and reads the configuration.
 TEST(ControlPlaneLog, StartTakesAFewReadsPerDaemon)
 {
     start(LARGE_DEPLOYMENT, 2);
--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -62,7 +62,7 @@
     std::vector<LogContact> m_contacts;
     std::unique_ptr<DocumentFollower> m_follower;
 
-    /// So many others in the failure domain that this daemon is no reader.
+    /// Adds enough peers in the failure domain that this daemon is not a reader.
     void makeNonReader()
     {
         m_settings.self = DaemonId("self");
@@ -113,10 +113,9 @@
     CHECK_EQUAL(9, m_versions[1]);
 }
 
-// 1. A new version is out, but this daemon's connection to the log is silent, and none of those who
-//    adopted the version happened to tell it.
-// 2. It tells a peer which version it has, again and again. One that knows a newer one says so.
-// 3. Without that it would answer callers by the old version until its read is given up.
+// Guards against an old version that stays in force until the read times out, when the connection
+// to the log went silent and no peer happened to offer the new version. A peer answers a periodic
+// offer of an older version with its newer one.
 TEST(DocumentFollower, OffersItsVersionPeriodically)
 {
     m_settings.offerInterval = std::chrono::milliseconds(5);
@@ -150,9 +149,8 @@
     });
 }
 
-// 1. The log has forgotten the records after the place where the daemon stopped.
-// 2. The newest document stands all the same. A daemon that waited for the lost ones would go on
-//    under its old configuration for ever.
+// Guards against an old configuration that stays in force for ever when the log truncated the
+// records after the daemon's position. The newest document is still in the log.
 TEST(DocumentFollower, ReadsNewestRecordsAfterLogTruncation)
 {
     m_log.write(STREAM, "newest", "7");
@@ -167,8 +165,7 @@
     CHECK_EQUAL(8, m_versions[1]);
 }
 
-// 1. The platform turns this daemon away, and serves others.
-// 2. It asks a peer, and takes what the peer pushes.
+// The platform refuses this daemon and serves others: it requests the document from a peer.
 TEST(DocumentFollower, FollowsPeersWhenTheLogRefusesIt)
 {
     m_log.isDown = true;
@@ -210,8 +207,8 @@
     CHECK_EQUAL(1, m_versions.size());
 }
 
-// Guards against a change that is never seen, as it got an offset that was read before the log came
-// back from an older copy, and against going back to what that copy holds.
+// Guards against a missed change whose offset was already read before the log was restored from an
+// older copy, and against a return to the version in that copy.
 TEST(DocumentFollower, ReadsNewestRecordsAfterLogIsRestoredFromOlderCopy)
 {
     for (const char *version : { "3", "4", "5" }) {
@@ -230,7 +227,7 @@
     CHECK((m_versions == std::vector<std::uint64_t>{ 5, 6 }));
 }
 
-// The newest change is written again only later.
+// The newest change is written again some time after the restore.
 TEST(DocumentFollower, KeepsVersionInForceWhenLogIsRestoredFromOlderCopy)
 {
     m_log.write(STREAM, "newest", "3");
@@ -263,10 +260,8 @@
     STRCMP_EQUAL("7", std::get<DocumentPush>(m_exchange.sent[0]).document.c_str());
 }
 
-// 1. There are enough others in the failure domain to follow the log.
-// 2. This daemon reads once, at its start, and then hears of versions from them, and asks who
-// offers.
-// 3. With each daemon reading for itself, a new version would cost the log a read of each.
+// Guards against one read per daemon for each new version. With enough readers in the failure
+// domain, this daemon reads only at its start and then requests the versions that peers offer.
 TEST(DocumentFollower, NonReaderLearnsOfVersionsFromPeers)
 {
     makeNonReader();
@@ -289,7 +284,7 @@
 }
 
 // Guards against an old version that stays in force when all readers are gone, cut off from the log
-// or turned away by it in the same moment.
+// or refused by it at the same time.
 TEST(DocumentFollower, NonReaderReadsLogWhenNoPeerConfirms)
 {
     makeNonReader();
@@ -306,8 +301,8 @@
     CHECK(std::holds_alternative<DocumentOffer>(m_exchange.sent.at(0)));
 }
 
-// 1. The readers of the failure domain end, and membership takes them for dead.
-// 2. This daemon is a reader now. Its next turn would come after minutes: it must not wait for it.
+// When the readers of the failure domain are dead, this daemon becomes a reader. It must not wait
+// for its next scheduled read, which may be minutes away.
 TEST(DocumentFollower, StartsLongPollAtOnceWhenItBecomesAReader)
 {
     makeNonReader();
@@ -322,8 +317,8 @@
     CHECK(m_runner.reaches([this] { return m_versions.size() == 2; }));
 }
 
-// 1. A peer offers a new version, and ends before it answers the request.
-// 2. Another one offered it in the same moment, and is asked a little later.
+// A peer offers a new version and ends before it answers the request; another peer that offered the
+// version is asked after a timeout.
 TEST(DocumentFollower, RequestsFromAnotherPeerWhenTheFirstDoesNotAnswer)
 {
     makeNonReader();
@@ -355,8 +350,8 @@
     CHECK(far < static_cast<std::ptrdiff_t>(m_exchange.receivers.size() / 4));
 }
 
-// Guards against a daemon that cannot read the newest document and tells others that theirs is the
-// newest.
+// Guards against a daemon that cannot read the newest document and confirms an older version as the
+// newest to its peers.
 TEST(DocumentFollower, OffersNoAgeWhenTheNewestDocumentIsUnreadable)
 {
     m_log.write(STREAM, "newest", "7");
@@ -375,7 +370,7 @@
     CHECK_FALSE(answer.age.has_value());
 }
 
-// Guards against a log that answers at once and is read again and again.
+// Guards against continuous reads of a log that answers long polls at once.
 TEST(DocumentFollower, LimitsReadRateWhenLogDoesNotHoldReads)
 {
     m_log.supportsLongPoll = false;
@@ -390,7 +385,8 @@
     CHECK(reads < 10);
 }
 
-// A configuration read that went silent must not leave the daemon behind when others know better.
+// Guards against an old version that stays in force during a silent read although peers offer a
+// newer one.
 TEST(DocumentFollower, RequestsAnOfferedNewerVersion)
 {
     m_log.write(STREAM, "newest", "7");
@@ -455,9 +451,8 @@
     STRCMP_EQUAL("10.0.0.4:7000", m_found[1].c_str());
 }
 
-// 1. Two daemons start together. One reads before the other is entered, and finds nobody.
-// 2. Whoever is entered later reads once more, and finds the other.
-// 3. Without that read neither would know of the other until its next turn to read.
+// Two daemons start together, and one reads before the other is registered. Without a read after
+// the registration, neither would find the other before its next scheduled read.
 TEST(MemberDirectory, ReadsAgainAfterRegistration)
 {
     m_meanReadInterval = std::chrono::hours(1);
@@ -466,9 +461,8 @@
     CHECK(m_runner.reaches([this] { return m_found.size() == 1; }));
 }
 
-// 1. Hundreds of daemons start, and each enters itself.
-// 2. One that was there before reads at its next turn and not for each of them: with a read for
-//    each, the start would cost the square of their number.
+// Guards against a read by each daemon for each registration: the number of reads at a start of all
+// would be quadratic in the number of daemons.
 TEST(MemberDirectory, DoesNotReadOnEachRegistration)
 {
     m_meanReadInterval = std::chrono::hours(1);
@@ -485,7 +479,7 @@
     CHECK(m_readsMeanwhile <= 1);
 }
 
-// Guards against a daemon that nobody finds any more, as the log lost its record.
+// Guards against a daemon that others cannot find because the log lost its record.
 TEST(MemberDirectory, RegistersAgainWhenItsRecordIsLost)
 {
     m_meanReadInterval = std::chrono::milliseconds(2);
@@ -495,7 +489,7 @@
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
 }
 
-// When hundreds of daemons start again at once, none of them writes what stands there already.
+// Guards against hundreds of unnecessary writes when all daemons restart at once.
 TEST(MemberDirectory, DoesNotWriteWhenAlreadyRegistered)
 {
     m_log.write(STREAM, "a", "10.0.0.1:7000 here");
--- a/src/app/tests/membershipdrivertest.cpp
+++ b/src/app/tests/membershipdrivertest.cpp
@@ -19,7 +19,7 @@
     return self;
 }
 
-/// What a peer tells that still holds the record of another run of this daemon.
+/// Gossip of a peer that holds a record of another run of this daemon.
 std::string makeGossip(std::uint64_t incarnation)
 {
     MemberUpdate update;
@@ -53,10 +53,9 @@
     }
 };
 
-// 1. A daemon is restarted, and the clock of its host was set back by two seconds meanwhile.
-// 2. A peer still holds the record of its previous run, which looks newer.
-// 3. The daemon goes on under a larger incarnation. Stopping for it, it would stop again at each
-//    start until the clock has caught up, and its server would get no calls.
+// Guards against a daemon that stops because of the record of its previous run. The record looks
+// newer if the clock of the host was set back between the runs, so that the daemon would stop at
+// each start until the clock has caught up.
 TEST(MembershipDriver, RaisesIncarnationAbovePreviousRunAfterClockSetBack)
 {
     CHECK(m_driver->receive(DaemonId("b"), makeGossip(900)));
--- a/src/app/tests/mocks/fakekeyedlog.h
+++ b/src/app/tests/mocks/fakekeyedlog.h
@@ -10,7 +10,7 @@
 
 namespace ivyspar {
 
-/// Keyed streams in memory. Used on the loop's thread, or before anything runs there.
+/// Keyed streams in memory. To be used on the loop's thread, or before the loop runs anything.
 class FakeKeyedLog : public IKeyedLog
 {
 public:
@@ -19,13 +19,13 @@
     {
     }
 
-    /// Answers nothing but errors.
+    /// All reads fail.
     bool isDown = false;
-    /// The next read finds its records forgotten.
+    /// The next `read` fails because its records were truncated.
     bool isTruncated = false;
-    /// Reads wait for news.
+    /// `read` waits for new records.
     bool supportsLongPoll = true;
-    /// Calls of `newest` and `read`.
+    /// Number of calls of `newest` and `read`.
     std::size_t reads = 0;
     /// Runs after each record that is put.
     std::function<void()> onPut;
@@ -34,7 +34,7 @@
     {
         m_streams[stream].push_back({ key, value });
     }
-    /// Comes back from a copy that lacks the last records of the stream.
+    /// Restores a copy that lacks the last `records` records of the stream, in a new era.
     void restoreOlderCopy(const StreamName &stream, std::size_t records)
     {
         m_streams[stream].resize(m_streams[stream].size() - records);
--- a/src/app/tests/mocks/simulatedfollowers.h
+++ b/src/app/tests/mocks/simulatedfollowers.h
@@ -23,12 +23,12 @@
     std::size_t domains = 3;
     std::uint64_t seed = 1;
     std::uint32_t readersPerDomain = 2;
-    /// Of 100 messages between daemons, so many are lost.
+    /// Share of the messages between daemons that are lost.
     std::uint64_t lossPercent = 1;
 };
 
-/// The daemons of a deployment that follow one configuration, in one simulated loop, with a network
-/// between them that loses messages and can be cut.
+/// The daemons of a deployment that follow one configuration, in one simulated loop. The network
+/// between them loses messages and can be partitioned.
 class SimulatedFollowers
 {
 public:
@@ -72,7 +72,8 @@
         m_published[version] = m_loop.now();
     }
     const std::map<std::uint64_t, TimePoint> &published() const { return m_published; }
-    /// When daemon `index` had `version` or a newer one in force.
+    /// Time when `version` or a newer one came into force at daemon `index`; the maximum if none
+    /// did.
     TimePoint inForceSince(std::size_t index, std::uint64_t version) const
     {
         const auto &history = m_hosts[index]->history;
@@ -93,7 +94,7 @@
     {
         m_hosts[index]->setService(service);
     }
-    /// The daemon's connections to the log go silent for good; new ones are served.
+    /// The daemon's connections to the log go silent; later ones are served.
     void loseConnections(std::size_t index)
     {
         m_hosts[index]->log.loseConnection();
@@ -110,7 +111,7 @@
     void heal() { m_partitionedDomains.clear(); }
     std::size_t domainOf(std::size_t index) const { return index % m_deployment.domains; }
 
-    /// Of the configuration and of the list of members.
+    /// Number of reads of the configuration stream and of the member directory.
     std::size_t reads() const { return m_stream.reads + m_directory.reads; }
     std::size_t registeredDaemons() const { return m_directory.records.size(); }
     std::size_t messages() const { return m_messages; }
--- a/src/app/tests/mocks/simulatedlog.h
+++ b/src/app/tests/mocks/simulatedlog.h
@@ -11,11 +11,11 @@
 
 namespace ivyspar {
 
-/// What the platform holds of one keyed stream, shared by the clients of a simulation.
+/// A keyed stream of the platform, shared by the clients of a simulation.
 struct SimulatedStream
 {
     std::vector<KeyedRecord> records;
-    /// Calls of all clients, answered or not.
+    /// Number of reads by all clients, answered or not.
     std::size_t reads = 0;
 };
 
@@ -31,7 +31,7 @@
     {
     }
 
-    /// A call that is waiting when the log falls silent gets no answer later either.
+    /// A call that is pending when the log goes silent is not answered later either.
     void setService(Service service)
     {
         m_service = service;
@@ -39,8 +39,7 @@
             loseConnection();
         }
     }
-    /// The call that waits now, or else the next one, gets no answer; a later one opens another
-    /// connection.
+    /// The pending call, or else the next one, is not answered; later ones use a new connection.
     void loseConnection() { m_isConnectionLost = true; }
 
     RetVal<KeyedPage> newest(const StreamName & /*stream*/) override
@@ -105,7 +104,7 @@
         return page;
     }
 
-    /// True when cancelled.
+    /// Returns true if cancelled.
     bool sleepUntil(TimePoint end)
     {
         m_cancellation = std::make_unique<OneShot<bool>>(m_loop);
