--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -154,8 +154,8 @@
 
 RetVal<Endpoint> ControlNode::listen(const Endpoint &peers)
 {
-    if (const Ret taken = m_channel.listen(peers); !taken) {
-        return tl::unexpected<Error>(taken.error());
+    if (const Ret listening = m_channel.listen(peers); !listening) {
+        return tl::unexpected<Error>(listening.error());
     }
     RetVal<Endpoint> bound = listenAt(*m_operatorServer, m_settings.operatorListen);
     if (!bound || m_settings.readinessListen.port == 0) {
--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -80,14 +80,14 @@
         onReadFailed(read);
         return;
     }
-    const bool wasUnreachable = m_isLogUnreachable;
+    const bool wasUnavailable = m_isLogUnavailable;
     applyPage(*read.page);
     confirm(read.startedAt);
     onReadDone(read);
     m_watch.cursor().skipTo(read.page->era, read.page->next);
     m_watch.wakeIfNeeded();
     // The watch missed these records, or the outage: its connection may have gone silent.
-    if (wasUnreachable || !read.page->records.empty()) {
+    if (wasUnavailable || !read.page->records.empty()) {
         m_watch.restart();
     }
     sendOffersToAllDomains();
@@ -105,10 +105,10 @@
         onReadFailed(read);
         return;
     }
-    const bool isNews = applyPage(*read.page);
+    const bool isNewVersion = applyPage(*read.page);
     onReadDone(read);
     m_check.cursor().skipTo(read.page->era, read.page->next);
-    if (isNews) {
+    if (isNewVersion) {
         sendOffersToAllDomains();
     }
     // The long poll ran its full time without a new record.
@@ -138,11 +138,11 @@
 
 void DocumentFollower::onReadDone(const DocumentRead &read)
 {
-    if (m_isLogUnreachable) {
+    if (m_isLogUnavailable) {
         notice("configuration: the log can be read again");
         notifyLogContact(false, read.took);
     }
-    m_isLogUnreachable = false;
+    m_isLogUnavailable = false;
     m_logError.clear();
     m_answeredAt = m_loop.now();
 }
@@ -152,7 +152,7 @@
 void DocumentFollower::onReadFailed(const DocumentRead &read)
 {
     m_logError = read.page.error().text;
-    if (!std::exchange(m_isLogUnreachable, true)) {
+    if (!std::exchange(m_isLogUnavailable, true)) {
         notice("configuration: the log cannot be read: " + m_logError);
         notifyLogContact(true, read.took);
     }
@@ -254,8 +254,9 @@
     if (m_isAwaitingOffered) {
         return;
     }
-    // A reader receives the version from the log at about the same time, unless the log is lost.
-    if (!isReader() || m_isLogUnreachable) {
+    // A reader receives the version from the log at about the same time, unless the log is
+    // unavailable.
+    if (!isReader() || m_isLogUnavailable) {
         requestFrom(from);
     }
     startOfferedTimer();
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -116,7 +116,7 @@
     ConfigurationPtr m_inForce;
     std::string m_document;
     std::string m_unreadable;
-    bool m_isLogUnreachable = false;
+    bool m_isLogUnavailable = false;
     std::string m_logError;
     /// End of the last read that succeeded.
     std::optional<TimePoint> m_answeredAt;
