--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -129,58 +129,58 @@
 // since until then calls fail for lack of a server.
 TEST(ControlPlaneGossip, CrossDomainTrafficPerDaemonDoesNotGrowWithDeploymentSize)
 {
-    GossipDeployment few(SMALL_DEPLOYMENT);
-    GossipDeployment many(LARGE_DEPLOYMENT);
-    const std::size_t startOfFew = few.run(seconds(10));
-    const std::size_t startOfMany = many.run(seconds(10));
-    CHECK(few.hasConverged());
-    CHECK(many.hasConverged());
-    CHECK(startOfMany <= startOfFew);
-
-    const std::size_t calmFew = few.run(seconds(60));
-    const std::size_t calmMany = many.run(seconds(60));
-    CHECK(calmMany <= calmFew);
-    CHECK(calmMany <= 60 * MEAN_BYTES_PER_SECOND);
-
-    few.restart(allOf(SMALL_DEPLOYMENT));
-    many.restart(allOf(LARGE_DEPLOYMENT));
-    const std::size_t againFew = few.run(seconds(10));
-    const std::size_t againMany = many.run(seconds(10));
-    CHECK(few.hasConverged());
-    CHECK(many.hasConverged());
-    CHECK(againMany <= againFew);
+    GossipDeployment small(SMALL_DEPLOYMENT);
+    GossipDeployment large(LARGE_DEPLOYMENT);
+    const std::size_t smallAtStart = small.run(seconds(10));
+    const std::size_t largeAtStart = large.run(seconds(10));
+    CHECK(small.hasConverged());
+    CHECK(large.hasConverged());
+    CHECK(largeAtStart <= smallAtStart);
+
+    const std::size_t smallIdle = small.run(seconds(60));
+    const std::size_t largeIdle = large.run(seconds(60));
+    CHECK(largeIdle <= smallIdle);
+    CHECK(largeIdle <= 60 * MEAN_BYTES_PER_SECOND);
+
+    small.restart(allOf(SMALL_DEPLOYMENT));
+    large.restart(allOf(LARGE_DEPLOYMENT));
+    const std::size_t smallAfterRestart = small.run(seconds(10));
+    const std::size_t largeAfterRestart = large.run(seconds(10));
+    CHECK(small.hasConverged());
+    CHECK(large.hasConverged());
+    CHECK(largeAfterRestart <= smallAfterRestart);
 }
 
 TEST(ControlPlaneGossip, PeakRatePerDaemonIsBoundedAfterTheFirstSecond)
 {
-    GossipDeployment many(LARGE_DEPLOYMENT);
-    many.run(seconds(1));
-    many.takePeakBytesPerSecond();
-    many.run(seconds(30));
-    CHECK(many.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
-
-    many.restart(allOf(LARGE_DEPLOYMENT));
-    many.run(seconds(1));
-    many.takePeakBytesPerSecond();
-    many.run(seconds(30));
-    CHECK(many.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
+    GossipDeployment large(LARGE_DEPLOYMENT);
+    large.run(seconds(1));
+    large.takePeakBytesPerSecond();
+    large.run(seconds(30));
+    CHECK(large.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
+
+    large.restart(allOf(LARGE_DEPLOYMENT));
+    large.run(seconds(1));
+    large.takePeakBytesPerSecond();
+    large.run(seconds(30));
+    CHECK(large.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 }
 
 // Guards against a failure domain that rejoins too late after a partition in which all others
 // declared its daemons dead, or floods the narrow link between the domains.
 TEST(ControlPlaneGossip, ReconnectedFailureDomainConvergesWithinTrafficBound)
 {
-    GossipDeployment many(LARGE_DEPLOYMENT);
-    many.run(seconds(10));
-    many.simulation().partition(domainOf(0).value());
-    many.run(seconds(40));
-    CHECK(!many.hasConverged());
-    many.simulation().heal();
-    many.takePeakBytesPerSecond();
+    GossipDeployment large(LARGE_DEPLOYMENT);
+    large.run(seconds(10));
+    large.simulation().partition(domainOf(0).value());
+    large.run(seconds(40));
+    CHECK(!large.hasConverged());
+    large.simulation().heal();
+    large.takePeakBytesPerSecond();
     const Duration limit = seconds(30);
-    CHECK(many.simulation().runUntil([&] { return many.hasConverged(); }, limit) < limit);
-    many.run(seconds(10));
-    CHECK(many.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
+    CHECK(large.simulation().runUntil([&] { return large.hasConverged(); }, limit) < limit);
+    large.run(seconds(10));
+    CHECK(large.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 }
 
 TEST_GROUP(ControlPlaneLog)
@@ -251,14 +251,14 @@
     start(SMALL_DEPLOYMENT, 2);
     std::size_t before = m_followers->reads();
     m_followers->run(seconds(SECONDS));
-    const std::size_t few = m_followers->reads() - before;
+    const std::size_t smallReads = m_followers->reads() - before;
 
     m_followers.reset();
     start(LARGE_DEPLOYMENT, 2);
     before = m_followers->reads();
     const std::size_t bytesBefore = totalBytesSent();
     m_followers->run(seconds(SECONDS));
-    CHECK(m_followers->reads() - before <= 3 * few);
+    CHECK(m_followers->reads() - before <= 3 * smallReads);
     CHECK(totalBytesSent() - bytesBefore <= LARGE_DEPLOYMENT * SECONDS * MEAN_BYTES_PER_SECOND);
 }
 
--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -410,7 +410,7 @@
     std::vector<std::string> m_found;
     std::size_t m_directorySize = 0;
     Duration m_meanReadInterval = std::chrono::milliseconds(1);
-    std::size_t m_readsMeanwhile = 0;
+    std::size_t m_readsDuringRegistrations = 0;
     std::unique_ptr<MemberDirectory> m_directory;
 
     void start()
@@ -474,9 +474,9 @@
             m_log.write(STREAM, "daemon-" + std::to_string(i), "10.0.0.2:7000");
             m_runner.loop().sleepFor(std::chrono::microseconds(100));
         }
-        m_readsMeanwhile = m_log.reads - before;
+        m_readsDuringRegistrations = m_log.reads - before;
     });
-    CHECK(m_readsMeanwhile <= 1);
+    CHECK(m_readsDuringRegistrations <= 1);
 }
 
 // Guards against a daemon that others cannot find because the log lost its record.
--- a/src/app/tests/mocks/simulatedfollowers.h
+++ b/src/app/tests/mocks/simulatedfollowers.h
@@ -227,10 +227,10 @@
 
     bool isPartitioned(std::size_t from, std::size_t to) const
     {
-        const std::size_t here = domainOf(from);
-        const std::size_t there = domainOf(to);
-        return here != there
-            && m_partitionedDomains.count(here) + m_partitionedDomains.count(there) > 0;
+        const std::size_t fromDomain = domainOf(from);
+        const std::size_t toDomain = domainOf(to);
+        return fromDomain != toDomain
+            && m_partitionedDomains.count(fromDomain) + m_partitionedDomains.count(toDomain) > 0;
     }
 
     SimulatedDeployment m_deployment;
