--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -19,8 +19,8 @@
     , m_events(std::move(events))
     , m_freshness(makeFreshness(m_settings.freshness))
     , m_offers(m_settings.domain, exchange, random, [this] { return makeOffer(); })
-    , m_check(loop, logs.check, m_settings.stream, *m_freshness,
-              [this](const DocumentRead &read) { onCheck(read); })
+    , m_poller(loop, logs.poll, m_settings.stream, *m_freshness,
+               [this](const DocumentRead &read) { onPoll(read); })
     , m_watch(
           loop, logs.watch, m_settings.stream, m_settings.longPollTimeout,
           m_settings.freshness.maxRetryInterval, [this] { return isReader(); },
@@ -36,7 +36,7 @@
 
 void DocumentFollower::start()
 {
-    m_check.start();
+    m_poller.start();
     m_watch.start();
     m_offerTimer = m_loop.callLater(m_settings.offerInterval, [this] { sendPeriodicOffer(); });
 }
@@ -45,7 +45,7 @@
 {
     m_loop.cancelTimer(m_offerTimer);
     m_watch.stop();
-    m_check.stop();
+    m_poller.stop();
 }
 
 bool DocumentFollower::receive(const DaemonId &from, const std::string &payload)
@@ -60,7 +60,7 @@
 
 ConfigurationStatus DocumentFollower::status() const
 {
-    const std::optional<LogOffset> &next = m_check.cursor().next();
+    const std::optional<LogOffset> &next = m_poller.cursor().next();
     ConfigurationStatus status;
     status.inForce = version();
     status.accepted = version();
@@ -73,7 +73,7 @@
 }
 
 /// An immediate read returns the state of the log at its start.
-void DocumentFollower::onCheck(const DocumentRead &read)
+void DocumentFollower::onPoll(const DocumentRead &read)
 {
     if (!read.page) {
         m_freshness->onReadFailed(read.startedAt, m_random);
@@ -107,7 +107,7 @@
     }
     const bool isNewVersion = applyPage(*read.page);
     onReadDone(read);
-    m_check.cursor().skipTo(read.page->era, read.page->next);
+    m_poller.cursor().skipTo(read.page->era, read.page->next);
     if (isNewVersion) {
         sendOffersToAllDomains();
     }
@@ -274,7 +274,7 @@
         // A document that this program cannot read would be read from the log repeatedly.
         if (m_unreadable.empty()) {
             m_freshness->expire();
-            m_check.wake();
+            m_poller.wake();
         }
     });
 }
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -5,8 +5,8 @@
 #include <string>
 
 #include "app/icontrolexchange.h"
-#include "app/internal/control/documentcheck.h"
 #include "app/internal/control/documentoffers.h"
+#include "app/internal/control/documentpoller.h"
 #include "app/internal/control/documentwatch.h"
 #include "app/internal/control/iconfigurationdriver.h"
 #include "coordination/configuration/ifreshness.h"
@@ -52,7 +52,7 @@
 /// A follower's two connections to the log: a long poll must not delay an immediate read.
 struct DocumentLogs
 {
-    IKeyedLog &check;
+    IKeyedLog &poll;
     IKeyedLog &watch;
 };
 
@@ -77,7 +77,7 @@
     ConfigurationStatus status() const override;
 
 private:
-    void onCheck(const DocumentRead &read);
+    void onPoll(const DocumentRead &read);
     void onWatch(const DocumentRead &read);
     bool applyPage(const KeyedPage &page);
     /// Returns whether `asOf` is later than the previous confirmation.
@@ -110,7 +110,7 @@
     ConfigurationEvents m_events;
     std::unique_ptr<IFreshness> m_freshness;
     DocumentOffers m_offers;
-    DocumentCheck m_check;
+    DocumentPoller m_poller;
     DocumentWatch m_watch;
 
     ConfigurationPtr m_inForce;
--- a/src/app/internal/control/documentcheck.cpp
+++ b/src/app/internal/control/documentpoller.cpp
@@ -1,11 +1,11 @@
-#include "app/internal/control/documentcheck.h"
+#include "app/internal/control/documentpoller.h"
 
 #include <utility>
 
 namespace ivyspar {
 
-DocumentCheck::DocumentCheck(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
-                             const IFreshness &freshness, OnRead onRead)
+DocumentPoller::DocumentPoller(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
+                               const IFreshness &freshness, OnRead onRead)
     : m_loop(loop)
     , m_log(log)
     , m_freshness(freshness)
@@ -15,17 +15,17 @@
 {
 }
 
-void DocumentCheck::start()
+void DocumentPoller::start()
 {
     m_fiber.start([this] { follow(); });
 }
 
-void DocumentCheck::stop()
+void DocumentPoller::stop()
 {
     m_fiber.stop([this] { m_log.cancel(); });
 }
 
-void DocumentCheck::follow()
+void DocumentPoller::follow()
 {
     while (!m_fiber.isStopped()) {
         const auto left =
--- a/src/app/internal/control/documentcheck.h
+++ b/src/app/internal/control/documentpoller.h
@@ -17,14 +17,14 @@
 };
 
 /// Polls the log, without a long poll, whenever the last confirmation becomes too old.
-class DocumentCheck
+class DocumentPoller
 {
 public:
     using OnRead = std::function<void(const DocumentRead &)>;
 
     /// All references outlive the object. `onRead` runs in the fiber and must not suspend.
-    DocumentCheck(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
-                  const IFreshness &freshness, OnRead onRead);
+    DocumentPoller(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
+                   const IFreshness &freshness, OnRead onRead);
 
     void start();
     /// Suspends until the fiber has ended.
--- a/src/app/internal/control/documentwatch.cpp
+++ b/src/app/internal/control/documentwatch.cpp
@@ -54,7 +54,7 @@
 void DocumentWatch::follow()
 {
     while (!m_fiber.isStopped()) {
-        // DocumentCheck reads the newest records first and then sets the offset of this cursor.
+        // DocumentPoller reads the newest records first and then sets the offset of this cursor.
         if (!m_cursor.next() || !m_isNeeded()) {
             m_isIdle = true;
             m_fiber.pause(IDLE_PAUSE);
--- a/src/app/internal/control/documentwatch.h
+++ b/src/app/internal/control/documentwatch.h
@@ -3,13 +3,13 @@
 #include <functional>
 
 #include "app/internal/control/backgroundfiber.h"
-#include "app/internal/control/documentcheck.h"
+#include "app/internal/control/documentpoller.h"
 #include "app/internal/control/keyedcursor.h"
 
 namespace ivyspar {
 
 /// Long-polls the log while this daemon is one of the readers. It only shortens the delay of new
-/// versions: a connection that goes silent is noticed late, and DocumentCheck bounds the delay.
+/// versions: a connection that goes silent is noticed late, and DocumentPoller bounds the delay.
 class DocumentWatch
 {
 public:
--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -236,7 +236,7 @@
     CHECK(most < LARGE_DEPLOYMENT / 3);
 }
 
-// Without readers, versions are found only by the reads of DocumentCheck.
+// Without readers, versions are found only by the reads of DocumentPoller.
 TEST(ControlPlaneLog, VersionReachesAllDaemonsWithoutReaders)
 {
     start(SMALL_DEPLOYMENT, 0);
