--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -228,8 +228,8 @@
     }
 }
 
-/// Passes a confirmation on only if it is considerably more recent than the own one, so that it
-/// reaches all daemons and the gossip about it ends.
+/// Passes a confirmation on only if it is more recent than this daemon's own by a quarter of the
+/// maximum age, so that it reaches all daemons and the gossip about it ends.
 void DocumentFollower::onOfferedAge(const DaemonId &from, Duration age)
 {
     const TimePoint now = m_loop.now();
