--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr std::uint32_t PAGE_RECORDS = 64;
-/// A request that got no push is repeated after this time.
+/// A version that was requested and not received may be requested again after this time.
 constexpr Duration REQUEST_TIMEOUT = std::chrono::milliseconds(500);
-/// So often a daemon that holds the current version asks for its position in the log.
+/// Minimum time between requests for the log position of the version that is already held.
 constexpr Duration POSITION_REQUEST_INTERVAL = std::chrono::seconds(10);
-constexpr Duration LONGEST_STOP = std::chrono::minutes(1);
+constexpr Duration STOP_TIMEOUT = std::chrono::minutes(1);
 
 } // namespace
 
@@ -49,7 +49,7 @@
 void ConfigurationFollower::stop()
 {
     m_isStopped = true;
-    if (m_fibers == 0) {
+    if (m_runningFibers == 0) {
         return;
     }
     m_ended = std::make_unique<OneShot<bool>>(m_loop);
@@ -59,7 +59,7 @@
         }
     }
     m_log.cancelReads();
-    m_ended->wait(LONGEST_STOP);
+    m_ended->wait(STOP_TIMEOUT);
 }
 
 bool ConfigurationFollower::receive(const DaemonId &from, const std::string &payload)
@@ -83,7 +83,7 @@
         status.changeId = current->changeId;
     }
     status.unreadable = m_unreadable;
-    status.isJudging = m_stateMachine->logState() != nullptr;
+    status.hasLogState = m_stateMachine->logState() != nullptr;
     status.isFastPoller = m_poll.isFast();
     status.nextOffset = m_stateMachine->nextOffset();
     status.anchor = m_stateMachine->anchor();
@@ -94,11 +94,11 @@
 
 void ConfigurationFollower::spawn(void (ConfigurationFollower::*body)())
 {
-    ++m_fibers;
+    ++m_runningFibers;
     m_loop.spawn([this, body] {
         (this->*body)();
-        --m_fibers;
-        if (m_fibers == 0 && m_ended) {
+        --m_runningFibers;
+        if (m_runningFibers == 0 && m_ended) {
             m_ended->set(true);
         }
     });
@@ -125,14 +125,14 @@
 {
     while (!m_isStopped) {
         offerToRandomPeers(1);
-        // Drawn anew each time, so that daemons that start together do not stay in step.
+        // Random, so that daemons that start together do not stay synchronized.
         const auto half = static_cast<std::uint64_t>(
             std::max<Duration::rep>(1, m_settings.offerInterval.count()));
         pause(m_offerPause, m_settings.offerInterval / 2 + Duration(m_random.below(half)));
     }
 }
 
-/// Reads and folds one page. Returns the pause before the next read.
+/// Reads and applies one page. Returns the pause before the next read.
 Duration ConfigurationFollower::readOnce()
 {
     std::vector<DaemonId> domainPeers;
@@ -154,7 +154,7 @@
         return m_poll.onFailure(m_random);
     }
     setLogError({});
-    foldPage(*page);
+    applyPage(*page);
     if (m_snapshot.update(m_loop.now(), *m_stateMachine, page->first, page->end, m_poll.isFast(),
                           m_random)) {
         renewSnapshot();
@@ -166,37 +166,37 @@
     return m_poll.onPage(page->records.empty(), isAtEnd, m_loop.now() - start, m_random);
 }
 
-void ConfigurationFollower::foldPage(const LogPage &page)
+void ConfigurationFollower::applyPage(const LogPage &page)
 {
     m_stateMachine->truncateBefore(page.first);
     for (const LogRecord &record : page.records) {
-        foldRecord(record);
+        applyRecord(record);
     }
-    // Nobody waits for these here; a publisher reads the stream itself.
+    // Discarded: only publishers need them, and they read the stream themselves.
     m_stateMachine->takeDeferredResults();
-    useCurrent();
+    activateCurrent();
 }
 
-void ConfigurationFollower::foldRecord(const LogRecord &record)
+void ConfigurationFollower::applyRecord(const LogRecord &record)
 {
     const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
-    const std::string place = "record " + std::to_string(record.offset.value());
+    const std::string recordText = "record " + std::to_string(record.offset.value());
     if (!decoded) {
         m_stateMachine->skip(record.offset);
-        notice(place + " skipped: " + decoded.error().text);
+        notice(recordText + " skipped: " + decoded.error().text);
         return;
     }
     const std::string change = "change " + decoded->changeId + " based on version "
         + std::to_string(decoded->base.value());
     switch (m_stateMachine->apply(record.offset, *decoded)) {
     case ApplyResult::Conflict:
-        notice(place + " refused: " + change + " is not based on the current version");
+        notice(recordText + " refused: " + change + " is not based on the current version");
         break;
     case ApplyResult::Malformed:
-        notice(place + " refused: the text of " + change + " is damaged");
+        notice(recordText + " refused: the text of " + change + " is damaged");
         break;
     case ApplyResult::Deferred:
-        notice(place + " not judged yet: older records were lost, waiting for a snapshot");
+        notice(recordText + " not applied yet: older records were lost, waiting for a snapshot");
         break;
     case ApplyResult::Accepted:
     case ApplyResult::Duplicate:
@@ -206,22 +206,22 @@
 
 void ConfigurationFollower::renewSnapshot()
 {
-    const AcceptedConfiguration *judged = m_stateMachine->logState();
+    const AcceptedConfiguration *logState = m_stateMachine->logState();
     ConfigurationRecord record;
     record.kind = ConfigurationRecord::Kind::Snapshot;
-    record.changeId = judged->changeId;
-    record.base = judged->version;
-    record.digest = judged->digest;
-    record.inventory = judged->inventory;
-    record.rules = judged->rules;
-    record.position = *judged->position;
+    record.changeId = logState->changeId;
+    record.base = logState->version;
+    record.digest = logState->digest;
+    record.inventory = logState->inventory;
+    record.rules = logState->rules;
+    record.position = *logState->position;
     const RetVal<std::string> payload = encodeConfigurationRecord(record);
     if (!payload) {
         notice("snapshot not written: " + payload.error().text);
         return;
     }
     const RetVal<LogOffset> offset = m_log.append(StreamName(CONFIGURATION_STREAM), *payload);
-    // A snapshot that was appended although its answer was lost is seen by the next read.
+    // A snapshot that was appended although its response was lost is found by the next read.
     if (!offset) {
         m_snapshot.onFailure(m_loop.now(), m_random);
         notice("snapshot not written: " + offset.error().text);
@@ -232,7 +232,7 @@
            + std::to_string(offset->value()));
 }
 
-/// Notes only changes: an outage may last for hours.
+/// Logs only transitions: an outage may last for hours.
 void ConfigurationFollower::setLogError(const std::string &text)
 {
     if (text.empty() != m_logError.empty()) {
@@ -241,8 +241,8 @@
     m_logError = text;
 }
 
-/// A peer that is behind is offered the version rather than sent it: several daemons may find it at
-/// the same time, and it asks only one of them.
+/// A peer with an older version is sent an offer rather than the version: several daemons may
+/// answer it at the same time, and it requests the version from only one of them.
 void ConfigurationFollower::handle(const DaemonId &from, const ConfigurationOffer &offer)
 {
     const ConfigurationOffer own = makeOffer();
@@ -250,14 +250,14 @@
         send(from, own);
         return;
     }
-    if (mayRequest(offer)) {
+    if (shouldRequest(offer)) {
         send(from, ConfigurationRequest{});
     }
 }
 
 void ConfigurationFollower::handle(const DaemonId &from, const ConfigurationRequest & /*request*/)
 {
-    if (const AcceptedConfiguration *accepted = held()) {
+    if (const AcceptedConfiguration *accepted = heldConfiguration()) {
         send(from, ConfigurationPush{ *accepted });
     }
 }
@@ -265,10 +265,10 @@
 void ConfigurationFollower::handle(const DaemonId &from, const ConfigurationPush &push)
 {
     if (m_stateMachine->adopt(push.accepted)) {
-        notice("version " + std::to_string(push.accepted.version.value()) + " learned from "
+        notice("version " + std::to_string(push.accepted.version.value()) + " received from "
                + from.value());
     }
-    useCurrent();
+    activateCurrent();
 }
 
 void ConfigurationFollower::send(const DaemonId &to, const ConfigurationMessage &message)
@@ -290,9 +290,9 @@
     }
 }
 
-/// Whether what is offered helps, and has not just been asked for: a version that is newer, or the
-/// position of the held one, without which no record can be judged.
-bool ConfigurationFollower::mayRequest(const ConfigurationOffer &offer)
+/// Whether the offer is useful and was not requested recently: it has a newer version, or the log
+/// position of the held version, without which no record can be applied.
+bool ConfigurationFollower::shouldRequest(const ConfigurationOffer &offer)
 {
     const ConfigurationOffer own = makeOffer();
     const bool isNewer = offer.version > own.version;
@@ -303,34 +303,34 @@
     }
     const TimePoint now = m_loop.now();
     const Duration interval = isNewer ? REQUEST_TIMEOUT : POSITION_REQUEST_INTERVAL;
-    if (offer.version <= m_requested && now - m_requestedAt < interval) {
+    if (offer.version <= m_requestedVersion && now - m_requestedAt < interval) {
         return false;
     }
-    m_requested = offer.version;
+    m_requestedVersion = offer.version;
     m_requestedAt = now;
     return true;
 }
 
 ConfigurationOffer ConfigurationFollower::makeOffer() const
 {
-    const AcceptedConfiguration *accepted = held();
+    const AcceptedConfiguration *accepted = heldConfiguration();
     if (!accepted) {
         return {};
     }
     return { accepted->version, accepted->position.has_value() };
 }
 
-/// The version that is held, with a position if one is known.
-const AcceptedConfiguration *ConfigurationFollower::held() const
+/// The held version, with its log position if that is known.
+const AcceptedConfiguration *ConfigurationFollower::heldConfiguration() const
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
-    const AcceptedConfiguration *judged = m_stateMachine->logState();
-    return current && judged && judged->version == current->version ? judged : current;
+    const AcceptedConfiguration *logState = m_stateMachine->logState();
+    return current && logState && logState->version == current->version ? logState : current;
 }
 
-/// Brings the accepted version into force. One that this program cannot read, as it may be older
-/// than the version's publisher, is still held and passed on; the previous one stays in force.
-void ConfigurationFollower::useCurrent()
+/// Puts the accepted version into force. A version that this program cannot read, for example
+/// because the publisher is newer, is still held and offered; the previous one stays in force.
+void ConfigurationFollower::activateCurrent()
 {
     const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isKnown =
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr std::uint32_t PAGE_RECORDS = 64;
-/// Between two tries while the log refuses or cannot be reached.
-constexpr Duration RETRY_PAUSE = std::chrono::milliseconds(100);
-/// For how long the log may hold back its answer while the change's record is awaited. An append
-/// that was not seen after this time is sent again.
-constexpr Duration VERDICT_WAIT = std::chrono::milliseconds(500);
+/// Delay between attempts while the result is open.
+constexpr Duration RETRY_DELAY = std::chrono::milliseconds(100);
+/// Timeout of a long poll for the record of the change. An append that the log did not acknowledge
+/// is repeated after it.
+constexpr Duration RESULT_WAIT = std::chrono::milliseconds(500);
 
-/// A version above all that ever were: changes add one each, and there are fewer than one each
+/// A version above all earlier ones: each change adds one, and there is less than one change per
 /// millisecond.
 ConfigurationVersion restartVersion()
 {
@@ -47,19 +47,20 @@
             if (!m_isAppended) {
                 appendOnce();
             }
-            readToEnd(VERDICT_WAIT);
+            readToEnd(RESULT_WAIT);
             decide();
             if (!isDecided()) {
                 pause();
             }
         }
     }
-    if (!isDecided() && m_maybeSent) {
+    if (!isDecided() && m_mayBeAppended) {
         finish(PublishResult::Kind::Unknown,
-               "the change may have been made: its verdict was not found in time");
+               "the change may have been made: its record was not found in the log in time");
     }
     if (!isDecided()) {
-        finish(PublishResult::Kind::NotSent, m_logError.empty() ? "no time left" : m_logError);
+        finish(PublishResult::Kind::NotSent,
+               m_logError.empty() ? "timed out before the change was sent" : m_logError);
     }
     return *m_result;
 }
@@ -71,10 +72,11 @@
 
 void ConfigurationPublisher::pause()
 {
-    m_loop.sleepFor(std::clamp(m_deadline - m_loop.now(), Duration::zero(), RETRY_PAUSE));
+    m_loop.sleepFor(std::clamp(m_deadline - m_loop.now(), Duration::zero(), RETRY_DELAY));
 }
 
-/// Reads until the log has nothing newer; for that it may wait once. False on an error.
+/// Reads to the end of the log; only the first read waits, for up to `wait`. Returns false on an
+/// error, or when time is up.
 bool ConfigurationPublisher::readToEnd(Duration wait)
 {
     while (isTimeLeft() && !isDecided()) {
@@ -86,7 +88,7 @@
             return false;
         }
         m_logError.clear();
-        foldPage(*page);
+        applyPage(*page);
         if (page->records.empty()) {
             return true;
         }
@@ -95,9 +97,9 @@
     return false;
 }
 
-void ConfigurationPublisher::foldPage(const LogPage &page)
+void ConfigurationPublisher::applyPage(const LogPage &page)
 {
-    m_isHistoryWhole = m_isHistoryWhole && page.first <= m_stateMachine->nextOffset();
+    m_isHistoryComplete = m_isHistoryComplete && page.first <= m_stateMachine->nextOffset();
     m_stateMachine->truncateBefore(page.first);
     for (const LogRecord &record : page.records) {
         const RetVal<ConfigurationRecord> decoded = decodeConfigurationRecord(record.payload);
@@ -105,36 +107,36 @@
             m_stateMachine->skip(record.offset);
             continue;
         }
-        const ApplyResult verdict = m_stateMachine->apply(record.offset, *decoded);
-        const AcceptedConfiguration *judged = m_stateMachine->logState();
-        const bool isSuccessor = m_base && judged && !m_successor && judged->version > *m_base;
+        const ApplyResult result = m_stateMachine->apply(record.offset, *decoded);
+        const AcceptedConfiguration *logState = m_stateMachine->logState();
+        const bool isSuccessor = m_base && logState && !m_successor && logState->version > *m_base;
         if (isSuccessor) {
-            m_successor = *judged;
+            m_successor = *logState;
         }
         if (decoded->kind != ConfigurationRecord::Kind::Snapshot) {
-            noteVerdict(decoded->changeId, verdict,
-                        judged ? judged->version : ConfigurationVersion());
+            recordOwnResult(decoded->changeId, result,
+                            logState ? logState->version : ConfigurationVersion());
         }
         for (const DeferredResult &deferred : m_stateMachine->takeDeferredResults()) {
-            noteVerdict(deferred.changeId, deferred.result, deferred.version);
+            recordOwnResult(deferred.changeId, deferred.result, deferred.version);
         }
     }
 }
 
-/// Copies of one change may get different verdicts; one that was accepted counts for all.
-void ConfigurationPublisher::noteVerdict(const std::string &changeId, ApplyResult verdict,
-                                         ConfigurationVersion version)
+/// Copies of one change may have different results; an accepted copy decides for all.
+void ConfigurationPublisher::recordOwnResult(const std::string &changeId, ApplyResult result,
+                                             ConfigurationVersion version)
 {
-    const bool isVerdict = verdict == ApplyResult::Accepted || verdict == ApplyResult::Conflict
-        || verdict == ApplyResult::Malformed;
-    if (changeId != m_settings.changeId || !isVerdict || m_ownVerdict == ApplyResult::Accepted) {
+    const bool isFinal = result == ApplyResult::Accepted || result == ApplyResult::Conflict
+        || result == ApplyResult::Malformed;
+    if (changeId != m_settings.changeId || !isFinal || m_ownApplyResult == ApplyResult::Accepted) {
         return;
     }
-    m_ownVerdict = verdict;
+    m_ownApplyResult = result;
     m_ownVersion = version;
 }
 
-/// Reads what is there and chooses the base. False if that decided the outcome or time is up.
+/// Reads the log and chooses the base. Returns false if the outcome is decided or time is up.
 bool ConfigurationPublisher::prepare()
 {
     while (isTimeLeft()) {
@@ -154,39 +156,40 @@
     return false;
 }
 
-/// False while the stream does not show enough yet.
+/// Returns false while the records read so far do not suffice.
 bool ConfigurationPublisher::chooseBase()
 {
-    const AcceptedConfiguration *judged = m_stateMachine->logState();
+    const AcceptedConfiguration *logState = m_stateMachine->logState();
     if (m_settings.isRestart) {
-        if (judged) {
+        if (logState) {
             finish(PublishResult::Kind::NotSent,
-                   "the log knows the current version; publish without --restart");
+                   "the log holds the current version; publish without --restart");
         }
         m_base = restartVersion();
         return true;
     }
-    if (!judged) {
-        m_logError = "the log has forgotten too much to tell the current version. A daemon that "
-                     "knows it writes it again shortly; if none is left, begin anew with --restart";
+    if (!logState) {
+        m_logError =
+            "the log was truncated past the current version. A daemon that holds it appends "
+            "a snapshot shortly; if no daemon is left, start over with --restart";
         return false;
     }
-    if (m_settings.base && *m_settings.base > judged->version) {
-        m_logError = "the log shows version " + std::to_string(judged->version.value())
+    if (m_settings.base && *m_settings.base > logState->version) {
+        m_logError = "the log shows version " + std::to_string(logState->version.value())
             + " as the newest, and not yet the base " + std::to_string(m_settings.base->value());
         return false;
     }
-    // The repeated change may have been made, and its record forgotten since. With its old base a
-    // second copy could not win; with a new one it would be made twice.
-    if (m_settings.isRepeat && !m_settings.base && !m_isHistoryWhole) {
+    // The repeated change may have been accepted and its record truncated since. A second copy with
+    // the old base cannot be accepted; with a new base the change would be made twice.
+    if (m_settings.isRepeat && !m_settings.base && !m_isHistoryComplete) {
         finish(PublishResult::Kind::Unknown,
-               "older records are gone, so this change may have been made already; repeat it with "
+               "older records were truncated, so this change may already be made; repeat it with "
                "the --base that was printed with its id");
         return true;
     }
-    m_base = m_settings.base.value_or(judged->version);
-    if (*m_base < judged->version) {
-        m_successor = *judged;
+    m_base = m_settings.base.value_or(logState->version);
+    if (*m_base < logState->version) {
+        m_successor = *logState;
         finishConflict();
     }
     return true;
@@ -201,12 +204,12 @@
     }
     const RetVal<LogOffset> offset = m_log.append(StreamName(CONFIGURATION_STREAM), *payload);
     m_isAppended = offset.has_value();
-    m_maybeSent = m_maybeSent || offset || offset.error().code == ErrorCode::Unknown;
+    m_mayBeAppended = m_mayBeAppended || offset || offset.error().code == ErrorCode::Unknown;
     if (offset) {
         return;
     }
-    m_logError = "the log does not take the change: " + offset.error().text;
-    if (offset.error().code == ErrorCode::InvalidArgument && !m_maybeSent) {
+    m_logError = "the change cannot be appended to the log: " + offset.error().text;
+    if (offset.error().code == ErrorCode::InvalidArgument && !m_mayBeAppended) {
         finish(PublishResult::Kind::NotSent, m_logError);
     }
 }
@@ -224,23 +227,24 @@
     return record;
 }
 
-/// Ends with the outcome if what was read decides it.
+/// Sets the outcome if the records read so far decide it.
 void ConfigurationPublisher::decide()
 {
     if (isDecided()) {
         return;
     }
-    // The snapshot of a version tells the change that made it.
+    // The snapshot of a version contains the id of the change that created it.
     const AcceptedConfiguration *current = m_stateMachine->current();
     const bool isCurrent = current && current->changeId == m_settings.changeId;
-    if (isCurrent || m_ownVerdict == ApplyResult::Accepted) {
+    if (isCurrent || m_ownApplyResult == ApplyResult::Accepted) {
         finish(PublishResult::Kind::Accepted, {});
-        m_result->version = m_ownVerdict == ApplyResult::Accepted ? m_ownVersion : current->version;
+        m_result->version =
+            m_ownApplyResult == ApplyResult::Accepted ? m_ownVersion : current->version;
         return;
     }
-    // Another change took the place of this one's base: this one can no longer win, even if its
-    // record is still on the way.
-    if (m_ownVerdict == ApplyResult::Conflict || m_successor) {
+    // Another change with the same base was accepted: this one cannot be accepted any more, even if
+    // its record is still in flight.
+    if (m_ownApplyResult == ApplyResult::Conflict || m_successor) {
         finishConflict();
     }
 }
@@ -257,7 +261,7 @@
 
 void ConfigurationPublisher::finishConflict()
 {
-    finish(PublishResult::Kind::Conflict, "another change came first");
+    finish(PublishResult::Kind::Conflict, "another change was accepted first");
     const AcceptedConfiguration *current = m_stateMachine->current();
     if (m_successor) {
         m_result->winner = *m_successor;
--- a/src/app/internal/control/controlchannel.cpp
+++ b/src/app/internal/control/controlchannel.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// First byte of each datagram. A port is used again by other programs, and a daemon of another
-/// version may run there.
+/// First byte of each datagram. A port may be reused by another program or by a daemon of another
+/// version.
 constexpr char DATAGRAM_VERSION = '\1';
 
 } // namespace
@@ -42,10 +42,10 @@
     }
 }
 
-/// False where a link has to carry the payload.
+/// Returns false if the payload has to go over a link.
 bool ControlChannel::sendDatagram(const Endpoint &endpoint, const std::string &payload)
 {
-    if (m_hasLinksOnly || payload.size() >= IDatagramSocket::MOST_BYTES) {
+    if (m_usesLinksOnly || payload.size() >= IDatagramSocket::MOST_BYTES) {
         return false;
     }
     ControlMessage message;
@@ -55,7 +55,7 @@
     if (datagram.size() > IDatagramSocket::MOST_BYTES) {
         return false;
     }
-    // Where it cannot be sent now it is lost, as on the way: a link would not get through either.
+    // A failed send counts as a lost datagram: a link would not get through either.
     (void)m_socket.send(endpoint, datagram);
     m_observers.metrics.add(Counter::DatagramsSent);
     m_observers.metrics.add(Counter::DatagramBytesSent, datagram.size());
@@ -66,9 +66,10 @@
 {
     m_observers.metrics.add(Counter::DatagramsReceived);
     m_observers.metrics.add(Counter::DatagramBytesReceived, payload.size());
-    const bool isOurs = !payload.empty() && payload.front() == DATAGRAM_VERSION;
-    const auto message = isOurs ? m_codec.decode(payload.substr(1))
-                                : RetVal<PeerMessage>(makeError(ErrorCode::InvalidArgument, ""));
+    const bool isSupportedVersion = !payload.empty() && payload.front() == DATAGRAM_VERSION;
+    const auto message = isSupportedVersion
+        ? m_codec.decode(payload.substr(1))
+        : RetVal<PeerMessage>(makeError(ErrorCode::InvalidArgument, ""));
     const auto *control = message ? std::get_if<ControlMessage>(&*message) : nullptr;
     if (control == nullptr) {
         m_observers.metrics.add(Counter::DatagramsMalformed);
--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -6,8 +6,8 @@
 #include <utility>
 
 #include "app/internal/control/configurationfollower.h"
-#include "app/internal/control/countedlog.h"
 #include "app/internal/control/documentfollower.h"
+#include "app/internal/control/instrumentedlog.h"
 #include "app/internal/control/logaccess.h"
 #include "app/internal/control/statusdocument.h"
 #include "protocol/accountexchange.h"
@@ -28,7 +28,7 @@
 constexpr std::uint16_t NOT_FOUND = 404;
 constexpr std::uint16_t METHOD_NOT_ALLOWED = 405;
 constexpr std::uint16_t UNAVAILABLE = 503;
-/// Followed by the fingerprint.
+/// Path prefix that is followed by the fingerprint.
 constexpr char LIFT_PREFIX[] = "/quarantine/lift/";
 
 HttpResponse makeAnswer(std::uint16_t status, const char *type, std::string body)
@@ -107,18 +107,18 @@
     MemberDirectorySettings directory;
     directory.stream = m_settings.streams.members;
     directory.self = m_settings.id;
-    directory.place = { m_membership.self().peerEndpoint, m_membership.self().domain };
+    directory.selfSeed = { m_membership.self().peerEndpoint, m_membership.self().domain };
     m_directory = std::make_unique<MemberDirectory>(
         directory, m_loop, *m_directoryLog, *m_random, m_observers,
         [this](const MembershipSeed &seed) { m_membership.addSeed(seed); },
-        [this](std::size_t daemons) { m_traffic.setListed(daemons); },
-        [this] { return m_membership.working().size(); });
+        [this](std::size_t daemons) { m_traffic.setDirectorySize(daemons); },
+        [this] { return m_membership.availableMembers().size(); });
 }
 
 std::unique_ptr<IKeyedLog> ControlNode::makeKeyedLog(const IPlatform &platform)
 {
-    return std::make_unique<CountedLog>(platform.makeKeyedLog(m_loop, m_settings), m_loop,
-                                        m_observers.metrics);
+    return std::make_unique<InstrumentedLog>(platform.makeKeyedLog(m_loop, m_settings), m_loop,
+                                             m_observers.metrics);
 }
 
 ControlSend ControlNode::makeSend()
@@ -154,8 +154,8 @@
 
 RetVal<Endpoint> ControlNode::listen(const Endpoint &peers)
 {
-    if (const Ret taken = m_channel.listen(peers); !taken) {
-        return tl::unexpected<Error>(taken.error());
+    if (const Ret listening = m_channel.listen(peers); !listening) {
+        return tl::unexpected<Error>(listening.error());
     }
     RetVal<Endpoint> bound = listenAt(*m_operatorServer, m_settings.operatorListen);
     if (!bound || m_settings.readinessListen.port == 0) {
@@ -259,7 +259,7 @@
 HttpResponse ControlNode::answerLift(const HttpRequest &request)
 {
     if (request.method != "POST") {
-        return makeAnswer(METHOD_NOT_ALLOWED, "text/plain", "a quarantine is lifted by POST\n");
+        return makeAnswer(METHOD_NOT_ALLOWED, "text/plain", "use POST to lift a quarantine\n");
     }
     const Fingerprint fingerprint(request.target.substr(sizeof(LIFT_PREFIX) - 1));
     // Shared, as the answer of the traffic thread may come after this handler gave up.
@@ -269,15 +269,15 @@
     });
     const auto isKnown = answer->wait(STATUS_TIMEOUT);
     if (!isKnown) {
-        return makeAnswer(UNAVAILABLE, "text/plain", "the daemon is too busy to answer\n");
+        return makeAnswer(UNAVAILABLE, "text/plain", "the traffic thread did not answer in time\n");
     }
     return *isKnown ? makeAnswer(OK, "text/plain", "lifted\n")
-                    : makeAnswer(NOT_FOUND, "text/plain", "no such fingerprint is known\n");
+                    : makeAnswer(NOT_FOUND, "text/plain", "the fingerprint is unknown\n");
 }
 
 HttpResponse ControlNode::answerHealth() const
 {
-    if (m_isLeaving) {
+    if (m_isUnready) {
         return makeAnswer(UNAVAILABLE, "text/plain", "leaving\n");
     }
     if (!m_configuration) {
@@ -333,10 +333,10 @@
     DaemonStatus status;
     status.traffic = fetchTraffic();
     status.self = m_membership.self();
-    status.isLeaving = m_isLeaving;
+    status.isLeaving = m_isUnready;
     status.configuration = m_configuration;
     status.configurationStatus = m_configurationDriver->status();
-    status.members = m_membership.all();
+    status.members = m_membership.allMembers();
     return makeAnswer(OK, "application/json", makeStatusDocument(status));
 }
 
--- a/src/app/internal/control/documentfollower.cpp
+++ b/src/app/internal/control/documentfollower.cpp
@@ -19,10 +19,10 @@
     , m_events(std::move(events))
     , m_freshness(makeFreshness(m_settings.freshness))
     , m_offers(m_settings.domain, exchange, random, [this] { return makeOffer(); })
-    , m_check(loop, logs.check, m_settings.stream, *m_freshness,
-              [this](const DocumentRead &read) { onCheck(read); })
+    , m_poller(loop, logs.poll, m_settings.stream, *m_freshness,
+               [this](const DocumentRead &read) { onPoll(read); })
     , m_watch(
-          loop, logs.watch, m_settings.stream, m_settings.wait,
+          loop, logs.watch, m_settings.stream, m_settings.longPollTimeout,
           m_settings.freshness.maxRetryInterval, [this] { return isReader(); },
           [this](const DocumentRead &read) { onWatch(read); })
 {
@@ -30,22 +30,22 @@
 
 DocumentFollower::~DocumentFollower()
 {
-    m_loop.cancelTimer(m_patienceTimer);
+    m_loop.cancelTimer(m_offeredTimer);
     m_loop.cancelTimer(m_offerTimer);
 }
 
 void DocumentFollower::start()
 {
-    m_check.start();
+    m_poller.start();
     m_watch.start();
-    m_offerTimer = m_loop.callLater(m_settings.offerInterval, [this] { offerAgain(); });
+    m_offerTimer = m_loop.callLater(m_settings.offerInterval, [this] { sendPeriodicOffer(); });
 }
 
 void DocumentFollower::stop()
 {
     m_loop.cancelTimer(m_offerTimer);
     m_watch.stop();
-    m_check.stop();
+    m_poller.stop();
 }
 
 bool DocumentFollower::receive(const DaemonId &from, const std::string &payload)
@@ -60,42 +60,42 @@
 
 ConfigurationStatus DocumentFollower::status() const
 {
-    const std::optional<LogOffset> &next = m_check.cursor().next();
+    const std::optional<LogOffset> &next = m_poller.cursor().next();
     ConfigurationStatus status;
     status.inForce = version();
     status.accepted = version();
     status.unreadable = m_unreadable;
-    status.isJudging = next.has_value();
+    status.hasLogState = next.has_value();
     status.isFastPoller = isReader();
     status.nextOffset = next.value_or(LogOffset());
     status.logError = m_logError;
     return status;
 }
 
-/// A read that did not wait tells how the log stood when it began.
-void DocumentFollower::onCheck(const DocumentRead &read)
+/// An immediate read returns the state of the log at its start.
+void DocumentFollower::onPoll(const DocumentRead &read)
 {
     if (!read.page) {
         m_freshness->onReadFailed(read.startedAt, m_random);
         onReadFailed(read);
         return;
     }
-    const bool wasLost = m_isLogLost;
-    takePage(*read.page);
+    const bool wasUnavailable = m_isLogUnavailable;
+    applyPage(*read.page);
     confirm(read.startedAt);
     onReadDone(read);
     m_watch.cursor().skipTo(read.page->era, read.page->next);
-    m_watch.checkDuty();
-    // What the watch should have brought, or cannot, it waits for on a connection that went silent.
-    if (wasLost || !read.page->records.empty()) {
+    m_watch.wakeIfNeeded();
+    // The watch missed these records, or the outage: its connection may have gone silent.
+    if (wasUnavailable || !read.page->records.empty()) {
         m_watch.restart();
     }
-    offerToAllDomains();
+    sendOffersToAllDomains();
 }
 
-void DocumentFollower::offerToAllDomains()
+void DocumentFollower::sendOffersToAllDomains()
 {
-    m_offers.sendNear(m_settings.nearOffers);
+    m_offers.sendToSameDomain(m_settings.sameDomainOffers);
     m_offers.sendToEachDomain();
 }
 
@@ -105,15 +105,15 @@
         onReadFailed(read);
         return;
     }
-    const bool isNews = takePage(*read.page);
+    const bool isNewVersion = applyPage(*read.page);
     onReadDone(read);
-    m_check.cursor().skipTo(read.page->era, read.page->next);
-    if (isNews) {
-        offerToAllDomains();
+    m_poller.cursor().skipTo(read.page->era, read.page->next);
+    if (isNewVersion) {
+        sendOffersToAllDomains();
     }
-    // Nothing came for as long as the log was asked to wait.
-    if (read.page->records.empty() && read.took >= m_settings.wait) {
-        confirm(read.startedAt + m_settings.wait);
+    // The long poll ran its full time without a new record.
+    if (read.page->records.empty() && read.took >= m_settings.longPollTimeout) {
+        confirm(read.startedAt + m_settings.longPollTimeout);
     }
 }
 
@@ -126,10 +126,10 @@
     return isLater;
 }
 
-/// Returns whether a version came into force.
-bool DocumentFollower::takePage(const KeyedPage &page)
+/// Returns whether a new version came into force.
+bool DocumentFollower::applyPage(const KeyedPage &page)
 {
-    // Only the last one counts: those before it were replaced by it.
+    // The last record of the key supersedes those before it.
     const auto last =
         std::find_if(page.records.rbegin(), page.records.rend(),
                      [this](const KeyedRecord &record) { return record.key == m_settings.key; });
@@ -138,23 +138,23 @@
 
 void DocumentFollower::onReadDone(const DocumentRead &read)
 {
-    if (m_isLogLost) {
+    if (m_isLogUnavailable) {
         notice("configuration: the log can be read again");
-        tellContact(false, read.took);
+        notifyLogContact(false, read.took);
     }
-    m_isLogLost = false;
+    m_isLogUnavailable = false;
     m_logError.clear();
     m_answeredAt = m_loop.now();
 }
 
-/// While the platform turns this daemon away, others may still be served: without asking them it
-/// would go on under an old configuration, or without any after a start.
+/// While the platform refuses this daemon, it may still serve others. Without a request to a peer
+/// this daemon would keep an old configuration or, after a start, have none.
 void DocumentFollower::onReadFailed(const DocumentRead &read)
 {
     m_logError = read.page.error().text;
-    if (!std::exchange(m_isLogLost, true)) {
+    if (!std::exchange(m_isLogUnavailable, true)) {
         notice("configuration: the log cannot be read: " + m_logError);
-        tellContact(true, read.took);
+        notifyLogContact(true, read.took);
     }
     const std::vector<ControlPeer> peers = m_exchange.peers();
     if (!peers.empty()) {
@@ -162,14 +162,14 @@
     }
 }
 
-void DocumentFollower::tellContact(bool isLost, Duration took) const
+void DocumentFollower::notifyLogContact(bool isLost, Duration took) const
 {
     if (m_events.onLogContact) {
-        m_events.onLogContact(LogContact{ isLost, took, silence(), m_logError });
+        m_events.onLogContact(LogContact{ isLost, took, timeSinceAnswer(), m_logError });
     }
 }
 
-std::optional<Duration> DocumentFollower::silence() const
+std::optional<Duration> DocumentFollower::timeSinceAnswer() const
 {
     if (!m_answeredAt) {
         return std::nullopt;
@@ -179,23 +179,23 @@
 
 bool DocumentFollower::isReader() const
 {
-    std::vector<DaemonId> near;
+    std::vector<DaemonId> sameDomainPeers;
     for (const ControlPeer &peer : m_exchange.peers()) {
         if (peer.domain == m_settings.domain) {
-            near.push_back(peer.id);
+            sameDomainPeers.push_back(peer.id);
         }
     }
-    return isFastPoller(m_settings.self, near, m_settings.readersPerDomain);
+    return isFastPoller(m_settings.self, sameDomainPeers, m_settings.readersPerDomain);
 }
 
-/// Returns whether it is newer than the one that was in force.
+/// Returns whether the document came into force because its version is newer.
 bool DocumentFollower::adopt(const std::string &document, const char *source)
 {
     const RetVal<ConfigurationPtr> read = m_reader.read(document);
     if (!read) {
         m_unreadable = read.error().text;
-        notice("configuration: the one from " + std::string(source)
-               + " is not used: " + m_unreadable);
+        notice("configuration: the document from " + std::string(source)
+               + " cannot be read: " + m_unreadable);
         return false;
     }
     if ((*read)->version <= version()) {
@@ -218,61 +218,63 @@
         return;
     }
     if (offer.version > version()) {
-        pursue(from, offer.version);
+        onNewerOffer(from, offer.version);
         return;
     }
     if (offer.age) {
-        takeAge(from, *offer.age);
+        onOfferedAge(from, *offer.age);
     } else if (m_freshness->age(m_loop.now())) {
         m_offers.sendTo(from);
     }
 }
 
-/// Passed on by those to whom it is worth something, so that all hear of it and it ends.
-void DocumentFollower::takeAge(const DaemonId &from, Duration age)
+/// Passes a confirmation on only if it is more recent than this daemon's own by a quarter of the
+/// maximum age, so that it reaches all daemons and the gossip about it ends.
+void DocumentFollower::onOfferedAge(const DaemonId &from, Duration age)
 {
     const TimePoint now = m_loop.now();
-    const Duration worthTelling = m_settings.freshness.maxAge() / 4;
+    const Duration relevantDifference = m_settings.freshness.maxAge() / 4;
     const std::optional<Duration> own = m_freshness->age(now);
-    if (own && age > *own + worthTelling) {
+    if (own && age > *own + relevantDifference) {
         m_offers.sendTo(from);
         return;
     }
     const bool isLater = confirm(now - age);
-    if (isLater && (!own || *own > age + worthTelling)) {
-        m_offers.sendNear(m_settings.nearOffers);
+    if (isLater && (!own || *own > age + relevantDifference)) {
+        m_offers.sendToSameDomain(m_settings.sameDomainOffers);
     }
 }
 
-/// Several offer a new version in the same moment, and a document may be large: only one is asked
-/// at a time. The next one is asked if that one is gone.
-void DocumentFollower::pursue(const DaemonId &from, ConfigurationVersion offered)
+/// Several peers offer a new version at the same time, and a document may be large: only one peer
+/// is asked at a time, and another one if it does not answer.
+void DocumentFollower::onNewerOffer(const DaemonId &from, ConfigurationVersion offered)
 {
     m_offered = std::max(m_offered, offered);
     m_offeredBy = from;
-    if (m_isPatient) {
+    if (m_isAwaitingOffered) {
         return;
     }
-    // A reader gets it from the log in the same moment, unless it cannot read there.
-    if (!isReader() || m_isLogLost) {
+    // A reader receives the version from the log at about the same time, unless the log is
+    // unavailable.
+    if (!isReader() || m_isLogUnavailable) {
         requestFrom(from);
     }
-    waitForOffered();
+    startOfferedTimer();
 }
 
-void DocumentFollower::waitForOffered()
+void DocumentFollower::startOfferedTimer()
 {
-    m_isPatient = true;
-    m_patienceTimer = m_loop.callLater(m_settings.offerPatience, [this] {
-        m_isPatient = false;
+    m_isAwaitingOffered = true;
+    m_offeredTimer = m_loop.callLater(m_settings.offeredVersionTimeout, [this] {
+        m_isAwaitingOffered = false;
         if (m_offered <= version()) {
             return;
         }
         requestFrom(m_offeredBy);
-        // One that this program cannot read would be read from the log again and again.
+        // A document that this program cannot read would be read from the log repeatedly.
         if (m_unreadable.empty()) {
             m_freshness->expire();
-            m_check.wake();
+            m_poller.wake();
         }
     });
 }
@@ -287,8 +289,8 @@
 void DocumentFollower::handle(const DaemonId &from, const DocumentPush &push)
 {
     if (adopt(push.document, from.value().c_str())) {
-        m_offers.sendNear(m_settings.nearOffers);
-        m_offers.sendFar(m_settings.farOffers);
+        m_offers.sendToSameDomain(m_settings.sameDomainOffers);
+        m_offers.sendToOtherDomains(m_settings.otherDomainOffers);
     }
 }
 
@@ -297,21 +299,21 @@
     m_exchange.send(peer, encodeDocumentMessage(DocumentRequest{ version() }));
 }
 
-/// Those who adopt a version tell a few others at random, and by chance nobody may tell this
-/// daemon. Telling somebody again and again brings an answer from whoever knows more. Now and then
-/// it is somebody far: all of a failure domain may be behind.
-void DocumentFollower::offerAgain()
+/// Daemons offer a version that they adopt to a few random peers, which may miss this daemon by
+/// chance. A peer that receives an older offer answers with its newer version. Some offers go to
+/// other failure domains, as a whole domain may lack the version.
+void DocumentFollower::sendPeriodicOffer()
 {
     if (m_freshness->isStale(m_loop.now())) {
-        m_offers.sendNear(m_settings.staleNearOffers);
-        m_offers.sendFar(m_settings.staleFarOffers);
-    } else if (m_random.below(m_settings.offersPerFarOffer) == 0) {
-        m_offers.sendFar(1);
+        m_offers.sendToSameDomain(m_settings.staleSameDomainOffers);
+        m_offers.sendToOtherDomains(m_settings.staleOtherDomainOffers);
+    } else if (m_random.below(m_settings.offersPerOtherDomainOffer) == 0) {
+        m_offers.sendToOtherDomains(1);
     } else {
-        m_offers.sendNear(1);
+        m_offers.sendToSameDomain(1);
     }
-    m_watch.checkDuty();
-    m_offerTimer = m_loop.callLater(untilNextOffer(), [this] { offerAgain(); });
+    m_watch.wakeIfNeeded();
+    m_offerTimer = m_loop.callLater(untilNextOffer(), [this] { sendPeriodicOffer(); });
 }
 
 Duration DocumentFollower::untilNextOffer() const
@@ -326,7 +328,7 @@
 {
     DocumentOffer offer;
     offer.version = version();
-    // What this program cannot read is newer, and others may be able to.
+    // The unreadable version is newer, and other daemons may be able to read it.
     if (m_unreadable.empty()) {
         offer.age = m_freshness->age(m_loop.now());
     }
--- a/src/app/internal/control/documentfollower.h
+++ b/src/app/internal/control/documentfollower.h
@@ -5,8 +5,8 @@
 #include <string>
 
 #include "app/icontrolexchange.h"
-#include "app/internal/control/documentcheck.h"
 #include "app/internal/control/documentoffers.h"
+#include "app/internal/control/documentpoller.h"
 #include "app/internal/control/documentwatch.h"
 #include "app/internal/control/iconfigurationdriver.h"
 #include "coordination/configuration/ifreshness.h"
@@ -20,49 +20,48 @@
 struct DocumentFollowerSettings
 {
     StreamName stream;
-    /// Key under which the newest configuration stands.
+    /// Key of the records that hold the configuration.
     std::string key;
     DaemonId self;
     DomainName domain;
-    /// How current each daemon keeps itself.
+    /// Limits of the age of the last confirmation.
     FreshnessOptions freshness;
-    /// Daemons of each failure domain that wait at the log for news.
+    /// Number of daemons in each failure domain that long-poll the log.
     std::uint32_t readersPerDomain = 2;
-    /// How long one read of a reader waits for news.
-    Duration wait = std::chrono::seconds(5);
-    /// Random peers of the own failure domain that hear at once of a new version, or of how the log
-    /// stood a moment ago.
-    std::uint32_t nearOffers = 3;
-    /// Random peers of other failure domains that hear of a version which a peer brought. Of what
-    /// was read from the log, one in each domain hears.
-    std::uint32_t farOffers = 1;
-    /// Time in which a daemon that hears of a newer version usually gets it from the log, if it is
-    /// a reader, or from the peer that it asked.
-    Duration offerPatience = std::chrono::milliseconds(150);
-    /// How often a random peer hears which version is in force here; one of so many times it is a
-    /// peer of another failure domain.
+    /// Timeout of one long poll of a reader.
+    Duration longPollTimeout = std::chrono::seconds(5);
+    /// Number of random peers in this failure domain that are offered a new version, or a more
+    /// recent confirmation, at once.
+    std::uint32_t sameDomainOffers = 3;
+    /// Number of random peers in other failure domains that are offered a version received from a
+    /// peer. What was read from the log is offered to one peer in each of them.
+    std::uint32_t otherDomainOffers = 1;
+    /// Time after which an offered version that was received neither from the log nor from the peer
+    /// that was asked is requested again.
+    Duration offeredVersionTimeout = std::chrono::milliseconds(150);
+    /// Interval between periodic offers to a random peer.
     Duration offerInterval = std::chrono::milliseconds(500);
-    std::uint32_t offersPerFarOffer = 8;
-    /// The same while neither the log nor a peer told this daemon anything in time, and to how
-    /// many.
+    /// One periodic offer in this many goes to another failure domain.
+    std::uint32_t offersPerOtherDomainOffer = 8;
+    /// Interval and number of periodic offers while the last confirmation is too old.
     Duration staleOfferInterval = std::chrono::milliseconds(150);
-    std::uint32_t staleNearOffers = 2;
-    std::uint32_t staleFarOffers = 1;
+    std::uint32_t staleSameDomainOffers = 2;
+    std::uint32_t staleOtherDomainOffers = 1;
 };
 
-/// The two connections of a follower to the log: a read that waits must not hold up one that does
-/// not.
+/// A follower's two connections to the log: a long poll must not delay an immediate read.
 struct DocumentLogs
 {
-    IKeyedLog &check;
+    IKeyedLog &poll;
     IKeyedLog &watch;
 };
 
-/// Follows a configuration that stands as one document in a keyed stream of the platform.
+/// Follows a configuration that is stored as one document in a keyed stream of the platform.
 ///
-/// A daemon that does not know how the log stood a moment ago reads it. Whoever reads tells others,
-/// who pass it on, so that few read; a daemon that nobody tells reads for itself in time. Readers
-/// in each failure domain wait at the log besides, so that news are usually in force at once.
+/// A daemon reads the log when its last confirmation becomes too old. Each read is passed on by
+/// gossip, so that few daemons read; one that the gossip does not reach reads by itself in time.
+/// Readers in each failure domain also long-poll the log, so that a new version is usually in force
+/// at once.
 class DocumentFollower : public IConfigurationDriver
 {
 public:
@@ -78,26 +77,26 @@
     ConfigurationStatus status() const override;
 
 private:
-    void onCheck(const DocumentRead &read);
+    void onPoll(const DocumentRead &read);
     void onWatch(const DocumentRead &read);
-    bool takePage(const KeyedPage &page);
-    /// Returns whether that is later than what was known.
+    bool applyPage(const KeyedPage &page);
+    /// Returns whether `asOf` is later than the previous confirmation.
     bool confirm(TimePoint asOf);
-    void offerToAllDomains();
+    void sendOffersToAllDomains();
     void onReadFailed(const DocumentRead &read);
     void onReadDone(const DocumentRead &read);
-    void tellContact(bool isLost, Duration took) const;
-    std::optional<Duration> silence() const;
+    void notifyLogContact(bool isLost, Duration took) const;
+    std::optional<Duration> timeSinceAnswer() const;
     bool isReader() const;
     bool adopt(const std::string &document, const char *source);
     void handle(const DaemonId &from, const DocumentOffer &offer);
     void handle(const DaemonId &from, const DocumentRequest &request);
     void handle(const DaemonId &from, const DocumentPush &push);
-    void takeAge(const DaemonId &from, Duration age);
-    void pursue(const DaemonId &from, ConfigurationVersion offered);
-    void waitForOffered();
+    void onOfferedAge(const DaemonId &from, Duration age);
+    void onNewerOffer(const DaemonId &from, ConfigurationVersion offered);
+    void startOfferedTimer();
     void requestFrom(const DaemonId &peer);
-    void offerAgain();
+    void sendPeriodicOffer();
     Duration untilNextOffer() const;
     DocumentOffer makeOffer() const;
     ConfigurationVersion version() const;
@@ -111,21 +110,21 @@
     ConfigurationEvents m_events;
     std::unique_ptr<IFreshness> m_freshness;
     DocumentOffers m_offers;
-    DocumentCheck m_check;
+    DocumentPoller m_poller;
     DocumentWatch m_watch;
 
     ConfigurationPtr m_inForce;
     std::string m_document;
     std::string m_unreadable;
-    bool m_isLogLost = false;
+    bool m_isLogUnavailable = false;
     std::string m_logError;
-    /// When the last read that the log answered ended.
+    /// End of the last read that succeeded.
     std::optional<TimePoint> m_answeredAt;
-    /// The newest version offered here, and by whom.
+    /// The newest version that a peer offered, and the peer of the last offer of a newer version.
     ConfigurationVersion m_offered;
     DaemonId m_offeredBy;
-    bool m_isPatient = false;
-    TimerId m_patienceTimer;
+    bool m_isAwaitingOffered = false;
+    TimerId m_offeredTimer;
     TimerId m_offerTimer;
 };
 
--- a/src/app/internal/control/documentoffers.h
+++ b/src/app/internal/control/documentoffers.h
@@ -10,7 +10,7 @@
 
 namespace ivyspar {
 
-/// Tells random peers which version is in force here, and how current that is.
+/// Offers peers the version that is in force here, with the age of its last confirmation.
 class DocumentOffers
 {
 public:
@@ -21,16 +21,16 @@
                    MakeOffer makeOffer);
 
     void sendTo(const DaemonId &peer);
-    /// To peers of the own failure domain, or to any if it has none.
-    void sendNear(std::uint32_t count);
-    /// To peers of other failure domains.
-    void sendFar(std::uint32_t count);
-    /// To one peer of each other failure domain.
+    /// Sends to random peers of this failure domain, or of any if this one has no other daemon.
+    void sendToSameDomain(std::uint32_t count);
+    /// Sends to random peers of other failure domains.
+    void sendToOtherDomains(std::uint32_t count);
+    /// Sends to one random peer of each other failure domain.
     void sendToEachDomain();
 
 private:
-    std::vector<ControlPeer> peersWhere(bool isNear) const;
-    void sendToSome(std::vector<ControlPeer> peers, std::uint32_t count);
+    std::vector<ControlPeer> selectPeers(bool inSameDomain) const;
+    void sendToRandom(std::vector<ControlPeer> peers, std::uint32_t count);
 
     DomainName m_domain;
     IControlExchange &m_exchange;
--- a/src/app/internal/control/documentcheck.h
+++ b/src/app/internal/control/documentpoller.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// What a read of the log brought.
+/// Result of a read of the log.
 struct DocumentRead
 {
     RetVal<KeyedPage> page;
@@ -16,20 +16,20 @@
     Duration took{ 0 };
 };
 
-/// Reads the log without waiting whenever what this daemon knows of it becomes too old.
-class DocumentCheck
+/// Polls the log, without a long poll, whenever the last confirmation becomes too old.
+class DocumentPoller
 {
 public:
     using OnRead = std::function<void(const DocumentRead &)>;
 
     /// All references outlive the object. `onRead` runs in the fiber and must not suspend.
-    DocumentCheck(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
-                  const IFreshness &freshness, OnRead onRead);
+    DocumentPoller(IEventLoop &loop, IKeyedLog &log, const StreamName &stream,
+                   const IFreshness &freshness, OnRead onRead);
 
     void start();
-    /// Suspends until its fiber has ended.
+    /// Suspends until the fiber has ended.
     void stop();
-    /// What is known became older than it seemed.
+    /// Re-evaluates when the next read is due, after the confirmation was expired.
     void wake() { m_fiber.wake(); }
     KeyedCursor &cursor() { return m_cursor; }
     const KeyedCursor &cursor() const { return m_cursor; }
--- a/src/app/internal/control/memberdirectory.cpp
+++ b/src/app/internal/control/memberdirectory.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Endpoint, space, failure domain.
-std::string textOf(const MembershipSeed &seed)
+/// Format: endpoint, space, failure domain.
+std::string formatSeed(const MembershipSeed &seed)
 {
     return seed.endpoint.text() + ' ' + seed.domain.value();
 }
 
-/// Records without a failure domain are taken too.
+/// The failure domain may be missing.
 RetVal<MembershipSeed> parseSeed(const std::string &text)
 {
     const std::size_t space = text.find(' ');
@@ -31,13 +31,13 @@
 
 MemberDirectory::MemberDirectory(MemberDirectorySettings settings, IEventLoop &loop, IKeyedLog &log,
                                  IRandom &random, Observers observers, OnSeed onSeed,
-                                 OnListed onListed, CountDaemons countDaemons)
+                                 OnDirectorySize onDirectorySize, CountDaemons countDaemons)
     : m_settings(std::move(settings))
     , m_log(log)
     , m_random(random)
     , m_observers(observers)
     , m_onSeed(std::move(onSeed))
-    , m_onListed(std::move(onListed))
+    , m_onDirectorySize(std::move(onDirectorySize))
     , m_countDaemons(std::move(countDaemons))
     , m_fiber(loop)
     , m_cursor(log, m_settings.stream)
@@ -56,69 +56,70 @@
 
 void MemberDirectory::follow()
 {
-    Duration pause = m_settings.retry;
+    Duration pause = m_settings.retryInterval;
     while (!m_fiber.isStopped()) {
         const Ret done = step();
         if (done) {
-            pause = m_settings.retry;
-            m_fiber.pause(drawSharedReadPause(m_settings.readShare, m_countDaemons(), m_random));
+            pause = m_settings.retryInterval;
+            m_fiber.pause(
+                drawSharedReadPause(m_settings.meanReadInterval, m_countDaemons(), m_random));
             continue;
         }
         m_observers.log.debug("member directory: " + done.error().text);
         m_fiber.pause(pause);
-        pause = std::min(2 * pause, m_settings.longestRetry);
+        pause = std::min(2 * pause, m_settings.maxRetryInterval);
     }
 }
 
-/// Reads first: a daemon that starts again at the same place need not write. Reads again after it
-/// wrote: of two daemons that start together, the one that is entered later finds the other.
+/// Reads first: a daemon that restarts at the same endpoint need not write. Reads again after
+/// writing: of two daemons that start together, the one that registers later finds the other.
 Ret MemberDirectory::step()
 {
-    Ret read = readNews();
-    if (!read || m_isEntered) {
+    Ret read = readNewRecords();
+    if (!read || m_isRegistered) {
         return read;
     }
-    Ret entered = enterSelf();
-    return entered ? readNews() : entered;
+    Ret registered = registerSelf();
+    return registered ? readNewRecords() : registered;
 }
 
-Ret MemberDirectory::readNews()
+Ret MemberDirectory::readNewRecords()
 {
     const auto page = m_cursor.read(Duration::zero());
     if (!page) {
         return tl::unexpected<Error>(page.error());
     }
-    takePage(*page);
+    applyPage(*page);
     return {};
 }
 
-/// A log that came back from an older copy may have lost this daemon's record.
-void MemberDirectory::takePage(const KeyedPage &page)
+/// Registers again if the log was restored from an older copy that lacks this daemon's record.
+void MemberDirectory::applyPage(const KeyedPage &page)
 {
-    if (m_cursor.isWhole()) {
-        m_isEntered = false;
+    if (m_cursor.isNewestPerKey()) {
+        m_isRegistered = false;
     }
     for (const KeyedRecord &record : page.records) {
         const RetVal<MembershipSeed> seed = parseSeed(record.value);
         if (!seed) {
             continue;
         }
-        m_listed.insert(record.key);
+        m_listedDaemons.insert(record.key);
         if (record.key == m_settings.self.value()) {
-            m_isEntered = record.value == textOf(m_settings.place);
+            m_isRegistered = record.value == formatSeed(m_settings.selfSeed);
             continue;
         }
         m_onSeed(*seed);
     }
-    m_onListed(m_listed.size());
+    m_onDirectorySize(m_listedDaemons.size());
 }
 
-Ret MemberDirectory::enterSelf()
+Ret MemberDirectory::registerSelf()
 {
-    Ret written = m_log.put(m_settings.stream,
-                            KeyedRecord{ m_settings.self.value(), textOf(m_settings.place) });
+    Ret written = m_log.put(
+        m_settings.stream, KeyedRecord{ m_settings.self.value(), formatSeed(m_settings.selfSeed) });
     if (written) {
-        m_isEntered = true;
+        m_isRegistered = true;
     }
     return written;
 }
--- a/src/app/internal/control/statusdocument.cpp
+++ b/src/app/internal/control/statusdocument.cpp
@@ -59,7 +59,7 @@
                  { "accepted", status.accepted.value() },
                  { "change_id", status.changeId },
                  { "unreadable", status.unreadable },
-                 { "judging", status.isJudging },
+                 { "judging", status.hasLogState },
                  { "follows_log", status.isFastPoller },
                  { "next_offset", status.nextOffset.value() },
                  { "anchor", status.anchor.value() },
@@ -85,13 +85,13 @@
                  { "runs", runs } };
 }
 
-/// A crash makes suspects of all that was under way, and most of them are cleared soon.
+/// Limits the list: a crash makes all requests in flight suspects, most of which are cleared soon.
 Json makeSuspects(const std::vector<SuspectStatus> &suspects)
 {
-    constexpr std::size_t MOST_LISTED = 50;
+    constexpr std::size_t MAX_LISTED = 50;
     Json list = Json::array();
     for (const SuspectStatus &suspect : suspects) {
-        if (list.size() >= MOST_LISTED) {
+        if (list.size() >= MAX_LISTED) {
             break;
         }
         list.push_back(makeSuspect(suspect));
@@ -99,13 +99,13 @@
     return list;
 }
 
-/// Accounts that ask for more than they may have stand first.
+/// Accounts that exceed their limit come first.
 Json makeAccounts(const std::vector<AccountStatus> &accounts)
 {
-    constexpr std::size_t MOST_LISTED = 20;
+    constexpr std::size_t MAX_LISTED = 20;
     Json list = Json::array();
     for (const AccountStatus &each : accounts) {
-        if (list.size() >= MOST_LISTED) {
+        if (list.size() >= MAX_LISTED) {
             break;
         }
         list.push_back({ { "account", each.account.value() },
@@ -148,7 +148,7 @@
     document["calls_in_flight"] = status.traffic.calls;
     document["links"] = status.traffic.links;
     document["caller_connections"] = status.traffic.callerConnections;
-    // Change ids come from the log: a byte that is no UTF-8 must not cost the whole answer.
+    // Change ids come from the log: invalid UTF-8 in one must not fail the whole response.
     return document.dump(2, ' ', false, Json::error_handler_t::replace) + '\n';
 }
 
--- a/src/app/internal/daemon.cpp
+++ b/src/app/internal/daemon.cpp
@@ -239,7 +239,7 @@
             traffic.receiveAccounts(from, payload);
         });
     };
-    port.setListed = [this](std::size_t daemons) {
+    port.setDirectorySize = [this](std::size_t daemons) {
         postToTraffic([daemons](TrafficNode &traffic) { traffic.setDirectorySize(daemons); });
     };
     port.confirm = [this](TimePoint asOf) { m_confirmation.advance(asOf); };
--- a/src/app/tests/controlchanneltest.cpp
+++ b/src/app/tests/controlchanneltest.cpp
@@ -2,7 +2,7 @@
 
 #include <vector>
 
-#include "app/internal/control/countedlog.h"
+#include "app/internal/control/instrumentedlog.h"
 #include "app/tests/mocks/fakekeyedlog.h"
 #include "app/tests/mocks/inlineeventloop.h"
 #include "app/tests/mocks/silentobservers.h"
@@ -52,7 +52,7 @@
                               } };
 };
 
-TEST(ControlChannel, ShortMessagesAreDatagrams)
+TEST(ControlChannel, SendsShortMessagesAsDatagrams)
 {
     m_channel.send(DaemonId("b"), PEER, "ping");
     CHECK_EQUAL(1, m_socket.sent.size());
@@ -64,17 +64,17 @@
     STRCMP_EQUAL("ping", m_received[0].payload.c_str());
 }
 
-// A table of members or a configuration does not fit into a datagram and goes over a link.
-TEST(ControlChannel, LongMessagesGoOverALink)
+// For example member tables and configurations.
+TEST(ControlChannel, SendsLongMessagesOverALink)
 {
     m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES, 'x'));
-    // Fits alone, but not with the name of the sender.
+    // Fits into a datagram by itself, but not together with the sender's id.
     m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES - 1, 'x'));
     CHECK(m_socket.sent.empty());
     CHECK_EQUAL(2, m_byLink.size());
 }
 
-TEST(ControlChannel, WithoutDatagramsAllGoOverLinks)
+TEST(ControlChannel, SendsAllMessagesOverLinksWhenDatagramsAreDisabled)
 {
     m_channel.useLinksOnly();
     m_channel.send(DaemonId("b"), PEER, "ping");
@@ -82,8 +82,8 @@
     CHECK_EQUAL(1, m_byLink.size());
 }
 
-// Anything may arrive at an open port: other programs, other versions, calls outside a link.
-TEST(ControlChannel, WhatIsNoControlMessageIsDropped)
+// Datagrams of other programs or versions, and messages that are only valid on a link.
+TEST(ControlChannel, DropsMalformedDatagrams)
 {
     m_channel.onDatagram("");
     m_channel.onDatagram("\1rubbish");
@@ -96,15 +96,15 @@
     STRCMP_CONTAINS("ivyspar_datagrams_malformed_total 4", m_observers.metrics().text().c_str());
 }
 
-TEST_GROUP(CountedLog){};
+TEST_GROUP(InstrumentedLog){};
 
-TEST(CountedLog, CountsReadsAppendsAndFailures)
+TEST(InstrumentedLog, CountsReadsAppendsAndFailures)
 {
     InlineEventLoop loop;
     SilentObservers observers;
     auto fake = std::make_unique<FakeKeyedLog>(loop);
     FakeKeyedLog &inner = *fake;
-    CountedLog log(std::move(fake), loop, observers.metrics());
+    InstrumentedLog log(std::move(fake), loop, observers.metrics());
     const StreamName stream("s");
     CHECK(log.put(stream, { "k", "v" }).has_value());
     CHECK_EQUAL(1, log.newest(stream)->records.size());
@@ -117,11 +117,11 @@
     STRCMP_CONTAINS("ivyspar_log_appends_total 1", text.c_str());
 }
 
-TEST(CountedLog, TimesReadsThatWait)
+TEST(InstrumentedLog, MeasuresDurationOfLongPolls)
 {
     InlineEventLoop loop;
     SilentObservers observers;
-    CountedLog log(std::make_unique<FakeKeyedLog>(loop), loop, observers.metrics());
+    InstrumentedLog log(std::make_unique<FakeKeyedLog>(loop), loop, observers.metrics());
     CHECK(log.read(StreamName("s"), LogOffset(0), std::chrono::seconds(2)).has_value());
     const std::string text = observers.metrics().text();
     STRCMP_CONTAINS("ivyspar_log_read_duration_seconds_sum 2.0", text.c_str());
--- a/src/app/tests/controlplanetest.cpp
+++ b/src/app/tests/controlplanetest.cpp
@@ -16,40 +16,40 @@
 namespace {
 
 constexpr std::size_t DOMAINS = 6;
-constexpr std::size_t FEW = 30;
-constexpr std::size_t MANY = 300;
+constexpr std::size_t SMALL_DEPLOYMENT = 30;
+constexpr std::size_t LARGE_DEPLOYMENT = 300;
 
-/// What a datagram takes besides the gossip in it: headers, the name of the sender.
+/// Size of a datagram without the gossip in it: headers and the sender's id.
 constexpr std::size_t OVERHEAD_BYTES = 60;
-/// The share of a daemon in the control traffic, in the mean and in any second.
-constexpr std::size_t BYTES_PER_SECOND = 11 * 1024;
-constexpr std::size_t MOST_BYTES_PER_SECOND = 3 * BYTES_PER_SECOND;
+/// Limits of the control traffic of a daemon, on average and in any second.
+constexpr std::size_t MEAN_BYTES_PER_SECOND = 11 * 1024;
+constexpr std::size_t MAX_BYTES_PER_SECOND = 3 * MEAN_BYTES_PER_SECOND;
 
 DomainName domainOf(std::size_t index)
 {
     return DomainName("domain-" + std::to_string(index % DOMAINS));
 }
 
-/// A deployment of daemons that gossip, found by a list of all of them, with what each sends.
-class Gossip
+/// A simulated deployment that gossips, seeded with a list of its daemons; counts the bytes sent.
+class GossipDeployment
 {
 public:
-    explicit Gossip(std::size_t count)
+    explicit GossipDeployment(std::size_t count)
         : m_sent(count)
     {
         m_simulation.onDatagram = [this](std::size_t sender, const MembershipDatagram &datagram) {
-            note(sender, datagram);
+            recordSent(sender, datagram);
         };
         for (std::size_t i = 0; i < count; ++i) {
             m_simulation.start(domainOf(i).value());
-            showList(i, i);
+            addSeeds(i, i);
             m_simulation.run(milliseconds(1));
         }
     }
 
     MembershipSimulation &simulation() { return m_simulation; }
 
-    /// The processes of these daemons end at once and start again.
+    /// Crashes these daemons at once and restarts them a second later.
     void restart(const std::vector<std::size_t> &daemons)
     {
         for (const std::size_t index : daemons) {
@@ -60,32 +60,32 @@
             m_simulation.restart(index, MembershipSimulation::NONE);
         }
         for (const std::size_t index : daemons) {
-            showList(index, m_simulation.size());
+            addSeeds(index, m_simulation.size());
         }
     }
 
-    bool agree() const { return m_simulation.agreeOn(m_sent.size()); }
+    bool hasConverged() const { return m_simulation.agreeOn(m_sent.size()); }
 
-    /// Returns the bytes that each daemon sent to other failure domains, in the mean.
+    /// Returns the mean number of bytes that a daemon sent to other failure domains.
     std::size_t run(Duration time)
     {
-        m_far = 0;
+        m_bytesToOtherDomains = 0;
         for (Duration done{ 0 }; done < time; done += seconds(1)) {
             std::fill(m_sent.begin(), m_sent.end(), 0);
             m_simulation.run(seconds(1));
-            m_mostInASecond = *std::max_element(m_sent.begin(), m_sent.end());
-            m_mostEver = std::max(m_mostEver, m_mostInASecond);
+            m_peakInLastSecond = *std::max_element(m_sent.begin(), m_sent.end());
+            m_peakBytesPerSecond = std::max(m_peakBytesPerSecond, m_peakInLastSecond);
         }
-        return m_far / m_sent.size();
+        return m_bytesToOtherDomains / m_sent.size();
     }
 
-    /// Bytes of the busiest daemon in the busiest second of the last `run`s.
-    std::size_t takeMostInASecond() { return std::exchange(m_mostEver, 0); }
+    /// Returns the most bytes that any daemon sent in a second since the last call.
+    std::size_t takePeakBytesPerSecond() { return std::exchange(m_peakBytesPerSecond, 0); }
 
 private:
-    void showList(std::size_t index, std::size_t entered)
+    void addSeeds(std::size_t index, std::size_t knownDaemons)
     {
-        for (std::size_t other = 0; other < entered; ++other) {
+        for (std::size_t other = 0; other < knownDaemons; ++other) {
             const Member &member = m_simulation.node(other).record;
             const MembershipSeed seed{ member.peerEndpoint, member.domain };
             m_simulation.deliver(
@@ -93,21 +93,21 @@
         }
     }
 
-    void note(std::size_t sender, const MembershipDatagram &datagram)
+    void recordSent(std::size_t sender, const MembershipDatagram &datagram)
     {
         const std::size_t bytes = encodeMembership(datagram.message).size() + OVERHEAD_BYTES;
         const std::size_t owner = m_simulation.ownerOf(datagram.endpoint);
-        const bool isNear =
+        const bool isSameDomain =
             owner != MembershipSimulation::NONE && domainOf(owner) == domainOf(sender);
         m_sent[sender] += bytes;
-        m_far += isNear ? 0 : bytes;
+        m_bytesToOtherDomains += isSameDomain ? 0 : bytes;
     }
 
     MembershipSimulation m_simulation{ 11 };
     std::vector<std::size_t> m_sent;
-    std::size_t m_far = 0;
-    std::size_t m_mostInASecond = 0;
-    std::size_t m_mostEver = 0;
+    std::size_t m_bytesToOtherDomains = 0;
+    std::size_t m_peakInLastSecond = 0;
+    std::size_t m_peakBytesPerSecond = 0;
 };
 
 std::vector<std::size_t> allOf(std::size_t count)
@@ -123,70 +123,69 @@
 
 TEST_GROUP(ControlPlaneGossip){};
 
-// 1. All daemons of a deployment start at once; later a power failure ends all, and they start
-//    again at once.
-// 2. Each has to know all others within seconds: until then callers hear that there is no server.
-// 3. Each took whole tables from any other, and rumours went anywhere, so that a failure domain
-//    sent as much to another as it has pairs of daemons.
-TEST(ControlPlaneGossip, TenTimesTheDaemonsSendNoMoreAcrossFailureDomains)
+// Guards against traffic between failure domains that grows with the number of pairs of daemons
+// when all daemons start at once, for example after a power failure: full tables were exchanged
+// with any daemon, and updates were sent anywhere. All daemons must know each other within seconds,
+// since until then calls fail for lack of a server.
+TEST(ControlPlaneGossip, CrossDomainTrafficPerDaemonDoesNotGrowWithDeploymentSize)
 {
-    Gossip few(FEW);
-    Gossip many(MANY);
-    const std::size_t startOfFew = few.run(seconds(10));
-    const std::size_t startOfMany = many.run(seconds(10));
-    CHECK(few.agree());
-    CHECK(many.agree());
-    CHECK(startOfMany <= startOfFew);
-
-    const std::size_t calmFew = few.run(seconds(60));
-    const std::size_t calmMany = many.run(seconds(60));
-    CHECK(calmMany <= calmFew);
-    CHECK(calmMany <= 60 * BYTES_PER_SECOND);
-
-    few.restart(allOf(FEW));
-    many.restart(allOf(MANY));
-    const std::size_t againFew = few.run(seconds(10));
-    const std::size_t againMany = many.run(seconds(10));
-    CHECK(few.agree());
-    CHECK(many.agree());
-    CHECK(againMany <= againFew);
+    GossipDeployment small(SMALL_DEPLOYMENT);
+    GossipDeployment large(LARGE_DEPLOYMENT);
+    const std::size_t smallAtStart = small.run(seconds(10));
+    const std::size_t largeAtStart = large.run(seconds(10));
+    CHECK(small.hasConverged());
+    CHECK(large.hasConverged());
+    CHECK(largeAtStart <= smallAtStart);
+
+    const std::size_t smallIdle = small.run(seconds(60));
+    const std::size_t largeIdle = large.run(seconds(60));
+    CHECK(largeIdle <= smallIdle);
+    CHECK(largeIdle <= 60 * MEAN_BYTES_PER_SECOND);
+
+    small.restart(allOf(SMALL_DEPLOYMENT));
+    large.restart(allOf(LARGE_DEPLOYMENT));
+    const std::size_t smallAfterRestart = small.run(seconds(10));
+    const std::size_t largeAfterRestart = large.run(seconds(10));
+    CHECK(small.hasConverged());
+    CHECK(large.hasConverged());
+    CHECK(largeAfterRestart <= smallAfterRestart);
 }
 
-TEST(ControlPlaneGossip, NoDaemonSendsMuchInAnySecondAfterTheFirst)
+TEST(ControlPlaneGossip, PeakRatePerDaemonIsBoundedAfterTheFirstSecond)
 {
-    Gossip many(MANY);
-    many.run(seconds(1));
-    many.takeMostInASecond();
-    many.run(seconds(30));
-    CHECK(many.takeMostInASecond() <= MOST_BYTES_PER_SECOND);
-
-    many.restart(allOf(MANY));
-    many.run(seconds(1));
-    many.takeMostInASecond();
-    many.run(seconds(30));
-    CHECK(many.takeMostInASecond() <= MOST_BYTES_PER_SECOND);
+    GossipDeployment large(LARGE_DEPLOYMENT);
+    large.run(seconds(1));
+    large.takePeakBytesPerSecond();
+    large.run(seconds(30));
+    CHECK(large.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
+
+    large.restart(allOf(LARGE_DEPLOYMENT));
+    large.run(seconds(1));
+    large.takePeakBytesPerSecond();
+    large.run(seconds(30));
+    CHECK(large.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 }
 
-// 1. A failure domain of fifty is cut off, and its daemons are taken for dead by all others.
-// 2. It comes back. Both sides find each other again without a flood over the narrow way between.
-TEST(ControlPlaneGossip, AFailureDomainThatReturnsIsKnownSoonAndCheaply)
+// Guards against a failure domain that rejoins too late after a partition in which all others
+// declared its daemons dead, or floods the narrow link between the domains.
+TEST(ControlPlaneGossip, ReconnectedFailureDomainConvergesWithinTrafficBound)
 {
-    Gossip many(MANY);
-    many.run(seconds(10));
-    many.simulation().partition(domainOf(0).value());
-    many.run(seconds(40));
-    CHECK(!many.agree());
-    many.simulation().heal();
-    many.takeMostInASecond();
+    GossipDeployment large(LARGE_DEPLOYMENT);
+    large.run(seconds(10));
+    large.simulation().partition(domainOf(0).value());
+    large.run(seconds(40));
+    CHECK(!large.hasConverged());
+    large.simulation().heal();
+    large.takePeakBytesPerSecond();
     const Duration limit = seconds(30);
-    CHECK(many.simulation().runUntil([&] { return many.agree(); }, limit) < limit);
-    many.run(seconds(10));
-    CHECK(many.takeMostInASecond() <= MOST_BYTES_PER_SECOND);
+    CHECK(large.simulation().runUntil([&] { return large.hasConverged(); }, limit) < limit);
+    large.run(seconds(10));
+    CHECK(large.takePeakBytesPerSecond() <= MAX_BYTES_PER_SECOND);
 }
 
 TEST_GROUP(ControlPlaneLog)
 {
-    std::unique_ptr<SimulatedFollowers> m_all;
+    std::unique_ptr<SimulatedFollowers> m_followers;
 
     void start(std::size_t count, std::uint32_t readersPerDomain)
     {
@@ -194,97 +193,95 @@
         deployment.daemons = count;
         deployment.domains = DOMAINS;
         deployment.readersPerDomain = readersPerDomain;
-        m_all = std::make_unique<SimulatedFollowers>(deployment);
-        m_all->publish(1);
-        m_all->start();
-        CHECK(reaches([this] { return m_all->haveAll(1); }));
-        CHECK(reaches([&] { return m_all->entered() == count; }));
+        m_followers = std::make_unique<SimulatedFollowers>(deployment);
+        m_followers->publish(1);
+        m_followers->start();
+        CHECK(reaches([this] { return m_followers->isInForceEverywhere(1); }));
+        CHECK(reaches([&] { return m_followers->registeredDaemons() == count; }));
     }
     bool reaches(const std::function<bool()> &condition)
     {
         for (Duration waited{ 0 }; waited < seconds(5) && !condition(); waited += milliseconds(1)) {
-            m_all->run(milliseconds(1));
+            m_followers->run(milliseconds(1));
         }
         return condition();
     }
-    /// Calls of the log from a new version until all have it in force.
-    std::size_t readsForAVersion(std::uint64_t version)
+    /// Publishes a version and returns the number of reads until it is in force everywhere.
+    std::size_t readsUntilInForce(std::uint64_t version)
     {
-        const std::size_t before = m_all->reads();
-        m_all->publish(version);
-        CHECK(reaches([&] { return m_all->haveAll(version); }));
-        return m_all->reads() - before;
+        const std::size_t before = m_followers->reads();
+        m_followers->publish(version);
+        CHECK(reaches([&] { return m_followers->isInForceEverywhere(version); }));
+        return m_followers->reads() - before;
     }
-    std::size_t bytesOnTheWay() const
+    std::size_t totalBytesSent() const
     {
-        return m_all->bytes() + m_all->messages() * OVERHEAD_BYTES;
+        return m_followers->bytes() + m_followers->messages() * OVERHEAD_BYTES;
     }
     void teardown() override
     {
-        m_all.reset();
+        m_followers.reset();
     }
 };
 
-// 1. Operators put a new version of the configuration into the platform's log.
-// 2. Each daemon waits there for news, and each reads the new version and waits anew: the log is
-//    asked in proportion to the daemons for each change, and of a small log nothing is left.
-// 3. With readers, all learn of it within a part of a second from a few reads.
-TEST(ControlPlaneLog, AVersionCostsAFewReadsHoweverManyDaemonsThereAre)
+// Guards against one read per daemon for each new version, which overloads a small log. That is the
+// case if each daemon long-polls the log; with a few readers, the others receive it from peers.
+TEST(ControlPlaneLog, ReadsPerVersionStayFarBelowDaemonCount)
 {
-    start(MANY, 2);
+    start(LARGE_DEPLOYMENT, 2);
     std::size_t most = 0;
     for (std::uint64_t version = 2; version < 6; ++version) {
-        most = std::max(most, readsForAVersion(version));
+        most = std::max(most, readsUntilInForce(version));
     }
-    CHECK(most < MANY / 3);
+    CHECK(most < LARGE_DEPLOYMENT / 3);
 }
 
-// The same without any reader: by turns alone.
-TEST(ControlPlaneLog, AllHaveAVersionSoonAlsoWithoutReaders)
+// Without readers, versions are found only by the reads of DocumentPoller.
+TEST(ControlPlaneLog, VersionReachesAllDaemonsWithoutReaders)
 {
-    start(FEW, 0);
-    CHECK(readsForAVersion(2) < FEW);
-    CHECK(readsForAVersion(3) < FEW);
+    start(SMALL_DEPLOYMENT, 0);
+    CHECK(readsUntilInForce(2) < SMALL_DEPLOYMENT);
+    CHECK(readsUntilInForce(3) < SMALL_DEPLOYMENT);
 }
 
-// Guards against reads and messages for currency that grow with the daemons.
-TEST(ControlPlaneLog, ACalmDeploymentReadsLittleHoweverManyDaemonsThereAre)
+// Guards against reads and messages for confirmations that grow with the number of daemons.
+TEST(ControlPlaneLog, IdleReadsAreBoundedInLargeDeployments)
 {
     constexpr std::size_t SECONDS = 20;
-    start(FEW, 2);
-    std::size_t before = m_all->reads();
-    m_all->run(seconds(SECONDS));
-    const std::size_t few = m_all->reads() - before;
-
-    m_all.reset();
-    start(MANY, 2);
-    before = m_all->reads();
-    const std::size_t bytesBefore = bytesOnTheWay();
-    m_all->run(seconds(SECONDS));
-    CHECK(m_all->reads() - before <= 3 * few);
-    CHECK(bytesOnTheWay() - bytesBefore <= MANY * SECONDS * BYTES_PER_SECOND);
+    start(SMALL_DEPLOYMENT, 2);
+    std::size_t before = m_followers->reads();
+    m_followers->run(seconds(SECONDS));
+    const std::size_t smallReads = m_followers->reads() - before;
+
+    m_followers.reset();
+    start(LARGE_DEPLOYMENT, 2);
+    before = m_followers->reads();
+    const std::size_t bytesBefore = totalBytesSent();
+    m_followers->run(seconds(SECONDS));
+    CHECK(m_followers->reads() - before <= 3 * smallReads);
+    CHECK(totalBytesSent() - bytesBefore <= LARGE_DEPLOYMENT * SECONDS * MEAN_BYTES_PER_SECOND);
 }
 
-// Guards against daemons that press a log which turns all of them away: what they tell each other
-// is old, and must not make them read at once.
-TEST(ControlPlaneLog, ALogThatTurnsAllAwayIsNotPressed)
+// Guards against overload of a log that refuses all daemons: the confirmations that they exchange
+// are old, and must not trigger reads at once.
+TEST(ControlPlaneLog, ReadRateIsBoundedWhenLogRefusesAllDaemons)
 {
     constexpr std::size_t SECONDS = 8;
-    // What the log serves, and the size of the aim.
+    // Capacity of the log, and the size of the target deployment.
     constexpr std::size_t READS_PER_SECOND = 2000;
     constexpr std::size_t DAEMONS = 790;
-    start(FEW, 2);
-    m_all->setServiceForAll(SimulatedLog::Service::Refuses);
-    m_all->run(seconds(2));
-    const std::size_t before = m_all->reads();
-    m_all->run(seconds(SECONDS));
-    const std::size_t reads = m_all->reads() - before;
-    CHECK(reads * DAEMONS <= FEW * SECONDS * READS_PER_SECOND);
+    start(SMALL_DEPLOYMENT, 2);
+    m_followers->setServiceForAll(SimulatedLog::Service::Refuses);
+    m_followers->run(seconds(2));
+    const std::size_t before = m_followers->reads();
+    m_followers->run(seconds(SECONDS));
+    const std::size_t reads = m_followers->reads() - before;
+    CHECK(reads * DAEMONS <= SMALL_DEPLOYMENT * SECONDS * READS_PER_SECOND);
 }
 
-// Each reads the list, enters itself and reads once more, and reads the configuration.
-TEST(ControlPlaneLog, AStartCostsAFewReadsOfEachDaemon)
+// Each daemon reads the directory, registers, reads it again, and reads the configuration.
+TEST(ControlPlaneLog, StartTakesAFewReadsPerDaemon)
 {
-    start(MANY, 2);
-    CHECK(m_all->reads() <= 5 * MANY);
+    start(LARGE_DEPLOYMENT, 2);
+    CHECK(m_followers->reads() <= 5 * LARGE_DEPLOYMENT);
 }
--- a/src/app/tests/documentfollowertest.cpp
+++ b/src/app/tests/documentfollowertest.cpp
@@ -42,7 +42,7 @@
     settings.stream = STREAM;
     settings.key = "newest";
     settings.freshness.baseRetryInterval = std::chrono::milliseconds(1);
-    settings.offerPatience = std::chrono::milliseconds(1);
+    settings.offeredVersionTimeout = std::chrono::milliseconds(1);
     settings.offerInterval = std::chrono::hours(1);
     return settings;
 }
@@ -62,8 +62,8 @@
     std::vector<LogContact> m_contacts;
     std::unique_ptr<DocumentFollower> m_follower;
 
-    /// So many others in the failure domain that this daemon is no reader.
-    void crowd()
+    /// Adds enough peers in the failure domain that this daemon is not a reader.
+    void makeNonReader()
     {
         m_settings.self = DaemonId("self");
         m_settings.domain = DomainName("here");
@@ -101,7 +101,7 @@
     }
 };
 
-TEST(DocumentFollower, TakesTheNewestAndThenEachThatComes)
+TEST(DocumentFollower, AppliesTheNewestDocumentAndEachLaterOne)
 {
     m_log.write(STREAM, "other", "99");
     m_log.write(STREAM, "newest", "7");
@@ -113,11 +113,10 @@
     CHECK_EQUAL(9, m_versions[1]);
 }
 
-// 1. A new version is out, but this daemon's connection to the log is silent, and none of those who
-//    adopted the version happened to tell it.
-// 2. It tells a peer which version it has, again and again. One that knows a newer one says so.
-// 3. Without that it would answer callers by the old version until its read is given up.
-TEST(DocumentFollower, SaysAgainAndAgainWhichVersionIsInForceHere)
+// Guards against an old version that stays in force until the read times out, when the connection
+// to the log went silent and no peer happened to offer the new version. A peer answers a periodic
+// offer of an older version with its newer one.
+TEST(DocumentFollower, OffersItsVersionPeriodically)
 {
     m_settings.offerInterval = std::chrono::milliseconds(5);
     m_log.write(STREAM, "newest", "7");
@@ -133,7 +132,7 @@
     CHECK(m_runner.reaches([&] { return offers() > 5; }));
 }
 
-TEST(DocumentFollower, WhoOffersAnOlderVersionHearsOfTheNewerOne)
+TEST(DocumentFollower, AnswersAnOlderOfferWithItsNewerVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -150,16 +149,15 @@
     });
 }
 
-// 1. The log has forgotten the records after the place where the daemon stopped.
-// 2. The newest document stands all the same. A daemon that waited for the lost ones would go on
-//    under its old configuration for ever.
-TEST(DocumentFollower, ALogThatForgotItsHistoryIsReadAnew)
+// Guards against an old configuration that stays in force for ever when the log truncated the
+// records after the daemon's position. The newest document is still in the log.
+TEST(DocumentFollower, ReadsNewestRecordsAfterLogTruncation)
 {
     m_log.write(STREAM, "newest", "7");
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
     m_runner.run([this] {
-        m_log.isForgetful = true;
+        m_log.isTruncated = true;
         m_log.write(STREAM, "newest", "8");
         m_log.cancel();
     });
@@ -167,9 +165,8 @@
     CHECK_EQUAL(8, m_versions[1]);
 }
 
-// 1. The platform turns this daemon away, and serves others.
-// 2. It asks a peer, and takes what the peer pushes.
-TEST(DocumentFollower, ADaemonThatIsTurnedAwayFollowsItsPeers)
+// The platform refuses this daemon and serves others: it requests the document from a peer.
+TEST(DocumentFollower, FollowsPeersWhenTheLogRefusesIt)
 {
     m_log.isDown = true;
     start();
@@ -182,7 +179,7 @@
     CHECK_EQUAL(12, m_versions.at(0));
 }
 
-TEST(DocumentFollower, TellsWhenTheLogIsLostAndRegained)
+TEST(DocumentFollower, ReportsLossAndRecoveryOfTheLog)
 {
     m_log.isDown = true;
     start();
@@ -198,7 +195,7 @@
     STRCMP_EQUAL("log", m_origins.at(0).source.c_str());
 }
 
-TEST(DocumentFollower, NeverGoesBack)
+TEST(DocumentFollower, NeverRevertsToAnOlderVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -210,9 +207,9 @@
     CHECK_EQUAL(1, m_versions.size());
 }
 
-// Guards against a change that is never seen, as it got an offset that was read before the log came
-// back from an older copy, and against going back to what that copy holds.
-TEST(DocumentFollower, ALogThatComesBackOlderIsReadAnew)
+// Guards against a missed change whose offset was already read before the log was restored from an
+// older copy, and against a return to the version in that copy.
+TEST(DocumentFollower, ReadsNewestRecordsAfterLogIsRestoredFromOlderCopy)
 {
     for (const char *version : { "3", "4", "5" }) {
         m_log.write(STREAM, "newest", version);
@@ -220,7 +217,7 @@
     start();
     CHECK(m_runner.reaches([this] { return m_versions == std::vector<std::uint64_t>{ 5 }; }));
     m_runner.run([this] {
-        m_log.goBack(STREAM, 2);
+        m_log.restoreOlderCopy(STREAM, 2);
         m_log.write(STREAM, "newest", "6");
         for (int i = 0; i < 3; ++i) {
             m_log.write(STREAM, "other", "1");
@@ -230,15 +227,15 @@
     CHECK((m_versions == std::vector<std::uint64_t>{ 5, 6 }));
 }
 
-// The newest change is written again only later.
-TEST(DocumentFollower, WhatIsInForceOutlivesALogThatComesBackOlder)
+// The newest change is written again some time after the restore.
+TEST(DocumentFollower, KeepsVersionInForceWhenLogIsRestoredFromOlderCopy)
 {
     m_log.write(STREAM, "newest", "3");
     m_log.write(STREAM, "newest", "5");
     start();
     CHECK(m_runner.reaches([this] { return m_versions == std::vector<std::uint64_t>{ 5 }; }));
     m_runner.run([this] {
-        m_log.goBack(STREAM, 1);
+        m_log.restoreOlderCopy(STREAM, 1);
         m_runner.loop().sleepFor(std::chrono::milliseconds(20));
         m_log.write(STREAM, "newest", "5");
         m_log.write(STREAM, "newest", "6");
@@ -247,7 +244,7 @@
     CHECK((m_versions == std::vector<std::uint64_t>{ 5, 6 }));
 }
 
-TEST(DocumentFollower, AnswersAPeerThatIsBehind)
+TEST(DocumentFollower, PushesDocumentToAPeerWithAnOlderVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -263,13 +260,11 @@
     STRCMP_EQUAL("7", std::get<DocumentPush>(m_exchange.sent[0]).document.c_str());
 }
 
-// 1. There are enough others in the failure domain to follow the log.
-// 2. This daemon reads once, at its start, and then hears of versions from them, and asks who
-// offers.
-// 3. With each daemon reading for itself, a new version would cost the log a read of each.
-TEST(DocumentFollower, ADaemonThatIsNoReaderHearsFromOthers)
+// Guards against one read per daemon for each new version. With enough readers in the failure
+// domain, this daemon reads only at its start and then requests the versions that peers offer.
+TEST(DocumentFollower, NonReaderLearnsOfVersionsFromPeers)
 {
-    crowd();
+    makeNonReader();
     m_log.write(STREAM, "newest", "7");
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
@@ -289,10 +284,10 @@
 }
 
 // Guards against an old version that stays in force when all readers are gone, cut off from the log
-// or turned away by it in the same moment.
-TEST(DocumentFollower, ADaemonThatNobodyTellsReadsForItself)
+// or refused by it at the same time.
+TEST(DocumentFollower, NonReaderReadsLogWhenNoPeerConfirms)
 {
-    crowd();
+    makeNonReader();
     m_settings.freshness.applyWithin = std::chrono::milliseconds(4);
     m_log.write(STREAM, "newest", "7");
     start();
@@ -306,11 +301,11 @@
     CHECK(std::holds_alternative<DocumentOffer>(m_exchange.sent.at(0)));
 }
 
-// 1. The readers of the failure domain end, and membership takes them for dead.
-// 2. This daemon is a reader now. Its next turn would come after minutes: it must not wait for it.
-TEST(DocumentFollower, ADaemonThatBecomesAReaderStartsAtOnce)
+// When the readers of the failure domain are dead, this daemon becomes a reader. It must not wait
+// for its next scheduled read, which may be minutes away.
+TEST(DocumentFollower, StartsLongPollAtOnceWhenItBecomesAReader)
 {
-    crowd();
+    makeNonReader();
     m_settings.offerInterval = std::chrono::milliseconds(5);
     m_log.write(STREAM, "newest", "7");
     start();
@@ -322,11 +317,11 @@
     CHECK(m_runner.reaches([this] { return m_versions.size() == 2; }));
 }
 
-// 1. A peer offers a new version, and ends before it answers the request.
-// 2. Another one offered it in the same moment, and is asked a little later.
-TEST(DocumentFollower, AnotherIsAskedWhenThePeerThatWasAskedIsGone)
+// A peer offers a new version and ends before it answers the request; another peer that offered the
+// version is asked after a timeout.
+TEST(DocumentFollower, RequestsFromAnotherPeerWhenTheFirstDoesNotAnswer)
 {
-    crowd();
+    makeNonReader();
     m_log.write(STREAM, "newest", "7");
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
@@ -341,7 +336,7 @@
     STRCMP_EQUAL("other", m_exchange.receivers[1].value().c_str());
 }
 
-TEST(DocumentFollower, MostOffersStayInTheFailureDomain)
+TEST(DocumentFollower, SendsMostOffersWithinTheFailureDomain)
 {
     m_settings.offerInterval = std::chrono::milliseconds(1);
     m_settings.domain = DomainName("here");
@@ -355,9 +350,9 @@
     CHECK(far < static_cast<std::ptrdiff_t>(m_exchange.receivers.size() / 4));
 }
 
-// Guards against a daemon that cannot read the newest document and tells others that theirs is the
-// newest.
-TEST(DocumentFollower, WhoCannotReadTheNewestVouchesForNothing)
+// Guards against a daemon that cannot read the newest document and confirms an older version as the
+// newest to its peers.
+TEST(DocumentFollower, OffersNoAgeWhenTheNewestDocumentIsUnreadable)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -375,10 +370,10 @@
     CHECK_FALSE(answer.age.has_value());
 }
 
-// Guards against a log that answers at once and is read again and again.
-TEST(DocumentFollower, ALogThatHoldsNoAnswerBackIsNotFlooded)
+// Guards against continuous reads of a log that answers long polls at once.
+TEST(DocumentFollower, LimitsReadRateWhenLogDoesNotHoldReads)
 {
-    m_log.holdsBack = false;
+    m_log.supportsLongPoll = false;
     m_log.write(STREAM, "newest", "7");
     start();
     CHECK(m_runner.reaches([this] { return !m_versions.empty(); }));
@@ -390,8 +385,9 @@
     CHECK(reads < 10);
 }
 
-// A configuration read that went silent must not leave the daemon behind when others know better.
-TEST(DocumentFollower, ADaemonThatHearsOfANewerVersionAsksForIt)
+// Guards against an old version that stays in force during a silent read although peers offer a
+// newer one.
+TEST(DocumentFollower, RequestsAnOfferedNewerVersion)
 {
     m_log.write(STREAM, "newest", "7");
     start();
@@ -412,9 +408,9 @@
     SilentObservers m_observers;
     SeededRandom m_random{ 4 };
     std::vector<std::string> m_found;
-    std::size_t m_listed = 0;
-    Duration m_readShare = std::chrono::milliseconds(1);
-    std::size_t m_readsMeanwhile = 0;
+    std::size_t m_directorySize = 0;
+    Duration m_meanReadInterval = std::chrono::milliseconds(1);
+    std::size_t m_readsDuringRegistrations = 0;
     std::unique_ptr<MemberDirectory> m_directory;
 
     void start()
@@ -423,12 +419,13 @@
             MemberDirectorySettings settings;
             settings.stream = STREAM;
             settings.self = DaemonId("a");
-            settings.place = { Endpoint{ "10.0.0.1", 7000 }, DomainName("here") };
-            settings.readShare = m_readShare;
+            settings.selfSeed = { Endpoint{ "10.0.0.1", 7000 }, DomainName("here") };
+            settings.meanReadInterval = m_meanReadInterval;
             m_directory = std::make_unique<MemberDirectory>(
                 settings, m_runner.loop(), m_log, m_random, m_observers.observers(),
                 [this](const MembershipSeed &seed) { m_found.push_back(seed.endpoint.text()); },
-                [this](std::size_t daemons) { m_listed = daemons; }, [] { return std::size_t(1); });
+                [this](std::size_t daemons) { m_directorySize = daemons; },
+                [] { return std::size_t(1); });
             m_directory->start();
         });
     }
@@ -441,7 +438,7 @@
     }
 };
 
-TEST(MemberDirectory, EntersItselfAndFindsTheOthers)
+TEST(MemberDirectory, RegistersItselfAndFindsOtherDaemons)
 {
     m_log.write(STREAM, "b", "10.0.0.2:7000");
     m_log.write(STREAM, "c", "not an endpoint");
@@ -449,28 +446,26 @@
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 3; }));
     m_runner.run([this] { m_log.write(STREAM, "d", "10.0.0.4:7000"); });
     CHECK(m_runner.reaches([this] { return m_found.size() == 2; }));
-    CHECK_COMPARE(m_listed, >=, 2);
+    CHECK_COMPARE(m_directorySize, >=, 2);
     STRCMP_EQUAL("10.0.0.2:7000", m_found[0].c_str());
     STRCMP_EQUAL("10.0.0.4:7000", m_found[1].c_str());
 }
 
-// 1. Two daemons start together. One reads before the other is entered, and finds nobody.
-// 2. Whoever is entered later reads once more, and finds the other.
-// 3. Without that read neither would know of the other until its next turn to read.
-TEST(MemberDirectory, ReadsOnceMoreAfterItIsEntered)
+// Two daemons start together, and one reads before the other is registered. Without a read after
+// the registration, neither would find the other before its next scheduled read.
+TEST(MemberDirectory, ReadsAgainAfterRegistration)
 {
-    m_readShare = std::chrono::hours(1);
+    m_meanReadInterval = std::chrono::hours(1);
     m_log.onPut = [this] { m_log.write(STREAM, "b", "10.0.0.2:7000"); };
     start();
     CHECK(m_runner.reaches([this] { return m_found.size() == 1; }));
 }
 
-// 1. Hundreds of daemons start, and each enters itself.
-// 2. One that was there before reads at its next turn and not for each of them: with a read for
-//    each, the start would cost the square of their number.
-TEST(MemberDirectory, DoesNotReadForEachThatIsEntered)
+// Guards against a read by each daemon for each registration: the number of reads at a start of all
+// would be quadratic in the number of daemons.
+TEST(MemberDirectory, DoesNotReadOnEachRegistration)
 {
-    m_readShare = std::chrono::hours(1);
+    m_meanReadInterval = std::chrono::hours(1);
     start();
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
     m_runner.run([this] {
@@ -479,23 +474,23 @@
             m_log.write(STREAM, "daemon-" + std::to_string(i), "10.0.0.2:7000");
             m_runner.loop().sleepFor(std::chrono::microseconds(100));
         }
-        m_readsMeanwhile = m_log.reads - before;
+        m_readsDuringRegistrations = m_log.reads - before;
     });
-    CHECK(m_readsMeanwhile <= 1);
+    CHECK(m_readsDuringRegistrations <= 1);
 }
 
-// Guards against a daemon that nobody finds any more, as the log lost its record.
-TEST(MemberDirectory, ADaemonWhoseRecordIsLostEntersItselfAgain)
+// Guards against a daemon that others cannot find because the log lost its record.
+TEST(MemberDirectory, RegistersAgainWhenItsRecordIsLost)
 {
-    m_readShare = std::chrono::milliseconds(2);
+    m_meanReadInterval = std::chrono::milliseconds(2);
     start();
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
-    m_runner.run([this] { m_log.goBack(STREAM, 1); });
+    m_runner.run([this] { m_log.restoreOlderCopy(STREAM, 1); });
     CHECK(m_runner.reaches([this] { return m_log.writes(STREAM) == 1; }));
 }
 
-// When hundreds of daemons start again at once, none of them writes what stands there already.
-TEST(MemberDirectory, ADaemonThatStandsThereDoesNotWrite)
+// Guards against hundreds of unnecessary writes when all daemons restart at once.
+TEST(MemberDirectory, DoesNotWriteWhenAlreadyRegistered)
 {
     m_log.write(STREAM, "a", "10.0.0.1:7000 here");
     start();
--- a/src/app/tests/mocks/fakekeyedlog.h
+++ b/src/app/tests/mocks/fakekeyedlog.h
@@ -10,7 +10,7 @@
 
 namespace ivyspar {
 
-/// Keyed streams in memory. Used on the loop's thread, or before anything runs there.
+/// Keyed streams in memory. To be used on the loop's thread, or before the loop runs anything.
 class FakeKeyedLog : public IKeyedLog
 {
 public:
@@ -19,13 +19,13 @@
     {
     }
 
-    /// Answers nothing but errors.
+    /// All reads fail.
     bool isDown = false;
-    /// The next read finds its records forgotten.
-    bool isForgetful = false;
-    /// Reads wait for news.
-    bool holdsBack = true;
-    /// Calls of `newest` and `read`.
+    /// The next `read` fails because its records were truncated.
+    bool isTruncated = false;
+    /// `read` waits for new records.
+    bool supportsLongPoll = true;
+    /// Number of calls of `newest` and `read`.
     std::size_t reads = 0;
     /// Runs after each record that is put.
     std::function<void()> onPut;
@@ -34,8 +34,8 @@
     {
         m_streams[stream].push_back({ key, value });
     }
-    /// Comes back from a copy that lacks the last records of the stream.
-    void goBack(const StreamName &stream, std::size_t records)
+    /// Restores a copy that lacks the last `records` records of the stream, in a new era.
+    void restoreOlderCopy(const StreamName &stream, std::size_t records)
     {
         m_streams[stream].resize(m_streams[stream].size() - records);
         m_era = LogEra(m_era.value() + 1);
@@ -65,13 +65,13 @@
     {
         ++reads;
         const std::uint64_t calls = m_cancels;
-        const TimePoint end = m_loop.now() + (holdsBack ? wait : Duration::zero());
+        const TimePoint end = m_loop.now() + (supportsLongPoll ? wait : Duration::zero());
         while (m_streams[stream].size() <= from.value() && m_loop.now() < end
                && calls == m_cancels) {
             m_loop.sleepFor(std::chrono::milliseconds(1));
         }
-        if (isForgetful) {
-            isForgetful = false;
+        if (isTruncated) {
+            isTruncated = false;
             return makeError(ErrorCode::NotFound, "forgotten");
         }
         if (calls != m_cancels) {
--- a/src/app/tests/mocks/simulatedfollowers.h
+++ b/src/app/tests/mocks/simulatedfollowers.h
@@ -23,12 +23,12 @@
     std::size_t domains = 3;
     std::uint64_t seed = 1;
     std::uint32_t readersPerDomain = 2;
-    /// Of 100 messages between daemons, so many are lost.
-    std::uint64_t lostMessages = 1;
+    /// Share of the messages between daemons that are lost.
+    std::uint64_t lossPercent = 1;
 };
 
-/// The daemons of a deployment that follow one configuration, in one simulated loop, with a network
-/// between them that loses messages and can be cut.
+/// The daemons of a deployment that follow one configuration, in one simulated loop. The network
+/// between them loses messages and can be partitioned.
 class SimulatedFollowers
 {
 public:
@@ -72,14 +72,15 @@
         m_published[version] = m_loop.now();
     }
     const std::map<std::uint64_t, TimePoint> &published() const { return m_published; }
-    /// When daemon `index` had `version` or a newer one in force.
+    /// Time when `version` or a newer one came into force at daemon `index`; the maximum if none
+    /// did.
     TimePoint inForceSince(std::size_t index, std::uint64_t version) const
     {
         const auto &history = m_hosts[index]->history;
         const auto found = history.lower_bound(version);
         return found == history.end() ? TimePoint::max() : found->second;
     }
-    bool haveAll(std::uint64_t version) const
+    bool isInForceEverywhere(std::uint64_t version) const
     {
         for (std::size_t i = 0; i < size(); ++i) {
             if (inForceSince(i, version) == TimePoint::max()) {
@@ -93,7 +94,7 @@
     {
         m_hosts[index]->setService(service);
     }
-    /// The daemon's connections to the log go silent for good; new ones are served.
+    /// The daemon's connections to the log go silent; later ones are served.
     void loseConnections(std::size_t index)
     {
         m_hosts[index]->log.loseConnection();
@@ -106,13 +107,13 @@
         }
     }
     /// Messages between this failure domain and the others are lost.
-    void cut(std::size_t domain) { m_cutDomains.insert(domain); }
-    void mend() { m_cutDomains.clear(); }
+    void partition(std::size_t domain) { m_partitionedDomains.insert(domain); }
+    void heal() { m_partitionedDomains.clear(); }
     std::size_t domainOf(std::size_t index) const { return index % m_deployment.domains; }
 
-    /// Of the configuration and of the list of members.
+    /// Number of reads of the configuration stream and of the member directory.
     std::size_t reads() const { return m_stream.reads + m_directory.reads; }
-    std::size_t entered() const { return m_directory.records.size(); }
+    std::size_t registeredDaemons() const { return m_directory.records.size(); }
     std::size_t messages() const { return m_messages; }
     std::size_t bytes() const { return m_bytes; }
 
@@ -152,8 +153,8 @@
             MemberDirectorySettings settings;
             settings.stream = StreamName("members");
             settings.self = idOf(self);
-            settings.place = { Endpoint{ "10.0.0.1", static_cast<std::uint16_t>(self + 1) },
-                               nameOf(owner.domainOf(self)) };
+            settings.selfSeed = { Endpoint{ "10.0.0.1", static_cast<std::uint16_t>(self + 1) },
+                                  nameOf(owner.domainOf(self)) };
             directory = std::make_unique<MemberDirectory>(
                 settings, owner.m_loop, directoryLog, random, owner.m_observers.observers(),
                 [](const MembershipSeed & /*seed*/) {}, [](std::size_t /*daemons*/) {},
@@ -216,7 +217,7 @@
         ++m_messages;
         m_bytes += payload.size();
         const std::size_t target = indexOf(to);
-        if (isCut(from, target) || m_random.below(HUNDRED) < m_deployment.lostMessages) {
+        if (isPartitioned(from, target) || m_random.below(HUNDRED) < m_deployment.lossPercent) {
             return;
         }
         m_loop.callLater(DELAY, [this, from, target, payload = std::move(payload)] {
@@ -224,11 +225,12 @@
         });
     }
 
-    bool isCut(std::size_t from, std::size_t to) const
+    bool isPartitioned(std::size_t from, std::size_t to) const
     {
-        const std::size_t here = domainOf(from);
-        const std::size_t there = domainOf(to);
-        return here != there && m_cutDomains.count(here) + m_cutDomains.count(there) > 0;
+        const std::size_t fromDomain = domainOf(from);
+        const std::size_t toDomain = domainOf(to);
+        return fromDomain != toDomain
+            && m_partitionedDomains.count(fromDomain) + m_partitionedDomains.count(toDomain) > 0;
     }
 
     SimulatedDeployment m_deployment;
@@ -239,7 +241,7 @@
     SilentObservers m_observers;
     std::vector<std::unique_ptr<Host>> m_hosts;
     std::map<std::uint64_t, TimePoint> m_published;
-    std::set<std::size_t> m_cutDomains;
+    std::set<std::size_t> m_partitionedDomains;
     std::size_t m_messages = 0;
     std::size_t m_bytes = 0;
 };
