--- a/src/app/internal/control/controlchannel.cpp
+++ b/src/app/internal/control/controlchannel.cpp
@@ -45,14 +45,14 @@
 /// False where a link has to carry the payload.
 bool ControlChannel::sendDatagram(const Endpoint &endpoint, const std::string &payload)
 {
-    if (m_hasLinksOnly || payload.size() >= IDatagramSocket::MOST_BYTES) {
+    if (m_hasLinksOnly || payload.size() >= IDatagramSocket::MAX_PAYLOAD_BYTES) {
         return false;
     }
     ControlMessage message;
     message.from = m_self;
     message.payload = payload;
     const std::string datagram = DATAGRAM_VERSION + m_codec.encode(PeerMessage(message));
-    if (datagram.size() > IDatagramSocket::MOST_BYTES) {
+    if (datagram.size() > IDatagramSocket::MAX_PAYLOAD_BYTES) {
         return false;
     }
     // Where it cannot be sent now it is lost, as on the way: a link would not get through either.
--- a/src/app/tests/controlchanneltest.cpp
+++ b/src/app/tests/controlchanneltest.cpp
@@ -67,9 +67,9 @@
 // A table of members or a configuration does not fit into a datagram and goes over a link.
 TEST(ControlChannel, LongMessagesGoOverALink)
 {
-    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES, 'x'));
+    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MAX_PAYLOAD_BYTES, 'x'));
     // Fits alone, but not with the name of the sender.
-    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES - 1, 'x'));
+    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MAX_PAYLOAD_BYTES - 1, 'x'));
     CHECK(m_socket.sent.empty());
     CHECK_EQUAL(2, m_byLink.size());
 }
--- a/src/transport/idatagramsocket.h
+++ b/src/transport/idatagramsocket.h
@@ -23,14 +23,14 @@
 {
 public:
     /// Payloads up to this size cross every network whole.
-    static constexpr std::size_t MOST_BYTES = 1200;
+    static constexpr std::size_t MAX_PAYLOAD_BYTES = 1200;
 
     virtual ~IDatagramSocket() = default;
 
     virtual void setHandler(IDatagramHandler *handler) = 0;
     virtual Ret listen(const Endpoint &endpoint) = 0;
-    /// Does not suspend. `InvalidArgument` for a payload over `MOST_BYTES`; an error is proof that
-    /// nothing was sent.
+    /// Does not suspend. `InvalidArgument` for a payload over `MAX_PAYLOAD_BYTES`; an error is
+    /// proof that nothing was sent.
     virtual Ret send(const Endpoint &to, const std::string &payload) = 0;
 };
 
--- a/src/transport/internal/datagramsocket.cpp
+++ b/src/transport/internal/datagramsocket.cpp
@@ -61,7 +61,7 @@
 
 Ret DatagramSocket::send(const Endpoint &to, const std::string &payload)
 {
-    if (payload.size() > MOST_BYTES) {
+    if (payload.size() > MAX_PAYLOAD_BYTES) {
         return makeError(ErrorCode::InvalidArgument, "too long for a datagram");
     }
     const auto target = toUdpEndpoint(to);
@@ -104,7 +104,7 @@
     if (error) {
         return error == boost::asio::error::connection_refused;
     }
-    if (size <= MOST_BYTES && m_handler != nullptr) {
+    if (size <= MAX_PAYLOAD_BYTES && m_handler != nullptr) {
         m_handler->onDatagram(std::string(m_buffer.data(), size));
     }
     return true;
--- a/src/transport/internal/datagramsocket.h
+++ b/src/transport/internal/datagramsocket.h
@@ -29,7 +29,7 @@
     boost::asio::ip::udp::socket m_socket;
     IDatagramHandler *m_handler = nullptr;
     /// One byte more than a payload may have: a longer one is recognised by filling it.
-    std::array<char, MOST_BYTES + 1> m_buffer{};
+    std::array<char, MAX_PAYLOAD_BYTES + 1> m_buffer{};
     /// Ends what an event does that comes after the destruction.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
--- a/src/transport/tests/datagramsockettest.cpp
+++ b/src/transport/tests/datagramsockettest.cpp
@@ -67,15 +67,15 @@
 {
     const std::string bytes("\0\n\xff", 3);
     CHECK(send(bytes).has_value());
-    CHECK(send(std::string(IDatagramSocket::MOST_BYTES, 'x')).has_value());
+    CHECK(send(std::string(IDatagramSocket::MAX_PAYLOAD_BYTES, 'x')).has_value());
     CHECK(m_runner.reaches([this] { return m_collector.payloads.size() == 2; }));
     CHECK(m_collector.payloads[0] == bytes);
-    CHECK_EQUAL(IDatagramSocket::MOST_BYTES, m_collector.payloads[1].size());
+    CHECK_EQUAL(IDatagramSocket::MAX_PAYLOAD_BYTES, m_collector.payloads[1].size());
 }
 
 TEST(DatagramSocket, RefusesWhatIsTooLong)
 {
-    const Ret sent = send(std::string(IDatagramSocket::MOST_BYTES + 1, 'x'));
+    const Ret sent = send(std::string(IDatagramSocket::MAX_PAYLOAD_BYTES + 1, 'x'));
     CHECK(!sent);
     CHECK(sent.error().code == ErrorCode::InvalidArgument);
 }
