--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -28,7 +28,7 @@
     limits.echoHeader = dialect.echoHeader();
     // A server that repeats the request's id in each answer can also be told from the rest of an
     // answer to somebody else.
-    limits.takesUnframedAnswers = !limits.echoHeader.empty();
+    limits.acceptsUnframedResponses = !limits.echoHeader.empty();
     limits.bodyBytes = settings.limits.bodyBytes;
     return limits;
 }
--- a/src/transport/ihttpclient.h
+++ b/src/transport/ihttpclient.h
@@ -64,7 +64,7 @@
     std::string echoHeader;
     /// Takes an answer without length that ends with its connection; without it such an answer is
     /// broken, as its sender may have died in the middle.
-    bool takesUnframedAnswers = false;
+    bool acceptsUnframedResponses = false;
     /// An unused connection is closed after this time.
     Duration idleTimeout = std::chrono::seconds(30);
 };
--- a/src/transport/internal/httpclientexchange.cpp
+++ b/src/transport/internal/httpclientexchange.cpp
@@ -173,7 +173,7 @@
     m_isReusable = false;
     const HttpClientLimits &limits = m_client.limits();
     HttpResponseParser parser({ limits.headerBytes, limits.bodyBytes }, m_request.method != "HEAD",
-                              limits.takesUnframedAnswers);
+                              limits.acceptsUnframedResponses);
     HttpParseStatus status = HttpParseStatus::NeedMore;
     while (true) {
         std::size_t consumed = 0;
--- a/src/transport/internal/httpparser.cpp
+++ b/src/transport/internal/httpparser.cpp
@@ -53,11 +53,11 @@
 
     bool expectsContinue() const { return m_expectsContinue && this->is_header_done(); }
 
-    void takeUnframed() { m_takesUnframed = true; }
+    void takeUnframed() { m_acceptsUnframed = true; }
 
     HttpParseStatus finish()
     {
-        if (!m_takesUnframed || !this->is_header_done() || !this->need_eof()) {
+        if (!m_acceptsUnframed || !this->is_header_done() || !this->need_eof()) {
             return HttpParseStatus::Malformed;
         }
         ErrorCode error;
@@ -89,7 +89,7 @@
         // A body that ends with the connection looks the same when the sender died in the middle:
         // half an answer would be passed on as whole.
         if (this->need_eof()) {
-            return m_takesUnframed ? HttpParseStatus::NeedMore : HttpParseStatus::Malformed;
+            return m_acceptsUnframed ? HttpParseStatus::NeedMore : HttpParseStatus::Malformed;
         }
         // Chunk extensions and trailers are kept in the input until they are complete.
         return leftBytes <= m_limits.headerBytes ? HttpParseStatus::NeedMore
@@ -158,7 +158,7 @@
     std::string m_connection;
     std::size_t m_headerBytes = 0;
     bool m_expectsContinue = false;
-    bool m_takesUnframed = false;
+    bool m_acceptsUnframed = false;
 };
 
 /// Bases, so that they exist before the parser that refers to their parts.
@@ -251,10 +251,10 @@
 };
 
 HttpResponseParser::HttpResponseParser(const HttpParseLimits &limits, bool hasBody,
-                                       bool takesUnframed)
+                                       bool acceptsUnframed)
     : m_p(std::make_unique<Private>(limits, hasBody))
 {
-    if (takesUnframed) {
+    if (acceptsUnframed) {
         m_p->takeUnframed();
     }
 }
--- a/src/transport/internal/httpparser.h
+++ b/src/transport/internal/httpparser.h
@@ -51,9 +51,9 @@
 class HttpResponseParser
 {
 public:
-    /// `hasBody` is false for the response to a HEAD request. With `takesUnframed` a body without
+    /// `hasBody` is false for the response to a HEAD request. With `acceptsUnframed` a body without
     /// length is read until `finish`.
-    HttpResponseParser(const HttpParseLimits &limits, bool hasBody, bool takesUnframed = false);
+    HttpResponseParser(const HttpParseLimits &limits, bool hasBody, bool acceptsUnframed = false);
     ~HttpResponseParser();
     HttpResponseParser(const HttpResponseParser &) = delete;
     HttpResponseParser &operator=(const HttpResponseParser &) = delete;
