--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -271,7 +271,7 @@
 void TrafficNode::startLeaving(TimePoint end)
 {
     m_gates->startLeaving(end);
-    m_callerServer->startLeaving();
+    m_callerServer->disableKeepAlive();
 }
 
 void TrafficNode::refuseCallers()
--- a/src/transport/ihttpserver.h
+++ b/src/transport/ihttpserver.h
@@ -53,7 +53,7 @@
     virtual void setLimits(const HttpLimits &limits) = 0;
     /// From now on each answer ends its connection, so that clients go elsewhere with their next
     /// request; new connections are still taken.
-    virtual void startLeaving() = 0;
+    virtual void disableKeepAlive() = 0;
     /// Graceful stop: accepts no more, ends idle connections, answers what is being worked on with
     /// `Connection: close`. Suspends until all are done or `timeout` is over.
     virtual void drain(Duration timeout) = 0;
--- a/src/transport/internal/httpconnection.cpp
+++ b/src/transport/internal/httpconnection.cpp
@@ -127,7 +127,7 @@
         return false;
     }
     const HttpResponse response = handle();
-    m_framing.isKeepAlive = m_framing.isKeepAlive && !m_server->endsConnections();
+    m_framing.isKeepAlive = m_framing.isKeepAlive && !m_server->closesConnections();
     return respond(response) && m_framing.isKeepAlive;
 }
 
--- a/src/transport/internal/httpserver.cpp
+++ b/src/transport/internal/httpserver.cpp
@@ -179,9 +179,9 @@
     m_core->setLimits(limits);
 }
 
-void HttpServer::startLeaving()
+void HttpServer::disableKeepAlive()
 {
-    m_core->startLeaving();
+    m_core->disableKeepAlive();
 }
 
 void HttpServer::drain(Duration timeout)
--- a/src/transport/internal/httpserver.h
+++ b/src/transport/internal/httpserver.h
@@ -23,7 +23,7 @@
     RetVal<Endpoint> listen(const Endpoint &endpoint, const HttpLimits &limits,
                             HttpHandler handler);
     void setLimits(const HttpLimits &limits) { m_limits = limits; }
-    void startLeaving() { m_isLeaving = true; }
+    void disableKeepAlive() { m_isKeepAliveDisabled = true; }
     void drain(Duration timeout);
     /// Ends everything at once.
     void abort();
@@ -31,7 +31,7 @@
     EventLoop &loop() { return m_loop; }
     const HttpLimits &limits() const { return m_limits; }
     const HttpHandler &handler() const { return m_handler; }
-    bool endsConnections() const { return m_isLeaving || m_isDraining; }
+    bool closesConnections() const { return m_isKeepAliveDisabled || m_isDraining; }
     std::size_t connectionCount() const { return m_connectionCount; }
     /// A connection has sent its last answer, or broke.
     void onConnectionDone();
@@ -59,7 +59,7 @@
     std::size_t m_connectionCount = 0;
     std::size_t m_refusalCount = 0;
     std::size_t m_lingerCount = 0;
-    bool m_isLeaving = false;
+    bool m_isKeepAliveDisabled = false;
     bool m_isDraining = false;
     FiberWaiter m_drainWaiter;
 };
@@ -76,7 +76,7 @@
     RetVal<Endpoint> listen(const Endpoint &endpoint, const HttpLimits &limits,
                             HttpHandler handler) override;
     void setLimits(const HttpLimits &limits) override;
-    void startLeaving() override;
+    void disableKeepAlive() override;
     void drain(Duration timeout) override;
     std::size_t connectionCount() const override;
 
