--- a/src/app/tests/gateservicetest.cpp
+++ b/src/app/tests/gateservicetest.cpp
@@ -35,7 +35,7 @@
     {
         m_limits[endpoint] = connections;
     }
-    void warm(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
+    void preconnect(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
 
     std::size_t limitOf(const Endpoint &endpoint) { return m_limits[endpoint]; }
     std::size_t exchanges() const { return m_exchanges; }
--- a/src/app/tests/turnedawaytest.cpp
+++ b/src/app/tests/turnedawaytest.cpp
@@ -42,7 +42,7 @@
     }
     bool isListening(const Endpoint & /*endpoint*/) override { return true; }
     void setConnectionLimit(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
-    void warm(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
+    void preconnect(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
 
     void shed() { m_isShedding = true; }
     int arrivals() const { return m_arrivals; }
--- a/src/transport/ihttpclient.h
+++ b/src/transport/ihttpclient.h
@@ -85,7 +85,7 @@
     virtual bool isListening(const Endpoint &endpoint) = 0;
     virtual void setConnectionLimit(const Endpoint &endpoint, std::size_t connections) = 0;
     /// Opens connections in advance, up to `connections` idle ones.
-    virtual void warm(const Endpoint &endpoint, std::size_t connections) = 0;
+    virtual void preconnect(const Endpoint &endpoint, std::size_t connections) = 0;
 };
 
 } // namespace ivyspar
--- a/src/transport/internal/httpclient.cpp
+++ b/src/transport/internal/httpclient.cpp
@@ -56,7 +56,7 @@
     return {};
 }
 
-void HttpClientCore::warm(const Endpoint &endpoint, std::size_t connections)
+void HttpClientCore::preconnect(const Endpoint &endpoint, std::size_t connections)
 {
     const HttpPoolPtr pool = poolFor(endpoint);
     for (std::size_t i = pool->idleCount(); i < connections && pool->reserve(); ++i) {
@@ -154,9 +154,9 @@
     m_core->setConnectionLimit(endpoint, connections);
 }
 
-void HttpClient::warm(const Endpoint &endpoint, std::size_t connections)
+void HttpClient::preconnect(const Endpoint &endpoint, std::size_t connections)
 {
-    m_core->warm(endpoint, connections);
+    m_core->preconnect(endpoint, connections);
 }
 
 std::unique_ptr<IHttpClient> makeHttpClient(IEventLoop &loop, const HttpClientLimits &limits)
--- a/src/transport/internal/httpclient.h
+++ b/src/transport/internal/httpclient.h
@@ -28,7 +28,7 @@
                         const HttpCancellationPtr &cancellation);
     bool isListening(const Endpoint &endpoint);
     void setConnectionLimit(const Endpoint &endpoint, std::size_t connections);
-    void warm(const Endpoint &endpoint, std::size_t connections);
+    void preconnect(const Endpoint &endpoint, std::size_t connections);
     /// Ends everything at once.
     void abort();
 
@@ -66,7 +66,7 @@
                         HttpCancellationPtr cancellation) override;
     bool isListening(const Endpoint &endpoint) override;
     void setConnectionLimit(const Endpoint &endpoint, std::size_t connections) override;
-    void warm(const Endpoint &endpoint, std::size_t connections) override;
+    void preconnect(const Endpoint &endpoint, std::size_t connections) override;
 
 private:
     HttpClientCorePtr m_core;
--- a/src/transport/tests/httpclienttest.cpp
+++ b/src/transport/tests/httpclienttest.cpp
@@ -400,7 +400,7 @@
     makeClient();
     m_runner.run([&] {
         m_client->setConnectionLimit(m_endpoint, 1);
-        m_client->warm(m_endpoint, 5);
+        m_client->preconnect(m_endpoint, 5);
     });
     isAccepted.get_future().wait();
     // The limit is 1: while the warm connection is still opening there is none to use.
--- a/src/transport/tests/mocks/mockhttpclient.h
+++ b/src/transport/tests/mocks/mockhttpclient.h
@@ -65,7 +65,7 @@
         limits[endpoint] = connections;
     }
 
-    void warm(const Endpoint &endpoint, std::size_t connections) override
+    void preconnect(const Endpoint &endpoint, std::size_t connections) override
     {
         warmed[endpoint] = connections;
     }
--- a/standins/log/inprocesshttpclient.h
+++ b/standins/log/inprocesshttpclient.h
@@ -23,7 +23,7 @@
                         HttpCancellationPtr cancellation) override;
     bool isListening(const Endpoint & /*endpoint*/) override { return true; }
     void setConnectionLimit(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
-    void warm(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
+    void preconnect(const Endpoint & /*endpoint*/, std::size_t /*connections*/) override { }
 
     /// Fails all exchanges before they begin, as if the host were cut off.
     void setCut(bool isCut) { m_isCut = isCut; }
