--- a/src/app/internal/entry/peercalls.cpp
+++ b/src/app/internal/entry/peercalls.cpp
@@ -39,7 +39,7 @@
 void PeerCalls::compressIfFar(LinkId link, const DomainName &domain)
 {
     if (domain != m_self.domain) {
-        m_network.compress(link);
+        m_network.enableCompression(link);
     }
 }
 
--- a/src/transport/internal/peernetwork.cpp
+++ b/src/transport/internal/peernetwork.cpp
@@ -37,9 +37,9 @@
     return m_core->send(link, frame);
 }
 
-void PeerNetwork::compress(LinkId link)
+void PeerNetwork::enableCompression(LinkId link)
 {
-    m_core->compress(link);
+    m_core->enableCompression(link);
 }
 
 void PeerNetwork::close(LinkId link)
--- a/src/transport/internal/peernetwork.h
+++ b/src/transport/internal/peernetwork.h
@@ -21,7 +21,7 @@
     RetVal<Endpoint> listen(const Endpoint &endpoint, const PeerLimits &limits) override;
     RetVal<LinkId> connect(const Endpoint &endpoint) override;
     Ret send(LinkId link, std::string frame) override;
-    void compress(LinkId link) override;
+    void enableCompression(LinkId link) override;
     void close(LinkId link) override;
     std::size_t linkCount() const override;
     void shutdown(Duration timeout) override;
--- a/src/transport/internal/peernetworkcore.cpp
+++ b/src/transport/internal/peernetworkcore.cpp
@@ -284,7 +284,7 @@
     return connection->deflater ? COMPRESSED + connection->deflater->deflate(frame) : PLAIN + frame;
 }
 
-void PeerNetworkCore::compress(LinkId link)
+void PeerNetworkCore::enableCompression(LinkId link)
 {
     const ConnectionPtr connection = findOpen(link);
     if (connection && !connection->deflater) {
--- a/src/transport/internal/peernetworkcore.h
+++ b/src/transport/internal/peernetworkcore.h
@@ -34,7 +34,7 @@
     RetVal<Endpoint> listen(const Endpoint &endpoint, const PeerLimits &limits);
     RetVal<LinkId> connect(const Endpoint &endpoint);
     Ret send(LinkId link, const std::string &frame);
-    void compress(LinkId link);
+    void enableCompression(LinkId link);
     void close(LinkId link) { close(link, CLOSE_TIMEOUT); }
     std::size_t linkCount() const { return m_establishedCount; }
     void shutdown(Duration timeout);
--- a/src/transport/ipeernetwork.h
+++ b/src/transport/ipeernetwork.h
@@ -51,7 +51,7 @@
     /// Does not suspend. An error is proof that nothing was sent. Success is no proof of delivery.
     virtual Ret send(LinkId link, std::string frame) = 0;
     /// From now on the frames to this link are compressed: worth its time where bytes are dear.
-    virtual void compress(LinkId link) = 0;
+    virtual void enableCompression(LinkId link) = 0;
     virtual void close(LinkId link) = 0;
     virtual std::size_t linkCount() const = 0;
     /// Accepts no more, closes all links after their queued frames were sent.
--- a/src/transport/tests/mocks/mockpeernetwork.h
+++ b/src/transport/tests/mocks/mockpeernetwork.h
@@ -110,7 +110,7 @@
         return {};
     }
 
-    void compress(LinkId link) override { compressed.insert(link); }
+    void enableCompression(LinkId link) override { compressed.insert(link); }
     void close(LinkId link) override { lose(link); }
     std::size_t linkCount() const override { return links.size() + m_incoming.size(); }
 
--- a/src/transport/tests/peernetworktest.cpp
+++ b/src/transport/tests/peernetworktest.cpp
@@ -166,7 +166,7 @@
     a.runner.run([&] {
         for (int i = 0; i < COUNT; ++i) {
             if (i == COUNT / 2) {
-                a.network->compress(link);
+                a.network->enableCompression(link);
             }
             a.network->send(link, makeFrame(i));
         }
