--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -193,7 +193,7 @@
     ListeningEndpoints bound;
     PeerLimits peerLimits;
     peerLimits.connectTimeout = m_settings.peerConnectTimeout;
-    peerLimits.heartbeat = m_settings.peerHeartbeat;
+    peerLimits.heartbeatInterval = m_settings.peerHeartbeat;
     const auto peer = m_network->listen(m_settings.peerListen, peerLimits);
     if (!peer) {
         return tl::unexpected<Error>(peer.error());
--- a/src/transport/internal/peernetworkcore.cpp
+++ b/src/transport/internal/peernetworkcore.cpp
@@ -429,7 +429,7 @@
         return;
     }
     m_lastHeartbeat = m_loop.now();
-    m_loop.callLater(m_limits.heartbeat / 2,
+    m_loop.callLater(m_limits.heartbeatInterval / 2,
                      [core = PeerNetworkCorePtr(this)] { core->onHeartbeat(); });
 }
 
@@ -438,7 +438,7 @@
     const TimePoint now = m_loop.now();
     // After a pause of this process its timers run before the input that waits is read. Every
     // peer would look silent and all links would be closed at once; so they get another period.
-    const bool wasPaused = now - m_lastHeartbeat > m_limits.heartbeat;
+    const bool wasPaused = now - m_lastHeartbeat > m_limits.heartbeatInterval;
     const auto connections = m_connections;
     for (const auto &entry : connections) {
         if (wasPaused) {
@@ -458,7 +458,7 @@
         return;
     }
     const Duration silence = now - connection->lastReceived;
-    if (silence >= 2 * m_limits.heartbeat) {
+    if (silence >= 2 * m_limits.heartbeatInterval) {
         connection->terminate(make_error_code(websocketpp::error::general));
         return;
     }
@@ -466,7 +466,7 @@
         close(connection->id);
         return;
     }
-    if (silence >= m_limits.heartbeat && !std::exchange(connection->isPinged, true)) {
+    if (silence >= m_limits.heartbeatInterval && !std::exchange(connection->isPinged, true)) {
         websocketpp::lib::error_code ignored;
         connection->ping("", ignored);
     }
--- a/src/transport/ipeernetwork.h
+++ b/src/transport/ipeernetwork.h
@@ -19,7 +19,7 @@
     Duration connectTimeout = std::chrono::seconds(1);
     /// A link without traffic is probed with a ping after this time and closed after twice this
     /// time.
-    Duration heartbeat = std::chrono::seconds(2);
+    Duration heartbeatInterval = std::chrono::seconds(2);
     /// A link that this side opened and that carried no frame for this long is closed.
     Duration idleTimeout = std::chrono::seconds(120);
 };
--- a/src/transport/tests/peernetworktest.cpp
+++ b/src/transport/tests/peernetworktest.cpp
@@ -360,7 +360,7 @@
 TEST(PeerNetwork, AnUnresponsivePeerIsProbedAndDropped)
 {
     PeerLimits limits;
-    limits.heartbeat = milliseconds(20);
+    limits.heartbeatInterval = milliseconds(20);
     Node b(limits);
     RawSocket peer = openRawLink(b.endpoint);
     const std::string ping("\x89\x00", 2);
@@ -373,7 +373,7 @@
 TEST(PeerNetwork, AQuietLinkIsKeptByAnswers)
 {
     PeerLimits limits;
-    limits.heartbeat = milliseconds(300);
+    limits.heartbeatInterval = milliseconds(300);
     Node b(limits);
     RawSocket peer = openRawLink(b.endpoint);
     const std::string ping("\x89\x00", 2);
@@ -388,7 +388,7 @@
 TEST(PeerNetwork, UnusedLinksAreClosedByTheSideThatOpenedThem)
 {
     PeerLimits limits;
-    limits.heartbeat = milliseconds(10);
+    limits.heartbeatInterval = milliseconds(10);
     limits.idleTimeout = milliseconds(20);
     Node a(limits);
     Node b;
