--- a/src/transport/internal/httpconnection.cpp
+++ b/src/transport/internal/httpconnection.cpp
@@ -196,7 +196,7 @@
 {
     m_state = State::Handling;
     // A process that is behind finds the client's close right behind its request.
-    m_stream->noticeEnd();
+    m_stream->detectPeerClose();
     watchClient();
     HttpResponse response;
     try {
--- a/src/transport/internal/httppool.cpp
+++ b/src/transport/internal/httppool.cpp
@@ -26,7 +26,7 @@
     while (!m_idle.empty()) {
         TcpStreamPtr stream = std::move(m_idle.back().stream);
         m_idle.pop_back();
-        if (stream->isQuiet()) {
+        if (stream->isIdle()) {
             return stream;
         }
         discard(stream);
--- a/src/transport/internal/tcpstream.cpp
+++ b/src/transport/internal/tcpstream.cpp
@@ -155,7 +155,7 @@
     return m_writeError;
 }
 
-bool TcpStream::isQuiet()
+bool TcpStream::isIdle()
 {
     if (!m_socket.is_open() || m_isReading || !input().empty()) {
         return false;
@@ -163,7 +163,7 @@
     return peek() == Pending::Nothing;
 }
 
-void TcpStream::noticeEnd()
+void TcpStream::detectPeerClose()
 {
     if (!m_readError && m_socket.is_open() && peek() == Pending::End) {
         m_readError = asio::error::eof;
--- a/src/transport/internal/tcpstream.h
+++ b/src/transport/internal/tcpstream.h
@@ -46,9 +46,9 @@
 
     /// Looks whether the other side has closed the connection behind what was read; `readError`
     /// tells so from then on. Costs a system call.
-    void noticeEnd();
+    void detectPeerClose();
     /// Whether the other side has neither closed the connection nor sent anything unasked.
-    bool isQuiet();
+    bool isIdle();
     /// Ends what is pending with an error; the connection stays usable.
     void cancel();
     void close();
