--- a/src/transport/internal/httpconnection.cpp
+++ b/src/transport/internal/httpconnection.cpp
@@ -197,7 +197,7 @@
     m_state = State::Handling;
     // A process that is behind finds the client's close right behind its request.
     m_stream->detectPeerClose();
-    watchClient();
+    watchForDisconnect();
     HttpResponse response;
     try {
         response = m_server->handler()(*this);
@@ -212,7 +212,7 @@
     return response;
 }
 
-void HttpConnection::watchClient()
+void HttpConnection::watchForDisconnect()
 {
     m_stream->setReadObserver([this] { onReadWhileHandling(); });
     m_stream->startRead();
@@ -227,7 +227,7 @@
         return;
     }
     if (m_stream->input().size() < m_server->limits().headerBytes) {
-        watchClient();
+        watchForDisconnect();
     }
 }
 
--- a/src/transport/internal/httpconnection.h
+++ b/src/transport/internal/httpconnection.h
@@ -70,7 +70,7 @@
     bool write(std::string_view head, std::string_view body);
     void sendContinue();
     void lingeringClose();
-    void watchClient();
+    void watchForDisconnect();
     void onReadWhileHandling();
     void notifyDisconnect();
     void startTimer(Duration duration);
