--- a/src/transport/internal/httpclientexchange.cpp
+++ b/src/transport/internal/httpclientexchange.cpp
@@ -81,7 +81,7 @@
     while ((m_stream = m_pool->takeIdle())) {
         HttpResult result = sendAndReceive();
         releaseConnection();
-        if (!mayUseFreshConnection(result)) {
+        if (!canRetryOnNewConnection(result)) {
             return result;
         }
     }
@@ -89,7 +89,7 @@
 }
 
 /// The server closed an unused connection and no byte of the request left on it.
-bool HttpClientExchange::mayUseFreshConnection(const HttpResult &result) const
+bool HttpClientExchange::canRetryOnNewConnection(const HttpResult &result) const
 {
     return !result && !m_abortCause && m_sentBytes == 0;
 }
@@ -136,7 +136,7 @@
     // A server may answer an earlier request a second time, late: taken for the answer to this one
     // it would reach the wrong caller. The right one may follow on the same connection.
     bool isClean = true;
-    while (result && !isEchoed(*result)) {
+    while (result && !matchesEchoHeader(*result)) {
         isClean = false;
         result = receiveFinal();
     }
@@ -144,7 +144,7 @@
     return result;
 }
 
-bool HttpClientExchange::isEchoed(const HttpResponse &response) const
+bool HttpClientExchange::matchesEchoHeader(const HttpResponse &response) const
 {
     const std::string &name = m_client.limits().echoHeader;
     if (name.empty()) {
--- a/src/transport/internal/httpclientexchange.h
+++ b/src/transport/internal/httpclientexchange.h
@@ -33,10 +33,10 @@
     HttpResult sendAndReceive();
     HttpResult receive();
     HttpResult receiveFinal();
-    bool isEchoed(const HttpResponse &response) const;
+    bool matchesEchoHeader(const HttpResponse &response) const;
     /// One answer, which may be an interim one. Sets `m_isReusable`.
     HttpResult receiveOne();
-    bool mayUseFreshConnection(const HttpResult &result) const;
+    bool canRetryOnNewConnection(const HttpResult &result) const;
     HttpResult fail(HttpFailureCause cause, std::string text) const;
     void releaseConnection();
 
