--- a/src/transport/internal/eventloop.cpp
+++ b/src/transport/internal/eventloop.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 /// Tells asio that one thread runs the loop; posting from others stays safe.
-constexpr int ONE_THREAD = 1;
-constexpr Duration LONGEST_DELAY = std::chrono::hours(24 * 365);
-constexpr int END_ROUNDS = 1000;
+constexpr int SINGLE_THREAD_HINT = 1;
+constexpr Duration MAX_TIMER_DELAY = std::chrono::hours(24 * 365);
+constexpr int MAX_SHUTDOWN_ROUNDS = 1000;
 
 /// An exception that reached a task's end is a broken invariant of that task; the other fibers and
 /// connections of the thread go on.
@@ -69,7 +69,7 @@
 } // namespace
 
 EventLoop::EventLoop()
-    : m_io(ONE_THREAD)
+    : m_io(SINGLE_THREAD_HINT)
     , m_work(boost::asio::make_work_guard(m_io))
     , m_timer(m_io)
     , m_scheduler(new FiberScheduler(this))
@@ -136,7 +136,7 @@
 
 TimerId EventLoop::callLater(Duration delay, std::function<void()> task)
 {
-    const Duration bounded = std::clamp(delay, Duration::zero(), LONGEST_DELAY);
+    const Duration bounded = std::clamp(delay, Duration::zero(), MAX_TIMER_DELAY);
     const TimerId id = m_timers.add(now() + bounded, std::move(task));
     armTimer();
     return id;
@@ -225,7 +225,7 @@
 
 void EventLoop::endFibers()
 {
-    for (int round = 0; round < END_ROUNDS && m_fiberCount > 0; ++round) {
+    for (int round = 0; round < MAX_SHUTDOWN_ROUNDS && m_fiberCount > 0; ++round) {
         if (const auto task = m_timers.takeDue(TimePoint::max())) {
             runGuarded(task);
         }
--- a/src/transport/internal/stackpool.cpp
+++ b/src/transport/internal/stackpool.cpp
@@ -21,11 +21,11 @@
 
 void StackPool::deallocate(boost::context::stack_context &stack) noexcept
 {
-    if (m_unused.size() >= MAX_UNUSED) {
+    if (m_unused.size() >= MAX_UNUSED_STACKS) {
         m_source.deallocate(stack);
         return;
     }
-    m_unused.reserve(MAX_UNUSED);
+    m_unused.reserve(MAX_UNUSED_STACKS);
     m_unused.push_back(stack);
 }
 
--- a/src/transport/internal/stackpool.h
+++ b/src/transport/internal/stackpool.h
@@ -33,7 +33,7 @@
     /// space only (1,000 requests in work: 128 MiB of it) and bring the guard page nearer.
     static constexpr std::size_t STACK_BYTES = 128 * 1024;
     /// Bounds what a past peak of fibers holds on to.
-    static constexpr std::size_t MAX_UNUSED = 64;
+    static constexpr std::size_t MAX_UNUSED_STACKS = 64;
 };
 
 /// What Boost.Fiber takes as a stack allocator: a reference to the pool.
--- a/src/transport/internal/tcpstream.cpp
+++ b/src/transport/internal/tcpstream.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t READ_BYTES = 16 * 1024;
 /// An emptied input buffer above this is given back.
-constexpr std::size_t KEPT_INPUT_BYTES = 1024;
+constexpr std::size_t MAX_RETAINED_INPUT_BYTES = 1024;
 
 /// Filled and emptied within one callback, so all streams of a thread share it: a buffer for each
 /// pending read would cost every idle connection its size.
@@ -114,7 +114,7 @@
     }
     m_consumed = 0;
     m_input.clear();
-    if (m_input.capacity() > KEPT_INPUT_BYTES) {
+    if (m_input.capacity() > MAX_RETAINED_INPUT_BYTES) {
         m_input.shrink_to_fit();
     }
 }
