--- a/src/app/internal/commands/publish.cpp
+++ b/src/app/internal/commands/publish.cpp
@@ -22,7 +22,7 @@
     PublishResult result;
     {
         HttpClientLimits limits;
-        limits.bodyBytes = LOG_RESPONSE_BYTES;
+        limits.bodyBytes = MAX_LOG_RESPONSE_BYTES;
         const std::unique_ptr<IHttpClient> client = makeHttpClient(*loop, limits);
         LogServiceSettings logSettings;
         logSettings.endpoints = settings.logEndpoints;
--- a/src/app/internal/control/logaccess.cpp
+++ b/src/app/internal/control/logaccess.cpp
@@ -8,7 +8,7 @@
 std::unique_ptr<IHttpClient> makeLogClient(IEventLoop &loop)
 {
     HttpClientLimits limits;
-    limits.bodyBytes = LOG_RESPONSE_BYTES;
+    limits.bodyBytes = MAX_LOG_RESPONSE_BYTES;
     return makeHttpClient(loop, limits);
 }
 
--- a/src/transport/internal/httplogservice.cpp
+++ b/src/transport/internal/httplogservice.cpp
@@ -84,7 +84,7 @@
             return malformedPage();
         }
         const auto offset = unsignedField<std::uint64_t>(each, "offset");
-        const auto text = textField(each, "payload", LOG_RESPONSE_BYTES);
+        const auto text = textField(each, "payload", MAX_LOG_RESPONSE_BYTES);
         auto payload = text ? fromBase64(*text) : std::nullopt;
         // A gap would make a reader skip a record for good and judge later ones wrongly.
         if (!offset || !payload || *offset != expected) {
--- a/src/transport/logservicefactory.h
+++ b/src/transport/logservicefactory.h
@@ -20,10 +20,10 @@
 };
 
 /// Answers of a log that the HTTP client must take: pages of some MB.
-constexpr std::size_t LOG_RESPONSE_BYTES = 8 * 1024 * 1024;
+constexpr std::size_t MAX_LOG_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /// The platform's log over HTTP, as docs/STATE.md describes it. `client` must accept bodies of
-/// `LOG_RESPONSE_BYTES` and outlive the service.
+/// `MAX_LOG_RESPONSE_BYTES` and outlive the service.
 std::unique_ptr<ILogService> makeHttpLogService(const LogServiceSettings &settings,
                                                 IHttpClient &client);
 
