--- a/src/transport/internal/peernetworkcore.cpp
+++ b/src/transport/internal/peernetworkcore.cpp
@@ -250,7 +250,7 @@
     connection->lastReceived = m_loop.now();
     connection->lastFrame = connection->lastReceived;
     connection->isPinged = false;
-    auto frame = unpack(connection, message->get_payload());
+    auto frame = decodeMessage(connection, message->get_payload());
     if (!frame) {
         connection->terminate(make_error_code(websocketpp::error::general));
         return;
@@ -260,8 +260,8 @@
     }
 }
 
-RetVal<std::string> PeerNetworkCore::unpack(const ConnectionPtr &connection,
-                                            const std::string &message) const
+RetVal<std::string> PeerNetworkCore::decodeMessage(const ConnectionPtr &connection,
+                                                   const std::string &message) const
 {
     if (message.empty() || (message.front() != PLAIN && message.front() != COMPRESSED)) {
         return makeError(ErrorCode::InvalidArgument, "the message does not say how to read it");
@@ -279,7 +279,8 @@
     return connection->inflater->inflate(frame, m_limits.frameBytes);
 }
 
-std::string PeerNetworkCore::pack(const ConnectionPtr &connection, const std::string &frame)
+std::string PeerNetworkCore::encodeMessage(const ConnectionPtr &connection,
+                                           const std::string &frame)
 {
     return connection->deflater ? COMPRESSED + connection->deflater->deflate(frame) : PLAIN + frame;
 }
@@ -365,7 +366,7 @@
     if (connection->get_buffered_amount() + frame.size() > m_limits.sendBufferBytes) {
         return makeError(ErrorCode::Throttled, "too much waits to be sent on the link");
     }
-    const std::string message = pack(connection, frame);
+    const std::string message = encodeMessage(connection, frame);
     const auto error =
         connection->send(message.data(), message.size(), websocketpp::frame::opcode::binary);
     if (error) {
--- a/src/transport/internal/peernetworkcore.h
+++ b/src/transport/internal/peernetworkcore.h
@@ -66,8 +66,9 @@
     bool onValidate(const Hdl &hdl);
     void onOpen(const Hdl &hdl);
     void onMessage(const Hdl &hdl, const Connection::message_ptr &message);
-    RetVal<std::string> unpack(const ConnectionPtr &connection, const std::string &message) const;
-    static std::string pack(const ConnectionPtr &connection, const std::string &frame);
+    RetVal<std::string> decodeMessage(const ConnectionPtr &connection,
+                                      const std::string &message) const;
+    static std::string encodeMessage(const ConnectionPtr &connection, const std::string &frame);
     bool onPing(const Hdl &hdl);
     void onPong(const Hdl &hdl);
     void onTerminated(const ConnectionPtr &connection);
