--- a/src/transport/internal/eventloop.cpp
+++ b/src/transport/internal/eventloop.cpp
@@ -37,18 +37,18 @@
 /// Boost.Fiber waits at a thread's end until all its fibers have ended; with one that sleeps for an
 /// hour the join of that thread would hang as long. Boost.Fiber's own object of the thread exists
 /// before this one and is therefore destroyed after it.
-class ThreadEnd
+class ThreadExitHook
 {
 public:
-    ThreadEnd() = default;
-    ~ThreadEnd()
+    ThreadExitHook() = default;
+    ~ThreadExitHook()
     {
         if (m_loop != nullptr) {
             m_loop->endFibers();
         }
     }
-    ThreadEnd(const ThreadEnd &) = delete;
-    ThreadEnd &operator=(const ThreadEnd &) = delete;
+    ThreadExitHook(const ThreadExitHook &) = delete;
+    ThreadExitHook &operator=(const ThreadExitHook &) = delete;
 
     void bind(EventLoop *loop) { m_loop = loop; }
     void unbind(const EventLoop *loop)
@@ -64,7 +64,7 @@
 
 // NOLINTNEXTLINE(readability-identifier-naming): a variable, though clang-tidy takes it for a
 // constant.
-thread_local ThreadEnd threadEnd;
+thread_local ThreadExitHook threadExitHook;
 
 } // namespace
 
@@ -81,7 +81,7 @@
 {
     if (m_thread == std::this_thread::get_id()) {
         endFibers();
-        threadEnd.unbind(this);
+        threadExitHook.unbind(this);
     }
     m_scheduler->detachLoop();
 }
@@ -98,7 +98,7 @@
     }
     m_thread = std::this_thread::get_id();
     boost::fibers::context::active()->get_scheduler()->set_algo(m_scheduler);
-    threadEnd.bind(this);
+    threadExitHook.bind(this);
 }
 
 void EventLoop::spawn(std::function<void()> task)
