--- a/src/transport/internal/httplogservice.cpp
+++ b/src/transport/internal/httplogservice.cpp
@@ -35,7 +35,7 @@
     return outcome && *outcome == headers::LOG_NOT_APPENDED;
 }
 
-RetVal<LogOffset> readAppendAnswer(const HttpResponse &response)
+RetVal<LogOffset> parseAppendResponse(const HttpResponse &response)
 {
     switch (response.status) {
     case STATUS_CREATED: {
@@ -65,7 +65,7 @@
 }
 
 /// Takes the records as far as they follow each other from the first one.
-RetVal<LogPage> readPage(const std::string &body, LogOffset from)
+RetVal<LogPage> parsePage(const std::string &body, LogOffset from)
 {
     const Json map = Json::parse(body, nullptr, false);
     if (!map.is_object()) {
@@ -129,7 +129,7 @@
             error = { ErrorCode::Unavailable, "the log cannot be reached: " + result.error().text };
             continue;
         }
-        RetVal<LogOffset> offset = readAppendAnswer(*result);
+        RetVal<LogOffset> offset = parseAppendResponse(*result);
         if (offset || offset.error().code != ErrorCode::Unavailable) {
             preferEndpoint(start + i);
             return offset;
@@ -172,7 +172,7 @@
             continue;
         }
         preferEndpoint(start + i);
-        return readPage(result->body, from);
+        return parsePage(result->body, from);
     }
     return tl::unexpected<Error>(error);
 }
--- a/src/transport/internal/httpserver.cpp
+++ b/src/transport/internal/httpserver.cpp
@@ -91,7 +91,7 @@
 }
 
 /// Clients whose connection waits in the queue would be reset by closing the listener.
-void HttpServerCore::acceptWaiting()
+void HttpServerCore::acceptPending()
 {
     boost::system::error_code error;
     while (!error) {
@@ -111,7 +111,7 @@
     const HttpServerCorePtr self(this);
     m_isDraining = true;
     if (m_acceptor.is_open()) {
-        acceptWaiting();
+        acceptPending();
         boost::system::error_code ignored;
         m_acceptor.close(ignored);
     }
--- a/src/transport/internal/httpserver.h
+++ b/src/transport/internal/httpserver.h
@@ -46,7 +46,7 @@
 
     void startAccept();
     void onAccept(const boost::system::error_code &error, boost::asio::ip::tcp::socket socket);
-    void acceptWaiting();
+    void acceptPending();
     void addConnection(boost::asio::ip::tcp::socket socket);
     void closeIdleConnections();
 
