--- a/src/transport/idatagramsocket.h
+++ b/src/transport/idatagramsocket.h
@@ -8,7 +8,7 @@
 
 namespace ivyspar {
 
-/// Receives datagrams, as plain callbacks on the loop's thread; must not suspend.
+/// Receives datagrams. Called as plain callbacks on the loop's thread; must not suspend.
 class IDatagramHandler
 {
 public:
@@ -17,20 +17,21 @@
     virtual void onDatagram(std::string payload) = 0;
 };
 
-/// Short messages between daemons over UDP: no link is opened for them, and each may be lost,
-/// doubled or overtaken by another, without notice.
+/// Short messages between daemons over UDP. Needs no link; datagrams may be lost, duplicated or
+/// reordered without notice.
 class IDatagramSocket
 {
 public:
-    /// Payloads up to this size cross every network whole.
+    /// Largest payload in bytes; payloads up to this size are not fragmented on any network.
     static constexpr std::size_t MAX_PAYLOAD_BYTES = 1200;
 
     virtual ~IDatagramSocket() = default;
 
     virtual void setHandler(IDatagramHandler *handler) = 0;
+    /// `Unavailable` if the address cannot be bound.
     virtual Ret listen(const Endpoint &endpoint) = 0;
-    /// Does not suspend. `InvalidArgument` for a payload over `MAX_PAYLOAD_BYTES`; an error is
-    /// proof that nothing was sent.
+    /// Does not suspend. `InvalidArgument` for a payload over `MAX_PAYLOAD_BYTES`; an error
+    /// proves that nothing was sent.
     virtual Ret send(const Endpoint &to, const std::string &payload) = 0;
 };
 
--- a/src/transport/ieventloop.h
+++ b/src/transport/ieventloop.h
@@ -19,10 +19,11 @@
 
     /// Starts a fiber.
     virtual void spawn(std::function<void()> task) = 0;
-    /// From any thread: runs `task` as a plain callback on the loop's thread. It must not suspend.
+    /// Thread-safe. Runs `task` as a plain callback on the loop's thread. It must not suspend.
     virtual void post(std::function<void()> task) = 0;
     /// Suspends the calling fiber.
     virtual void sleepFor(Duration duration) = 0;
+    /// Monotonic time.
     virtual TimePoint now() const = 0;
     /// Runs `task` as a plain callback after `delay`. It must not suspend.
     virtual TimerId callLater(Duration delay, std::function<void()> task) = 0;
@@ -30,7 +31,7 @@
 
     /// Runs until `stop`.
     virtual void run() = 0;
-    /// From any thread.
+    /// Thread-safe.
     virtual void stop() = 0;
 };
 
--- a/src/transport/ihttpclient.h
+++ b/src/transport/ihttpclient.h
@@ -13,15 +13,15 @@
 namespace ivyspar {
 
 enum class HttpFailureStage {
-    NotSent, ///< Proof that no byte of the request left.
-    MaybeSent, ///< Something left; the server may have acted.
+    NotSent, ///< Proves that no byte of the request was sent.
+    MaybeSent, ///< Part of the request was sent; the server may have processed it.
 };
 
 enum class HttpFailureCause {
     Connect,
     Timeout,
     Cancelled,
-    Broken, ///< The connection ended, or the answer was cut off or malformed.
+    Broken, ///< The connection closed, or the response was truncated or malformed.
     NoConnection, ///< The connection limit of this endpoint is reached.
 };
 
@@ -30,20 +30,20 @@
     HttpFailureStage stage = HttpFailureStage::MaybeSent;
     HttpFailureCause cause = HttpFailureCause::Broken;
     std::string text;
-    /// The other side ended the connection before the answer was whole.
+    /// The server closed the connection before the response was complete.
     bool hasConnectionEnded = false;
 };
 
 using HttpResult = tl::expected<HttpResponse, HttpFailure>;
 
-/// Ends one exchange from outside: its connection is closed and it fails with `Cancelled`.
+/// Cancels one exchange: its connection is closed and it fails with `Cancelled`.
 class HttpCancellation
     : public boost::intrusive_ref_counter<HttpCancellation, boost::thread_unsafe_counter>
 {
 public:
     void cancel();
     bool isCancelled() const { return m_isCancelled; }
-    /// For the client: what `cancel` runs. An empty function removes it.
+    /// For the client: sets the function that `cancel` runs. An empty function removes it.
     void setAction(std::function<void()> action);
 
 private:
@@ -59,18 +59,18 @@
     std::size_t headerBytes = 64 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
     Duration connectTimeout = std::chrono::seconds(1);
-    /// Header that servers repeat from the request. An answer with another value belongs to another
-    /// request and is dropped. Empty: answers are not checked.
+    /// Name of a header that servers echo from the request. A response with a different value
+    /// belongs to another request and is discarded. Empty: responses are not checked.
     std::string echoHeader;
-    /// Takes an answer without length that ends with its connection; without it such an answer is
-    /// broken, as its sender may have died in the middle.
+    /// Accepts a response without a length that ends when its connection closes. Otherwise such a
+    /// response is an error, as the server may have crashed before sending all of it.
     bool acceptsUnframedResponses = false;
-    /// An unused connection is closed after this time.
+    /// An idle connection is closed after this time.
     Duration idleTimeout = std::chrono::seconds(30);
 };
 
 /// Keeps connections open for reuse. A reused connection that the server has closed before a byte
-/// was written is replaced by a fresh one.
+/// was written is replaced by a new one.
 class IHttpClient
 {
 public:
@@ -79,9 +79,9 @@
     /// Suspends the calling fiber for `timeout` at most. `cancellation` may be null.
     virtual HttpResult exchange(const Endpoint &endpoint, const HttpRequest &request,
                                 Duration timeout, HttpCancellationPtr cancellation) = 0;
-    /// Whether a server accepts connections there now. Suspends the calling fiber for the connect
-    /// timeout at most. The connection is kept for reuse. True if the limit of connections leaves
-    /// no room to find out.
+    /// Whether a server currently accepts connections at `endpoint`. Suspends the calling fiber for
+    /// the connect timeout at most. The connection is kept for reuse. Also true if the connection
+    /// limit does not allow a probe.
     virtual bool isListening(const Endpoint &endpoint) = 0;
     virtual void setConnectionLimit(const Endpoint &endpoint, std::size_t connections) = 0;
     /// Opens connections in advance, up to `connections` idle ones.
--- a/src/transport/ihttpserver.h
+++ b/src/transport/ihttpserver.h
@@ -11,30 +11,31 @@
 
 namespace ivyspar {
 
-/// Bounds on what a client may send. Past them it gets 413, 431, 408 or 503, or is disconnected.
+/// Limits on client input. A client that exceeds them gets 413, 431, 408 or 503, or is
+/// disconnected.
 struct HttpLimits
 {
     std::size_t headerBytes = 16 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
     std::size_t connections = 4000;
-    /// Longest time for the arrival of a whole request once its first byte is there.
+    /// Maximum time to receive a complete request, counted from its first byte.
     Duration receiveTimeout = std::chrono::seconds(10);
     Duration idleTimeout = std::chrono::seconds(60);
-    /// Longest time for a client to take an answer.
+    /// Maximum time for a client to receive a response.
     Duration sendTimeout = std::chrono::seconds(10);
 };
 
-/// One request while its handler works on it.
+/// One request while its handler processes it.
 class IHttpExchange
 {
 public:
     virtual ~IHttpExchange() = default;
 
     virtual const HttpRequest &request() const = 0;
-    /// Kept with the connection, for the handlers of its requests.
+    /// Stored per connection and shared by the handlers of its requests.
     virtual ConnectionTally &tally() = 0;
-    /// Runs `callback` once when the client goes away before its answer was ready.
-    /// Replaced by each call; an empty function removes it.
+    /// Runs `callback` once if the client disconnects before its response is ready.
+    /// Each call replaces the previous callback; an empty function removes it.
     virtual void onDisconnect(std::function<void()> callback) = 0;
 };
 
@@ -46,17 +47,19 @@
 public:
     virtual ~IHttpServer() = default;
 
-    /// Starts to accept; port 0 takes a free one. Returns the endpoint that it listens on.
+    /// Starts accepting; port 0 selects a free port. Returns the endpoint that it listens on.
+    /// `Conflict` if the server is already listening, `Unavailable` if the address cannot be bound.
     virtual RetVal<Endpoint> listen(const Endpoint &endpoint, const HttpLimits &limits,
                                     HttpHandler handler) = 0;
-    /// Connections opened from now on, and the next requests of the others, are bound by these.
+    /// Applies to new connections and to further requests on existing ones.
     virtual void setLimits(const HttpLimits &limits) = 0;
-    /// From now on each answer ends its connection, so that clients go elsewhere with their next
-    /// request; new connections are still taken.
+    /// Every further response closes its connection, so that clients send their next request
+    /// elsewhere; new connections are still accepted.
     virtual void disableKeepAlive() = 0;
-    /// Graceful stop: accepts no more, ends idle connections, answers what is being worked on with
-    /// `Connection: close`. Suspends until all are done or `timeout` is over.
+    /// Graceful shutdown: stops accepting, closes idle connections and answers the requests in
+    /// progress with `Connection: close`. Suspends until all are done or `timeout` has passed.
     virtual void drain(Duration timeout) = 0;
+    /// Connections being served, without refused and lingering ones.
     virtual std::size_t connectionCount() const = 0;
 };
 
--- a/src/transport/ikeyedlog.h
+++ b/src/transport/ikeyedlog.h
@@ -18,19 +18,19 @@
 
 struct KeyedPage
 {
-    /// In the order in which they were written.
+    /// In write order.
     std::vector<KeyedRecord> records;
-    /// Where to read on, in this era.
+    /// The offset to continue reading from, in this era.
     LogOffset next;
     LogEra era;
 };
 
-/// How long a call may go without an answer, beside the time that it waits for news. An answer
-/// usually takes some milliseconds; one that is lost never comes.
+/// Response timeout of a call, not counting the time that a read waits for new records. A response
+/// usually takes some milliseconds; a lost one never arrives.
 constexpr Duration KEYED_LOG_TIMEOUT = std::chrono::milliseconds(700);
 
-/// Streams of the platform that keep the newest record of each key for good. Calls suspend the
-/// calling fiber.
+/// Compacted streams of the platform, which retain the newest record of each key indefinitely.
+/// Calls suspend the calling fiber.
 class IKeyedLog
 {
 public:
@@ -38,12 +38,12 @@
 
     /// The newest record of each key.
     virtual RetVal<KeyedPage> newest(const StreamName &stream) = 0;
-    /// What was written from `from` on; waits up to `wait` for something. `NotFound` when the
-    /// records from there on are forgotten, or the log has none there: `newest` tells the rest.
+    /// The records written from offset `from` on; waits up to `wait` for one. `NotFound` if that
+    /// offset is no longer retained or does not exist: read the state with `newest` instead.
     virtual RetVal<KeyedPage> read(const StreamName &stream, LogOffset from, Duration wait) = 0;
-    /// After `Unknown` it may have been written.
+    /// After `Unknown` the record may have been written.
     virtual Ret put(const StreamName &stream, const KeyedRecord &record) = 0;
-    /// Ends the calls that are waiting now, with the error `Cancelled`.
+    /// Ends the pending calls with the error `Cancelled`.
     virtual void cancel() = 0;
 };
 
--- a/src/transport/internal/datagramsocket.h
+++ b/src/transport/internal/datagramsocket.h
@@ -23,14 +23,14 @@
 private:
     void waitForInput();
     void onReadable();
-    /// False when nothing more waits.
+    /// False when no more datagrams are pending.
     bool receiveOne();
 
     boost::asio::ip::udp::socket m_socket;
     IDatagramHandler *m_handler = nullptr;
-    /// One byte more than a payload may have: a longer one is recognised by filling it.
+    /// One byte larger than the maximum payload: an oversized datagram fills it completely.
     std::array<char, MAX_PAYLOAD_BYTES + 1> m_buffer{};
-    /// Ends what an event does that comes after the destruction.
+    /// Lets callbacks that run after the destruction do nothing.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
--- a/src/transport/internal/eventloop.h
+++ b/src/transport/internal/eventloop.h
@@ -18,7 +18,7 @@
 namespace ivyspar {
 
 /// Runs the ready fibers of a thread; when none is ready, blocks in the io_context until an event
-/// wakes one. There is no polling: an idle loop takes no processor time.
+/// wakes one. There is no polling: an idle loop uses no CPU time.
 ///
 /// Callbacks of the io_context run on the stack of the thread's main fiber and must not suspend.
 class EventLoop : public IEventLoop
@@ -39,11 +39,11 @@
     void stop() override;
 
     boost::asio::io_context &ioContext() { return m_io; }
-    /// Turns of `run`: each ran the ready fibers and waited for one event.
+    /// Iterations of `run`: each ran the ready fibers and waited for one event.
     std::uint64_t turnCount() const { return m_turnCount; }
-    /// Ends the fibers that wait for a timeout by giving it to them early.
+    /// Ends the fibers that wait for a timeout by firing their timers early.
     void endFibers();
-    /// For FiberScheduler: runs one event, waits for it until `time` at most.
+    /// For FiberScheduler: runs one event, waiting for it until `time` at most.
     void waitForEvent(std::chrono::steady_clock::time_point time) noexcept;
 
 private:
@@ -56,8 +56,8 @@
     boost::asio::io_context m_io;
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> m_work;
     boost::asio::steady_timer m_timer;
-    /// When `m_timer` fires. It is left as it is when the first task is cancelled: one wake-up too
-    /// many costs less than a system call for each timeout that does not happen.
+    /// When `m_timer` fires. Not updated when the first task is cancelled: a spurious wake-up costs
+    /// less than a system call for each cancelled timeout.
     TimePoint m_armedFor = TimePoint::max();
     TimerQueue m_timers;
     boost::intrusive_ptr<FiberScheduler> m_scheduler;
--- a/src/transport/internal/fiberscheduler.h
+++ b/src/transport/internal/fiberscheduler.h
@@ -11,11 +11,11 @@
 
 class EventLoop;
 
-/// Runs ready fibers in turn and knows whether one is ready.
+/// Round-robin scheduler that counts the ready fibers.
 ///
-/// Boost.Fiber's dispatcher fiber is put into the ready queue as well, each time another fiber
-/// runs. A loop that counted it would find a ready fiber at every turn and never block: a whole
-/// core is used while idle. So it is left out of `readyCount`.
+/// Boost.Fiber also queues its dispatcher fiber as ready each time another fiber runs. `readyCount`
+/// excludes it: otherwise the loop would find a ready fiber in every iteration, never block, and
+/// use a whole core while idle.
 class FiberScheduler : public boost::fibers::algo::algorithm
 {
 public:
--- a/src/transport/internal/fiberwaiter.h
+++ b/src/transport/internal/fiberwaiter.h
@@ -6,7 +6,7 @@
 
 namespace ivyspar {
 
-/// Lets one fiber wait until a callback or another fiber of the same thread wakes it.
+/// Suspends one fiber until a callback or another fiber of the same thread wakes it.
 class FiberWaiter
 {
 public:
--- a/src/transport/internal/framecompression.h
+++ b/src/transport/internal/framecompression.h
@@ -10,8 +10,8 @@
 
 namespace ivyspar {
 
-/// Compresses the frames that one side sends on a link (raw deflate). Frames refer to those before
-/// them: the names in their headers, services and rules are the same all the time.
+/// Compresses the frames that one side sends on a link (raw deflate). The compression context is
+/// kept across frames, as their headers, services and rules repeat the same names.
 class FrameDeflater
 {
 public:
@@ -27,7 +27,7 @@
     std::unique_ptr<z_stream_s> m_stream;
 };
 
-/// The other end of a `FrameDeflater`; needs all its frames in order.
+/// Decompresses the frames of a `FrameDeflater`; needs all of them, in order.
 class FrameInflater
 {
 public:
@@ -37,8 +37,8 @@
     FrameInflater(const FrameInflater &) = delete;
     FrameInflater &operator=(const FrameInflater &) = delete;
 
-    /// Fails with `InvalidArgument` if the bytes are malformed or make more than `maxBytes`. The
-    /// frames that follow cannot be read then.
+    /// `InvalidArgument` if the input is malformed or expands to more than `maxBytes`. Later frames
+    /// cannot be decompressed after that.
     RetVal<std::string> inflate(const std::string &compressed, std::size_t maxBytes);
 
 private:
--- a/src/transport/internal/httpclient.h
+++ b/src/transport/internal/httpclient.h
@@ -13,7 +13,7 @@
 
 namespace ivyspar {
 
-/// What the exchanges of a client share. Lives until the last of them has ended, which may be
+/// State shared by the exchanges of a client. Lives until the last of them has ended, which may be
 /// after the client was destroyed.
 class HttpClientCore
     : public boost::intrusive_ref_counter<HttpClientCore, boost::thread_unsafe_counter>
@@ -29,7 +29,7 @@
     bool isListening(const Endpoint &endpoint);
     void setConnectionLimit(const Endpoint &endpoint, std::size_t connections);
     void preconnect(const Endpoint &endpoint, std::size_t connections);
-    /// Ends everything at once.
+    /// Cancels all exchanges and closes the idle connections.
     void abort();
 
     /// Connects `stream` within the connect timeout; suspends the calling fiber.
@@ -39,7 +39,7 @@
 
 private:
     HttpPoolPtr poolFor(const Endpoint &endpoint);
-    /// Opens a connection that was reserved. False if it cannot be opened.
+    /// Opens a reserved connection and adds it to the pool as idle. False if it cannot be opened.
     bool openIdle(const HttpPoolPtr &pool, const Endpoint &endpoint);
     void startSweep();
     void sweep();
--- a/src/transport/internal/httpclientexchange.h
+++ b/src/transport/internal/httpclientexchange.h
@@ -14,7 +14,7 @@
 class HttpClientCore;
 class HttpResponseParser;
 
-/// One request and its answer; lives on the stack of the calling fiber.
+/// One request and its response; lives on the stack of the calling fiber.
 class HttpClientExchange : public boost::intrusive::list_base_hook<
                                boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
@@ -23,7 +23,7 @@
                        const HttpRequest &request);
 
     HttpResult run(Duration timeout, const HttpCancellationPtr &cancellation);
-    /// Ends the exchange from outside by closing its connection.
+    /// Makes the exchange fail with `cause` by closing its connection.
     void abort(HttpFailureCause cause);
 
 private:
@@ -34,7 +34,7 @@
     HttpResult receive();
     HttpResult receiveFinal();
     bool matchesEchoHeader(const HttpResponse &response) const;
-    /// One answer, which may be an interim one. Sets `m_isReusable`.
+    /// One response, which may be an interim (1xx) one. Sets `m_isReusable`.
     HttpResult receiveOne();
     bool canRetryOnNewConnection(const HttpResult &result) const;
     HttpResult fail(HttpFailureCause cause, std::string text) const;
@@ -47,7 +47,7 @@
     std::string m_head;
     TcpStreamPtr m_stream;
     std::optional<HttpFailureCause> m_abortCause;
-    /// Bytes of the request that the kernel took.
+    /// Bytes of the request that the kernel accepted.
     std::size_t m_sentBytes = 0;
     bool m_isReusable = false;
     bool m_hasConnectionEnded = false;
--- a/src/transport/internal/httpconnection.h
+++ b/src/transport/internal/httpconnection.h
@@ -17,8 +17,8 @@
 class HttpRequestParser;
 class HttpServerCore;
 
-/// One client's connection. It has a fiber only while a request arrives, is worked on or answered:
-/// an idle connection would keep the touched pages of its stack.
+/// One client's connection. It has a fiber only while a request is received, handled or answered:
+/// for an idle connection a fiber would keep the touched pages of its stack in memory.
 class HttpConnection
     : public boost::intrusive_ref_counter<HttpConnection, boost::thread_unsafe_counter>,
       public boost::intrusive::list_base_hook<
@@ -33,9 +33,9 @@
     void start() { waitForRequest(); }
     /// Answers 503 without reading a request; suspends the calling fiber.
     void refuse();
-    /// Ends a connection on which no part of a request has arrived.
+    /// Closes the connection if no part of a request has arrived on it.
     void closeIfIdle();
-    /// Ends the connection at once and forgets the disconnect callback.
+    /// Closes the connection at once and drops the disconnect callback.
     void abort();
 
 private:
@@ -47,7 +47,7 @@
     };
     enum class Received {
         Request,
-        Refused, ///< Answered with an error; the connection is to end.
+        Refused, ///< Answered with an error; the connection is to be closed.
         Ended,
     };
 
--- a/src/transport/internal/httpfields.h
+++ b/src/transport/internal/httpfields.h
@@ -8,16 +8,16 @@
 
 namespace ivyspar {
 
-/// Whether a field concerns one connection only and is written by the transport itself.
+/// Whether a field is hop-by-hop and is written by the transport itself.
 bool isConnectionField(std::string_view name);
 /// Whether `text` is a token of RFC 7230 (method or field name).
 bool isHttpToken(std::string_view text);
 /// Whether a field can be written without changing the meaning of the message. A line break in a
-/// value would let its source add fields or a whole message.
+/// value would allow header injection or request smuggling.
 bool isSafeField(const HttpHeader &header);
 /// Removes the fields that `Connection` names, given its value.
 void removeNamedFields(std::vector<HttpHeader> &headers, const std::string &connectionValue);
-/// Appends the fields that go over the wire; unsafe ones and those of the transport are left out.
+/// Appends all fields except unsafe ones and those that the transport writes itself.
 void appendFields(std::string &head, const std::vector<HttpHeader> &headers);
 void appendField(std::string &head, std::string_view name, std::string_view value);
 
--- a/src/transport/internal/httplogservice.h
+++ b/src/transport/internal/httplogservice.h
@@ -23,7 +23,7 @@
 
     LogServiceSettings m_settings;
     IHttpClient &m_client;
-    /// The endpoint that answered last. Other fibers may change it during an exchange.
+    /// Index of the endpoint to try first. Other fibers may change it during an exchange.
     std::size_t m_preferred = 0;
     std::list<HttpCancellationPtr> m_reads;
 };
--- a/src/transport/internal/httpparser.h
+++ b/src/transport/internal/httpparser.h
@@ -13,7 +13,7 @@
     Done,
     HeaderTooLarge,
     BodyTooLarge,
-    Malformed, ///< Also a message whose end cannot be told from a lost connection.
+    Malformed, ///< Also a message whose end is indistinguishable from a lost connection.
 };
 
 struct HttpParseLimits
@@ -22,8 +22,8 @@
     std::size_t bodyBytes = 0;
 };
 
-/// Reads one request from pieces of input. Header fields that concern only one connection
-/// (Connection and those it names, Transfer-Encoding, …) and trailers are left out of the result.
+/// Parses one request incrementally. Hop-by-hop header fields (Connection and those it names,
+/// Transfer-Encoding, …) and trailers are left out of the result.
 class HttpRequestParser
 {
 public:
@@ -32,9 +32,9 @@
     HttpRequestParser(const HttpRequestParser &) = delete;
     HttpRequestParser &operator=(const HttpRequestParser &) = delete;
 
-    /// Sets `consumed` to the bytes of `input` that were taken; the rest is to be given again.
+    /// Sets `consumed` to the number of bytes parsed; the caller passes the rest again.
     HttpParseStatus put(std::string_view input, std::size_t &consumed);
-    /// Whether the header is complete and the client waits for "100 Continue".
+    /// Whether the header is complete and the client expects "100 Continue".
     bool expectsContinue() const;
     // Once the request is done:
     bool isKeepAlive() const;
@@ -46,8 +46,8 @@
     std::unique_ptr<Private> m_p;
 };
 
-/// Reads one response, as HttpRequestParser does a request. Interim (1xx) responses are responses
-/// of their own.
+/// Parses one response like HttpRequestParser parses a request. Each interim (1xx) response counts
+/// as a separate response.
 class HttpResponseParser
 {
 public:
@@ -59,7 +59,7 @@
     HttpResponseParser &operator=(const HttpResponseParser &) = delete;
 
     HttpParseStatus put(std::string_view input, std::size_t &consumed);
-    /// The connection ended in good order. `Done` if the response may end so.
+    /// To be called at an orderly end of the connection. `Done` if that completes the response.
     HttpParseStatus finish();
     // Once the response is done:
     bool isKeepAlive() const;
--- a/src/transport/internal/httppool.h
+++ b/src/transport/internal/httppool.h
@@ -12,7 +12,7 @@
 
 namespace ivyspar {
 
-/// The client's connections to one endpoint.
+/// The pool of the client's connections to one endpoint.
 class HttpPool : public boost::intrusive_ref_counter<HttpPool, boost::thread_unsafe_counter>
 {
 public:
@@ -21,20 +21,20 @@
     {
     }
 
-    /// Counts a connection that is about to be opened; false when the limit is reached.
+    /// Reserves a connection that is about to be opened; false if the limit is reached.
     bool reserve();
-    /// An open or reserved connection is gone.
+    /// Closes an open or reserved connection and releases its place in the pool.
     void discard(const TcpStreamPtr &stream);
-    /// The unused connection that was used last, or null.
+    /// The most recently used idle connection, or null.
     TcpStreamPtr takeIdle();
     void putIdle(TcpStreamPtr stream, TimePoint now);
-    /// Closes connections that were not used since `time`.
+    /// Closes the connections that have been idle since `time` or earlier.
     void closeIdleSince(TimePoint time);
 
     void setLimit(std::size_t limit);
     std::size_t idleCount() const { return m_idle.size(); }
     std::size_t connectionCount() const { return m_connectionCount; }
-    /// Nothing would be lost with this pool.
+    /// Whether the pool has neither connections nor a limit of its own.
     bool isDisposable() const { return m_connectionCount == 0 && !m_hasOwnLimit; }
 
 private:
--- a/src/transport/internal/httpserver.h
+++ b/src/transport/internal/httpserver.h
@@ -12,8 +12,8 @@
 
 namespace ivyspar {
 
-/// What the connections of a server share. Lives until the last of their fibers has ended, which
-/// may be after the server was destroyed.
+/// State shared by the connections of a server. Lives until the last of their fibers has ended,
+/// which may be after the server was destroyed.
 class HttpServerCore
     : public boost::intrusive_ref_counter<HttpServerCore, boost::thread_unsafe_counter>
 {
@@ -25,7 +25,7 @@
     void setLimits(const HttpLimits &limits) { m_limits = limits; }
     void disableKeepAlive() { m_isKeepAliveDisabled = true; }
     void drain(Duration timeout);
-    /// Ends everything at once.
+    /// Stops accepting and closes all connections at once.
     void abort();
 
     EventLoop &loop() { return m_loop; }
@@ -33,9 +33,9 @@
     const HttpHandler &handler() const { return m_handler; }
     bool closesConnections() const { return m_isKeepAliveDisabled || m_isDraining; }
     std::size_t connectionCount() const { return m_connectionCount; }
-    /// A connection has sent its last answer, or broke.
+    /// Called when a connection has sent its last response or was closed.
     void onConnectionDone();
-    /// Whether one more connection may wait for its client's end.
+    /// Counts one more lingering connection; false if the limit is reached.
     bool beginLinger();
     void endLinger() { --m_lingerCount; }
 
@@ -55,7 +55,7 @@
     HttpHandler m_handler;
     boost::asio::ip::tcp::acceptor m_acceptor;
     ConnectionList m_connections;
-    /// Connections that are served; the list also has those that only wait for their end.
+    /// Connections being served; the list also contains refused and lingering ones.
     std::size_t m_connectionCount = 0;
     std::size_t m_refusalCount = 0;
     std::size_t m_lingerCount = 0;
--- a/src/transport/internal/peerconnectattempt.h
+++ b/src/transport/internal/peerconnectattempt.h
@@ -13,12 +13,12 @@
 
 namespace ivyspar {
 
-/// An attempt to open a link, and the fibers that wait for it.
+/// An attempt to open a link, with the fibers that wait for its result.
 class PeerConnectAttempt
     : public boost::intrusive_ref_counter<PeerConnectAttempt, boost::thread_unsafe_counter>
 {
 public:
-    /// Keeps the first result only.
+    /// Ignored if there is already a result.
     void finish(const RetVal<LinkId> &result)
     {
         if (m_result) {
--- a/src/transport/internal/peernetworkcore.h
+++ b/src/transport/internal/peernetworkcore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Compiles slowly: for the implementation of the peer network only.
+// Slow to compile: to be included by the implementation of the peer network only.
 
 #include <chrono>
 #include <map>
@@ -22,8 +22,8 @@
 
 namespace ivyspar {
 
-/// The links and their handlers. Lives until websocketpp has let go of the last connection, which
-/// is after the network was destroyed; it then calls nobody.
+/// The links and their handlers. Lives until websocketpp has released the last connection, which
+/// is after the network was destroyed; it calls no handler by then.
 class PeerNetworkCore
     : public boost::intrusive_ref_counter<PeerNetworkCore, boost::thread_unsafe_counter>
 {
@@ -38,7 +38,7 @@
     void close(LinkId link) { close(link, CLOSE_TIMEOUT); }
     std::size_t linkCount() const { return m_establishedCount; }
     void shutdown(Duration timeout);
-    /// Ends everything at once and calls the handler no more.
+    /// Terminates all connections at once and calls the handler no more.
     void abort();
 
 private:
@@ -79,7 +79,7 @@
     void onHeartbeat();
     void checkLink(const ConnectionPtr &connection, TimePoint now);
 
-    /// For the queued frames and the peer's answer.
+    /// Time to send the queued frames and to receive the peer's close frame.
     static constexpr Duration CLOSE_TIMEOUT = std::chrono::seconds(1);
 
     EventLoop &m_loop;
@@ -88,7 +88,7 @@
     WebSocketServer m_server;
     WebSocketClient m_client;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    /// All connections that websocketpp works on: in the handshake, established and closing.
+    /// All connections of websocketpp: in the handshake, established and closing.
     std::unordered_map<LinkId, ConnectionPtr> m_connections;
     std::map<Endpoint, LinkId> m_outgoing;
     std::map<Endpoint, PeerConnectAttemptPtr> m_attempts;
--- a/src/transport/internal/stackpool.h
+++ b/src/transport/internal/stackpool.h
@@ -10,10 +10,10 @@
 
 namespace ivyspar {
 
-/// Keeps the stacks of ended fibers for new ones, as mapping one costs several system calls.
+/// Reuses the stacks of ended fibers, as mapping a new one costs several system calls.
 ///
-/// A stack ends at a guard page: a fiber that needs more than its stack stops the process there;
-/// without the page it would silently overwrite another fiber's data.
+/// Each stack ends with a guard page: a stack overflow terminates the process there instead of
+/// silently overwriting another fiber's data.
 class StackPool : public boost::intrusive_ref_counter<StackPool, boost::thread_unsafe_counter>
 {
 public:
@@ -29,14 +29,14 @@
     boost::context::protected_fixedsize_stack m_source{ STACK_BYTES };
     std::vector<boost::context::stack_context> m_unused;
 
-    /// Boost's own default. Only touched pages take memory, so a smaller size would save address
-    /// space only (1,000 requests in work: 128 MiB of it) and bring the guard page nearer.
+    /// Boost's default. Only touched pages use memory, so a smaller stack would merely save address
+    /// space (128 MiB for 1,000 concurrent requests) and make an overflow more likely.
     static constexpr std::size_t STACK_BYTES = 128 * 1024;
-    /// Bounds what a past peak of fibers holds on to.
+    /// Bounds the memory retained after a peak in the number of fibers.
     static constexpr std::size_t MAX_UNUSED_STACKS = 64;
 };
 
-/// What Boost.Fiber takes as a stack allocator: a reference to the pool.
+/// Stack allocator for Boost.Fiber that refers to a pool.
 class PooledStack
 {
 public:
--- a/src/transport/internal/tcpstream.h
+++ b/src/transport/internal/tcpstream.h
@@ -16,10 +16,10 @@
 
 namespace ivyspar {
 
-/// A TCP connection for one fiber, with a buffer for what arrived and was not yet consumed.
+/// A TCP connection used by one fiber, with a buffer for received bytes not yet consumed.
 ///
-/// One read may stay pending while the fiber does something else; that is how an end of the
-/// connection is noticed at no cost: the same read takes the next request.
+/// One read may stay pending while the fiber does something else. This detects a close by the peer
+/// at no extra cost, as the same read receives the next request.
 class TcpStream : public boost::intrusive_ref_counter<TcpStream, boost::thread_unsafe_counter>
 {
 public:
@@ -29,34 +29,36 @@
 
     /// Suspends the calling fiber.
     ErrorCode connect(const boost::asio::ip::tcp::endpoint &endpoint);
-    /// Suspends the calling fiber until more input is there.
+    /// Suspends the calling fiber until more input has arrived.
     ErrorCode read();
     /// Makes sure that a read is pending, unless one has failed.
     void startRead();
-    /// Suspends the calling fiber until all is handed to the kernel. `written` counts the bytes,
-    /// also on an error.
+    /// Suspends the calling fiber until the kernel has accepted all bytes. `written` is set to the
+    /// number of bytes accepted, also on an error.
     ErrorCode write(std::string_view head, std::string_view body, std::size_t &written);
 
     std::string_view input() const { return std::string_view(m_input).substr(m_consumed); }
     void consume(std::size_t count);
-    /// Why nothing more can be read; no error while the connection lives.
+    /// Why nothing more can be read; no error while the connection is readable.
     const ErrorCode &readError() const { return m_readError; }
-    /// Called once, after the next read that completes; empty for none.
+    /// `observer` is called once, after the next completed read; an empty function removes it.
     void setReadObserver(std::function<void()> observer) { m_onRead = std::move(observer); }
 
-    /// Looks whether the other side has closed the connection behind what was read; `readError`
-    /// tells so from then on. Costs a system call.
+    /// Checks whether the peer has closed the connection after the bytes already read; if so, sets
+    /// `readError` to `eof`. Costs a system call.
     void detectPeerClose();
-    /// Whether the other side has neither closed the connection nor sent anything unasked.
+    /// Whether the connection is open, with neither a pending read nor unread input. Costs a system
+    /// call.
     bool isIdle();
-    /// Ends what is pending with an error; the connection stays usable.
+    /// Ends pending operations with an error; the connection remains usable.
     void cancel();
     void close();
     bool isOpen() const { return m_socket.is_open(); }
-    /// Tells the other side that no more comes.
+    /// Half-closes the connection: the peer reads an end of stream.
     void shutdownSend();
+    /// Bytes that the kernel has ready to be read.
     std::size_t available();
-    /// Gives up the socket, after which the stream is closed.
+    /// Releases the socket; the stream is closed afterwards.
     boost::asio::ip::tcp::socket takeSocket() { return std::move(m_socket); }
 
 private:
@@ -80,9 +82,11 @@
 };
 using TcpStreamPtr = boost::intrusive_ptr<TcpStream>;
 
+/// `InvalidArgument` if the address is not an IP address.
 RetVal<boost::asio::ip::tcp::endpoint> toTcpEndpoint(const Endpoint &endpoint);
 Endpoint fromTcpEndpoint(const boost::asio::ip::tcp::endpoint &endpoint);
-/// Opens `acceptor` and listens. Returns the endpoint with the port that it got.
+/// Opens `acceptor` and listens. Returns the endpoint with the actual port; `Unavailable` if that
+/// fails.
 RetVal<Endpoint> openAcceptor(boost::asio::ip::tcp::acceptor &acceptor, const Endpoint &endpoint);
 
 } // namespace ivyspar
--- a/src/transport/internal/timerqueue.h
+++ b/src/transport/internal/timerqueue.h
@@ -10,7 +10,7 @@
 
 namespace ivyspar {
 
-/// Tasks in order of time; tasks of the same time keep their order of arrival. Ids are not reused
+/// Tasks ordered by time; tasks with the same time keep their insertion order. An id is not reused
 /// before 2^32 further timers.
 class TimerQueue
 {
@@ -19,7 +19,7 @@
 
     TimerId add(TimePoint time, Task task);
     void cancel(TimerId id);
-    /// Removes and returns the first task that is due, or an empty function.
+    /// Removes and returns the first task that is due; an empty function if there is none.
     Task takeDue(TimePoint now);
     /// The time of the first task, or TimePoint::max().
     TimePoint nextTime();
@@ -45,8 +45,8 @@
 
     std::vector<Slot> m_slots;
     std::vector<std::uint32_t> m_freeSlots;
-    /// A heap with the earliest entry in front. Entries of cancelled tasks stay until they come to
-    /// the front or outnumber the others.
+    /// Min-heap by time. Entries of cancelled tasks stay until they reach the front or outnumber
+    /// the others.
     std::vector<Entry> m_heap;
     std::uint64_t m_order = 0;
 };
--- a/src/transport/internal/websocketconfig.h
+++ b/src/transport/internal/websocketconfig.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Compiles slowly: for the implementation of the peer network only.
+// Slow to compile: to be included by the implementation of the peer network only.
 
 #include <cstddef>
 #include <memory>
@@ -23,31 +23,31 @@
 void intrusive_ptr_add_ref(PeerNetworkCore *core);
 void intrusive_ptr_release(PeerNetworkCore *core);
 
-/// What this side keeps with each WebSocket connection.
+/// State of this side for each WebSocket connection.
 struct PeerLinkState
 {
-    /// Keeps the core until websocketpp has let go of the last connection.
+    /// Keeps the core alive until websocketpp has released the last connection.
     boost::intrusive_ptr<PeerNetworkCore> core;
     LinkId id;
-    /// Where the link leads, if this side opened it.
+    /// Remote endpoint, if this side opened the link.
     Endpoint endpoint;
     TimePoint lastReceived;
-    /// The last frame in either direction.
+    /// When the last frame was sent or received.
     TimePoint lastFrame;
     bool isOutgoing = false;
     bool isEstablished = false;
     bool isPinged = false;
-    /// Set while the frames to the other side are compressed.
+    /// Set once frames to the peer are compressed.
     std::unique_ptr<FrameDeflater> deflater;
-    /// Set from the first compressed frame of the other side on.
+    /// Set from the peer's first compressed frame on.
     std::unique_ptr<FrameInflater> inflater;
 };
 
-/// One thread, no logging, small buffers. The base class has no extension; websocketpp 0.8.2 fails
-/// its own client handshakes when extensions are switched off altogether.
+/// Single-threaded, no logging, small buffers. The base class has no extensions enabled;
+/// websocketpp 0.8.2 fails its own client handshakes if extension support is disabled altogether.
 struct WebSocketConfig : websocketpp::config::core
 {
-    // NOLINTBEGIN(readability-identifier-naming): the names that websocketpp asks for.
+    // NOLINTBEGIN(readability-identifier-naming): names required by websocketpp.
     using concurrency_type = websocketpp::concurrency::none;
     using alog_type = websocketpp::log::stub;
     using elog_type = websocketpp::log::stub;
@@ -66,12 +66,12 @@
     };
     using transport_type = websocketpp::transport::asio::endpoint<transport_config>;
 
-    /// Part of each connection's memory. The usual frame has less than 1 KiB.
+    /// Allocated for each connection. A typical frame is smaller than 1 KiB.
     static const std::size_t connection_read_buffer_size = 2048;
     /// A handshake has no body.
     static const std::size_t max_http_body_size = 1024;
-    /// After an invalid frame the rest of the stream means nothing: the link ends at once, where
-    /// a closing handshake would wait for an answer that may never come.
+    /// After an invalid frame the rest of the stream cannot be parsed: the link is dropped at once,
+    /// as a closing handshake could wait for a reply that never arrives.
     static const bool drop_on_protocol_error = true;
     // NOLINTEND(readability-identifier-naming)
 };
--- a/src/transport/ipeernetwork.h
+++ b/src/transport/ipeernetwork.h
@@ -14,26 +14,25 @@
 {
     std::size_t frameBytes = 2 * 1024 * 1024;
     std::size_t links = 2000;
-    /// Bytes that may wait to be sent on one link before `send` refuses.
+    /// Bytes that may be queued for sending on one link before `send` fails with `Throttled`.
     std::size_t sendBufferBytes = 8 * 1024 * 1024;
     Duration connectTimeout = std::chrono::seconds(1);
     /// A link without traffic is probed with a ping after this time and closed after twice this
     /// time.
     Duration heartbeatInterval = std::chrono::seconds(2);
-    /// A link that this side opened and that carried no frame for this long is closed.
+    /// A link opened by this side is closed after this time without a frame.
     Duration idleTimeout = std::chrono::seconds(120);
 };
 
-/// Receives what happens on links. Called as plain callbacks on the loop's thread; must not
-/// suspend.
+/// Receives the events of links. Called as plain callbacks on the loop's thread; must not suspend.
 class IPeerHandler
 {
 public:
     virtual ~IPeerHandler() = default;
 
-    /// A whole binary message.
+    /// A complete binary message.
     virtual void onFrame(LinkId link, std::string frame) = 0;
-    /// The link is gone; nothing more arrives on it and its id is not used again.
+    /// The link is closed; no more frames arrive on it and its id is not reused.
     virtual void onLinkDown(LinkId link) = 0;
 };
 
@@ -44,17 +43,20 @@
     virtual ~IPeerNetwork() = default;
 
     virtual void setHandler(IPeerHandler *handler) = 0;
+    /// Returns the endpoint that it listens on. `Conflict` if it is already listening or was shut
+    /// down, `Unavailable` if the address cannot be bound.
     virtual RetVal<Endpoint> listen(const Endpoint &endpoint, const PeerLimits &limits) = 0;
-    /// The open link to that endpoint that this side opened, or a new one. Suspends the calling
-    /// fiber while connecting; concurrent callers share one attempt.
+    /// Returns the open link that this side has to `endpoint`, or opens one. Suspends the calling
+    /// fiber while connecting; concurrent calls share one attempt.
     virtual RetVal<LinkId> connect(const Endpoint &endpoint) = 0;
-    /// Does not suspend. An error is proof that nothing was sent. Success is no proof of delivery.
+    /// Does not suspend. An error proves that nothing was sent; success does not prove delivery.
     virtual Ret send(LinkId link, std::string frame) = 0;
-    /// From now on the frames to this link are compressed: worth its time where bytes are dear.
+    /// Compresses all further frames sent on this link: trades CPU time for bandwidth.
     virtual void enableCompression(LinkId link) = 0;
     virtual void close(LinkId link) = 0;
     virtual std::size_t linkCount() const = 0;
-    /// Accepts no more, closes all links after their queued frames were sent.
+    /// Stops accepting and closes all links after sending their queued frames. Suspends the calling
+    /// fiber until all are closed or `timeout` has passed.
     virtual void shutdown(Duration timeout) = 0;
 };
 
--- a/src/transport/logheaders.h
+++ b/src/transport/logheaders.h
@@ -2,9 +2,9 @@
 
 namespace ivyspar::headers {
 
-/// From clients of the log: their name.
+/// Request header: the name of the client.
 constexpr char LOG_CLIENT[] = "Log-Client";
-/// From the log: `not-appended` on a refusal is the proof that the record was not appended.
+/// Response header: `not-appended` in an error response proves that the record was not appended.
 constexpr char LOG_OUTCOME[] = "Log-Outcome";
 constexpr char LOG_NOT_APPENDED[] = "not-appended";
 
--- a/src/transport/logservicefactory.h
+++ b/src/transport/logservicefactory.h
@@ -11,15 +11,15 @@
 
 struct LogServiceSettings
 {
-    /// Any of them serves every stream; they are tried in turn.
+    /// Each endpoint serves every stream; they are tried in turn.
     std::vector<Endpoint> endpoints;
-    /// Sent as `Log-Client`, so that the platform can tell its clients apart. May be empty.
+    /// Sent as `Log-Client` to identify this client to the platform. May be empty.
     std::string clientName;
-    /// For one exchange with one endpoint, not counting the time that a read waits.
+    /// Timeout of one exchange with one endpoint, not counting the time that a read waits.
     Duration timeout = std::chrono::seconds(2);
 };
 
-/// Answers of a log that the HTTP client must take: pages of some MB.
+/// Body size limit that the HTTP client of a log needs: pages take several MB.
 constexpr std::size_t MAX_LOG_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /// The platform's log over HTTP, as docs/STATE.md describes it. `client` must accept bodies of
--- a/src/transport/oneshot.h
+++ b/src/transport/oneshot.h
@@ -11,7 +11,7 @@
 
 namespace ivyspar {
 
-/// A value that one party sets and one fiber of the same thread waits for. Not thread-safe.
+/// A value that is set once and that one fiber of the same thread waits for. Not thread-safe.
 template <typename T> class OneShot
 {
 public:
@@ -23,7 +23,7 @@
     OneShot(const OneShot &) = delete;
     OneShot &operator=(const OneShot &) = delete;
 
-    /// Keeps the first value only. May be called from a plain callback of the loop.
+    /// Ignored if a value is already set. May be called from a plain callback of the loop.
     void set(T value)
     {
         if (m_value) {
@@ -35,7 +35,7 @@
 
     bool isSet() const { return m_value.has_value(); }
 
-    /// Suspends until the value is there; nothing when `timeout` passes first.
+    /// Takes the value, suspending until it is set; `nullopt` if `timeout` passes first.
     std::optional<T> wait(Duration timeout)
     {
         if (!m_value && timeout > Duration::zero()) {
--- a/src/transport/transportfactory.h
+++ b/src/transport/transportfactory.h
@@ -11,11 +11,11 @@
 namespace ivyspar {
 
 /// The loop binds to the thread that first calls `spawn`, `sleepFor` or `run`. Its fibers end
-/// before it and before that thread.
+/// before the loop is destroyed and before that thread exits.
 std::unique_ptr<IEventLoop> makeEventLoop();
 
-// These take a loop of `makeEventLoop`, which outlives them, and are made, used and destroyed on
-// its thread (or before `run` and after it returned).
+// The following objects need a loop from `makeEventLoop` that outlives them. They are created, used
+// and destroyed on its thread (or before `run` is called and after it has returned).
 std::unique_ptr<IHttpServer> makeHttpServer(IEventLoop &loop);
 std::unique_ptr<IHttpClient> makeHttpClient(IEventLoop &loop, const HttpClientLimits &limits);
 std::unique_ptr<IPeerNetwork> makePeerNetwork(IEventLoop &loop);
