--- a/src/transport/tests/datagramsockettest.cpp
+++ b/src/transport/tests/datagramsockettest.cpp
@@ -63,7 +63,7 @@
     bool m_isListening = false;
 };
 
-TEST(DatagramSocket, CarriesPayloadsOfAllBytes)
+TEST(DatagramSocket, CarriesArbitraryBytes)
 {
     const std::string bytes("\0\n\xff", 3);
     CHECK(send(bytes).has_value());
@@ -73,7 +73,7 @@
     CHECK_EQUAL(IDatagramSocket::MAX_PAYLOAD_BYTES, m_collector.payloads[1].size());
 }
 
-TEST(DatagramSocket, RefusesWhatIsTooLong)
+TEST(DatagramSocket, RejectsOversizedPayload)
 {
     const Ret sent = send(std::string(IDatagramSocket::MAX_PAYLOAD_BYTES + 1, 'x'));
     CHECK(!sent);
@@ -83,7 +83,7 @@
 // 1. A peer's process has ended, and nothing takes datagrams at its port any more.
 // 2. The kernel may say so to the sender, as an error of a later call.
 // 3. Other peers are heard and spoken to as before: one that is gone must not cut this daemon off.
-TEST(DatagramSocket, APeerThatIsGoneDisturbsNoOther)
+TEST(DatagramSocket, UnreachablePeerDoesNotAffectOthers)
 {
     m_runner.run([this] {
         const Endpoint gone = freeEndpoint(m_runner.loop());
@@ -95,7 +95,7 @@
     CHECK(m_runner.reaches([this] { return m_collector.payloads.size() == 1; }));
 }
 
-TEST(DatagramSocket, ATakenPortIsAnError)
+TEST(DatagramSocket, ListenFailsOnPortInUse)
 {
     m_runner.run([this] {
         const auto second = makeDatagramSocket(m_runner.loop());
--- a/src/transport/tests/eventlooptest.cpp
+++ b/src/transport/tests/eventlooptest.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-TEST(EventLoop, TimersRunInOrderOfTime)
+TEST(EventLoop, TimersFireInTimeOrder)
 {
     std::string order;
     m_loop->callLater(milliseconds(3), [&] { order += 'c'; });
@@ -39,7 +39,7 @@
     STRCMP_EQUAL("abc", order.c_str());
 }
 
-TEST(EventLoop, AnIdOfATimerThatRanCancelsNoOther)
+TEST(EventLoop, IdOfFiredTimerCancelsNoOtherTimer)
 {
     bool hasRun = false;
     runTask([&] {
@@ -52,7 +52,7 @@
     CHECK(hasRun);
 }
 
-TEST(EventLoop, SleepingFibersTakeTurns)
+TEST(EventLoop, SleepingFibersInterleave)
 {
     std::string order;
     m_loop->spawn([&] {
@@ -81,7 +81,7 @@
     CHECK_EQUAL(7, received);
 }
 
-TEST(EventLoop, OneShotTimesOutAndStillTakesALaterValue)
+TEST(EventLoop, OneShotAcceptsValueAfterTimeout)
 {
     OneShot<int> value(*m_loop);
     bool isTimedOut = false;
@@ -98,7 +98,7 @@
 
 /// A fiber sleeps and nothing else happens. A loop that took Boost.Fiber's dispatcher for a ready
 /// fiber would turn as fast as it can, and an idle daemon would use a whole core.
-TEST(EventLoop, AnIdleLoopBlocks)
+TEST(EventLoop, IdleLoopBlocks)
 {
     constexpr std::uint64_t FEW = 10;
     EventLoop loop;
@@ -114,7 +114,7 @@
     CHECK(turns < FEW);
 }
 
-TEST(EventLoop, AnExceptionEndsOnlyItsFiber)
+TEST(EventLoop, ExceptionEndsOnlyItsFiber)
 {
     bool hasRun = false;
     m_loop->spawn([] { throw std::runtime_error("expected by the test"); });
@@ -125,7 +125,7 @@
     CHECK(hasRun);
 }
 
-TEST(EventLoop, TheMainFiberMayWaitOutsideOfRun)
+TEST(EventLoop, MainFiberMayWaitOutsideRun)
 {
     OneShot<int> value(*m_loop);
     m_loop->spawn([&] {
@@ -154,7 +154,7 @@
 }
 
 /// The same with a loop that another thread made and destroys.
-TEST(EventLoop, TheEndOfItsThreadEndsSleepingFibers)
+TEST(EventLoop, ThreadExitEndsSleepingFibers)
 {
     bool hasEnded = false;
     m_loop->post([&] {
--- a/src/transport/tests/framecompressiontest.cpp
+++ b/src/transport/tests/framecompressiontest.cpp
@@ -24,7 +24,7 @@
     FrameInflater m_inflater;
 };
 
-TEST(FrameCompression, AnyFramesComeBackInOrder)
+TEST(FrameCompression, FramesRoundTripInOrder)
 {
     const bool isHeld = rc::check([](const std::vector<std::string> &frames) {
         FrameDeflater deflater;
@@ -38,7 +38,7 @@
     CHECK(isHeld);
 }
 
-TEST(FrameCompression, LargeAndEmptyFramesComeBack)
+TEST(FrameCompression, LargeAndEmptyFramesRoundTrip)
 {
     for (const std::size_t size : { 0, 1, 4095, 4096, 4097, 300000, 0, 3 }) {
         const std::string frame(size, 'x');
@@ -48,7 +48,7 @@
     }
 }
 
-TEST(FrameCompression, FramesThatRepeatTheirNamesBecomeSmall)
+TEST(FrameCompression, RepeatedNamesCompressWell)
 {
     m_deflater.deflate(makeFrame(1));
     const std::string frame = makeFrame(2);
@@ -57,14 +57,14 @@
 
 // A peer sends a few bytes that make a frame of megabytes. It is not unpacked beyond the limit that
 // holds for plain frames.
-TEST(FrameCompression, FrameThatGrowsBeyondTheLimitIsRefused)
+TEST(FrameCompression, FrameExpandingBeyondLimitIsRejected)
 {
     const std::string small = m_deflater.deflate(std::string(10 * MAX_BYTES, 'x'));
     CHECK(small.size() < MAX_BYTES / 10);
     CHECK_FALSE(m_inflater.inflate(small, MAX_BYTES).has_value());
 }
 
-TEST(FrameCompression, BytesThatAreNoDeflatedDataAreRefused)
+TEST(FrameCompression, InvalidDeflateDataIsRejected)
 {
     CHECK_FALSE(m_inflater.inflate(std::string(100, '\xff'), MAX_BYTES).has_value());
 }
--- a/src/transport/tests/httpclienttest.cpp
+++ b/src/transport/tests/httpclienttest.cpp
@@ -51,7 +51,7 @@
     std::thread m_thread;
 };
 
-std::string makeAnswer(const std::string &body)
+std::string makeResponse(const std::string &body)
 {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + HEAD_END + body;
 }
@@ -120,12 +120,12 @@
     }
 };
 
-TEST(HttpClient, ReusesAConnection)
+TEST(HttpClient, ReusesConnection)
 {
     m_server.run([](RawSocket &listener) {
         RawSocket peer = listener.accept();
         while (!peer.readUntil(HEAD_END).empty()) {
-            peer.send(makeAnswer("hello"));
+            peer.send(makeResponse("hello"));
         }
     });
     for (int i = 0; i < 3; ++i) {
@@ -137,7 +137,7 @@
     m_runner.run([&] { m_client.reset(); });
 }
 
-TEST(HttpClient, WritesARequestWithItsOwnFraming)
+TEST(HttpClient, ReplacesFramingFieldsOfRequest)
 {
     std::string received;
     m_server.run([&](RawSocket &listener) {
@@ -167,7 +167,7 @@
     m_server.join();
 }
 
-TEST(HttpClient, RefusesARequestThatCannotBeWrittenSafely)
+TEST(HttpClient, RejectsUnsafeRequest)
 {
     HttpRequest request = makeGet("/");
     request.headers = { { "X", "a\r\nEvil: 1" } };
@@ -177,7 +177,7 @@
     checkFailure(exchange(makeGet("")), HttpFailureStage::NotSent, HttpFailureCause::Broken);
 }
 
-TEST(HttpClient, AnswersWithoutBodyAreWhole)
+TEST(HttpClient, ResponsesWithoutBodyAreComplete)
 {
     const HttpResult head = resultOf("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n", "HEAD");
     CHECK(head.has_value());
@@ -186,17 +186,17 @@
     CHECK_EQUAL(304, resultOf("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n")->status);
 }
 
-TEST(HttpClient, SkipsInterimAnswers)
+TEST(HttpClient, SkipsInterimResponses)
 {
     const HttpResult result =
-        resultOf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\n\r\n" + makeAnswer("x"));
+        resultOf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\n\r\n" + makeResponse("x"));
     CHECK(result.has_value());
     STRCMP_EQUAL("x", result->body.c_str());
 }
 
 /// The server takes the request and its answer ends early, breaks the protocol, or has no end that
 /// could be told from a crash. The request may have run, and no part of the answer is passed on.
-TEST(HttpClient, ABrokenAnswerIsNeverPassedAsWhole)
+TEST(HttpClient, IncompleteOrMalformedResponseIsAFailure)
 {
     m_limits.bodyBytes = 1000;
     m_limits.headerBytes = 1000;
@@ -210,14 +210,14 @@
            std::string("HTTP/1.1 200 OK\r\n\r\nuntil the end"),
            std::string("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"),
            std::string("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
-           std::string("garbage\r\n\r\n"), makeAnswer(big),
+           std::string("garbage\r\n\r\n"), makeResponse(big),
            std::string("HTTP/1.1 200 OK\r\nA: ").append(big).append(HEAD_END) }) {
         checkFailure(resultOf(bytes), HttpFailureStage::MaybeSent, HttpFailureCause::Broken,
                      bytes.c_str());
     }
 }
 
-TEST(HttpClient, ARefusedConnectIsProofThatNothingWasSent)
+TEST(HttpClient, RefusedConnectIsReportedAsNotSent)
 {
     m_server.stopListening();
     checkFailure(exchange(makeGet("/")), HttpFailureStage::NotSent, HttpFailureCause::Connect);
@@ -225,7 +225,7 @@
     checkFailure(exchange(makeGet("/")), HttpFailureStage::NotSent, HttpFailureCause::Connect);
 }
 
-TEST(HttpClient, AResetAfterTheRequestProvesNothing)
+TEST(HttpClient, ResetAfterRequestIsReportedAsMaybeSent)
 {
     m_server.run([](RawSocket &listener) {
         RawSocket peer = listener.accept();
@@ -237,19 +237,19 @@
 
 /// The server closes the connection after its first answer, without saying so. The client sees
 /// the end before it writes the second request, and sends it on a fresh connection.
-TEST(HttpClient, ReplacesAConnectionThatTheServerClosed)
+TEST(HttpClient, ReplacesIdleConnectionClosedByServer)
 {
     std::promise<void> isClosed;
     m_server.run([&](RawSocket &listener) {
         {
             RawSocket peer = listener.accept();
             peer.readUntil(HEAD_END);
-            peer.send(makeAnswer("first"));
+            peer.send(makeResponse("first"));
         }
         isClosed.set_value();
         RawSocket peer = listener.accept();
         peer.readUntil(HEAD_END);
-        peer.send(makeAnswer("second"));
+        peer.send(makeResponse("second"));
     });
     STRCMP_EQUAL("first", exchange(makeGet("/1"))->body.c_str());
     isClosed.get_future().wait();
@@ -259,22 +259,22 @@
 
 /// After its answer the server sends more than it was asked for. Taken as the next answer, it
 /// would give a caller somebody else's answer; the connection must not be used again.
-TEST(HttpClient, NeverTakesBytesFromBeforeItsRequestAsTheAnswer)
+TEST(HttpClient, UnsolicitedBytesAreNeverTakenAsResponse)
 {
     m_server.run([&](RawSocket &listener) {
         RawSocket peer = listener.accept();
         peer.readUntil(HEAD_END);
-        peer.send(makeAnswer("first") + makeAnswer("unasked"));
+        peer.send(makeResponse("first") + makeResponse("unasked"));
         RawSocket next = listener.accept();
         next.readUntil(HEAD_END);
-        next.send(makeAnswer("second"));
+        next.send(makeResponse("second"));
     });
     STRCMP_EQUAL("first", exchange(makeGet("/1"))->body.c_str());
     STRCMP_EQUAL("second", exchange(makeGet("/2"))->body.c_str());
     m_server.join();
 }
 
-TEST(HttpClient, DoesNotReuseAConnectionThatTheServerWillClose)
+TEST(HttpClient, DoesNotReuseConnectionMarkedClose)
 {
     m_server.run([&](RawSocket &listener) {
         RawSocket peer = listener.accept();
@@ -282,7 +282,7 @@
         peer.send("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         RawSocket next = listener.accept();
         next.readUntil(HEAD_END);
-        next.send(makeAnswer("second"));
+        next.send(makeResponse("second"));
     });
     CHECK(exchange(makeGet("/1")).has_value());
     STRCMP_EQUAL("second", exchange(makeGet("/2"))->body.c_str());
@@ -291,16 +291,16 @@
 
 /// The answer comes after the timeout. The exchange fails as MaybeSent, its connection is closed,
 /// and the late answer can't be taken for that of the next request.
-TEST(HttpClient, ALateAnswerGoesNowhere)
+TEST(HttpClient, LateResponseIsDiscarded)
 {
     m_server.run([&](RawSocket &listener) {
         RawSocket peer = listener.accept();
         peer.readUntil(HEAD_END);
         peer.readToEnd();
-        peer.send(makeAnswer("late"));
+        peer.send(makeResponse("late"));
         RawSocket next = listener.accept();
         next.readUntil(HEAD_END);
-        next.send(makeAnswer("second"));
+        next.send(makeResponse("second"));
     });
     checkFailure(exchange(makeGet("/1"), milliseconds(20)), HttpFailureStage::MaybeSent,
                  HttpFailureCause::Timeout);
@@ -334,7 +334,7 @@
 
 /// The server takes nothing, so a large request gets stuck half written. Cancelling it then is no
 /// proof: the part that left may have been enough.
-TEST(HttpClient, ACancelledHalfRequestMayHaveBeenSent)
+TEST(HttpClient, CancelledPartialRequestIsReportedAsMaybeSent)
 {
     std::promise<void> isReceived;
     std::promise<void> mayEnd;
@@ -360,7 +360,7 @@
     m_server.join();
 }
 
-TEST(HttpClient, KeepsTheLimitOfAnEndpoint)
+TEST(HttpClient, EnforcesConnectionLimitOfEndpoint)
 {
     std::promise<void> isReceived;
     std::promise<void> mayAnswer;
@@ -369,9 +369,9 @@
         peer.readUntil(HEAD_END);
         isReceived.set_value();
         mayAnswer.get_future().wait();
-        peer.send(makeAnswer("a"));
+        peer.send(makeResponse("a"));
         peer.readUntil(HEAD_END);
-        peer.send(makeAnswer("b"));
+        peer.send(makeResponse("b"));
     });
     makeClient();
     m_runner.run([&] { m_client->setConnectionLimit(m_endpoint, 1); });
@@ -388,14 +388,14 @@
     m_server.join();
 }
 
-TEST(HttpClient, WarmConnectionsAreUsed)
+TEST(HttpClient, PreconnectedConnectionsAreUsed)
 {
     std::promise<void> isAccepted;
     m_server.run([&](RawSocket &listener) {
         RawSocket peer = listener.accept();
         isAccepted.set_value();
         peer.readUntil(HEAD_END);
-        peer.send(makeAnswer("warm"));
+        peer.send(makeResponse("warm"));
     });
     makeClient();
     m_runner.run([&] {
@@ -412,14 +412,14 @@
     m_server.join();
 }
 
-TEST(HttpClient, UnusedConnectionsAreClosed)
+TEST(HttpClient, IdleConnectionsAreClosed)
 {
     m_limits.idleTimeout = milliseconds(10);
     std::string rest = "not read";
     m_server.run([&](RawSocket &listener) {
         RawSocket peer = listener.accept();
         peer.readUntil(HEAD_END);
-        peer.send(makeAnswer("a"));
+        peer.send(makeResponse("a"));
         rest = peer.readToEnd();
     });
     CHECK(exchange(makeGet("/")).has_value());
@@ -428,7 +428,7 @@
 }
 
 /// The client is destroyed while a request is out: its caller is told so, with the right stage.
-TEST(HttpClient, DestructionEndsExchanges)
+TEST(HttpClient, DestructionCancelsExchanges)
 {
     std::promise<void> isReceived;
     m_server.run([&](RawSocket &listener) {
@@ -450,7 +450,7 @@
 
 /// The server refuses a body by its length, answers at once and drops what still comes. The
 /// client gets that answer although it could not know it while it was writing.
-TEST(HttpClient, TakesAnAnswerThatComesBeforeTheWholeRequest)
+TEST(HttpClient, AcceptsResponseSentBeforeWholeRequest)
 {
     std::unique_ptr<IHttpServer> server;
     HttpLimits limits;
--- a/src/transport/tests/httplogservicetest.cpp
+++ b/src/transport/tests/httplogservicetest.cpp
@@ -33,7 +33,7 @@
     }
 };
 
-TEST(HttpLogService, AppendsTheBytes)
+TEST(HttpLogService, AppendsPayloadUnchanged)
 {
     answer(201, R"({"offset":42})");
     CHECK(m_log->append(m_stream, std::string("a\0b", 3)).value() == LogOffset(42));
@@ -46,7 +46,7 @@
 
 // A caller that is told "not appended" appends again. When an answer is lost after the bytes were
 // sent, the record may be in the log, so no other endpoint is asked and the outcome is unknown.
-TEST(HttpLogService, LostAnswersAreUnknown)
+TEST(HttpLogService, LostResponseGivesUnknown)
 {
     fail(HttpFailureStage::MaybeSent);
     CHECK(appendError() == ErrorCode::Unknown);
@@ -59,7 +59,7 @@
     CHECK(appendError() == ErrorCode::Unknown);
 }
 
-TEST(HttpLogService, RefusalsWithProofAreNot)
+TEST(HttpLogService, ProvenRefusalsAreNotUnknown)
 {
     answer(429, "");
     CHECK(appendError() == ErrorCode::Throttled);
@@ -76,7 +76,7 @@
     CHECK(appendError() == ErrorCode::Unavailable);
 }
 
-TEST(HttpLogService, TheNextEndpointIsAskedAndRemembered)
+TEST(HttpLogService, FailsOverToNextEndpointAndRemembersIt)
 {
     fail(HttpFailureStage::NotSent);
     answer(201, R"({"offset":0})");
@@ -86,7 +86,7 @@
     CHECK_EQUAL(2, m_client.calls.at(2).endpoint.port);
 }
 
-TEST(HttpLogService, ReadsAPageFromItsFirstRecord)
+TEST(HttpLogService, ReadsPageFromFirstRetainedRecord)
 {
     answer(200, R"({"first":4,"end":9,"records":[{"offset":4,"payload":"YQ=="}]})");
     const LogPage page = m_log->read(m_stream, LogOffset(2), 7, std::chrono::seconds(5)).value();
@@ -99,7 +99,7 @@
     CHECK(m_client.calls.at(0).timeout == std::chrono::seconds(7));
 }
 
-TEST(HttpLogService, PagesWithGapsOrDamageAreErrors)
+TEST(HttpLogService, PagesWithGapsOrMalformedRecordsAreErrors)
 {
     for (const char *body : { "", "[]", R"({"first":0,"end":1})",
                               R"({"first":0,"end":9,"records":[{"offset":1,"payload":"YQ=="}]})",
@@ -112,7 +112,7 @@
 }
 
 // A daemon that stops must not wait for a read that the log holds back, nor ask the next endpoint.
-TEST(HttpLogService, AWaitingReadCanBeCancelled)
+TEST(HttpLogService, PendingReadCanBeCancelled)
 {
     m_client.answer = [this](const MockHttpClient::Call &call) -> HttpResult {
         m_log->cancelReads();
--- a/src/transport/tests/httpparsertest.cpp
+++ b/src/transport/tests/httpparsertest.cpp
@@ -32,7 +32,7 @@
 TEST_GROUP(HttpParser){};
 
 /// The network may cut a message anywhere; the result must not depend on where.
-TEST(HttpParser, AnyCutGivesTheSameRequest)
+TEST(HttpParser, RequestIsIndependentOfSplitPosition)
 {
     const std::string text = "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
                              "X-Y: 1\r\n\r\n3\r\nabc\r\n2;e=f\r\nde\r\n0\r\nX-Y: trailer\r\n\r\n";
@@ -47,7 +47,7 @@
     }
 }
 
-TEST(HttpParser, AnyCutGivesTheSameResponse)
+TEST(HttpParser, ResponseIsIndependentOfSplitPosition)
 {
     const std::string text = "HTTP/1.1 404 Not Found\r\nContent-Length: 3\r\nA: b\r\n\r\nabc";
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -62,14 +62,14 @@
 
 /// Without a length the body would last until the connection ends, which is no proof of its end.
 /// The header is enough to refuse it; the caller does not wait for the rest.
-TEST(HttpParser, AResponseWithoutLengthIsRefusedAtItsHeader)
+TEST(HttpParser, ResponseWithoutLengthIsRejectedAtHeader)
 {
     HttpResponseParser parser(LIMITS, true);
     std::size_t consumed = 0;
     CHECK(parser.put("HTTP/1.1 200 OK\r\n\r\n", consumed) == HttpParseStatus::Malformed);
 }
 
-TEST(HttpParser, NoPrefixIsAWholeResponse)
+TEST(HttpParser, PrefixIsNeverACompleteResponse)
 {
     for (const char *text : { "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
                               "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/src/transport/tests/httpservertest.cpp
+++ b/src/transport/tests/httpservertest.cpp
@@ -79,7 +79,7 @@
     }
 
     /// What a client gets that sends `request` and then only reads.
-    std::string answerTo(const std::string &request)
+    std::string responseTo(const std::string &request)
     {
         RawSocket client = connect();
         client.send(request);
@@ -94,7 +94,7 @@
     }
 };
 
-TEST(HttpServer, KeepsAConnectionForFurtherRequests)
+TEST(HttpServer, KeepsConnectionAlive)
 {
     listen();
     RawSocket client = connect();
@@ -113,7 +113,7 @@
 {
     listen();
     const std::string last = "GET /3 HTTP/1.1\r\nConnection: close\r\n\r\n";
-    const std::string answers = answerTo(get("/1") + get("/2") + last);
+    const std::string answers = responseTo(get("/1") + get("/2") + last);
     const auto first = answers.find("GET /1");
     const auto second = answers.find("GET /2");
     const auto third = answers.find("GET /3");
@@ -122,19 +122,19 @@
     CHECK(third != std::string::npos);
 }
 
-TEST(HttpServer, TakesBodiesWithLengthAndInChunks)
+TEST(HttpServer, AcceptsBodiesWithLengthAndChunked)
 {
     listen();
-    CHECK(contains(answerTo("POST /a HTTP/1.1\r\nContent-Length: 5\r\nConnection: close\r\n\r\n"
-                            "hello"),
+    CHECK(contains(responseTo("POST /a HTTP/1.1\r\nContent-Length: 5\r\nConnection: close\r\n\r\n"
+                              "hello"),
                    "POST /a hello"));
-    CHECK(contains(answerTo("POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n"
-                            "Connection: close\r\n\r\n"
-                            "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrailer-Field: t\r\n\r\n"),
+    CHECK(contains(responseTo("POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n"
+                              "Connection: close\r\n\r\n"
+                              "3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrailer-Field: t\r\n\r\n"),
                    "POST /b abcde"));
 }
 
-TEST(HttpServer, TakesARequestByteByByte)
+TEST(HttpServer, AcceptsRequestByteByByte)
 {
     listen();
     RawSocket client = connect();
@@ -145,17 +145,17 @@
     CHECK(contains(client.readToEnd(), "POST /slow abc"));
 }
 
-TEST(HttpServer, HidesFieldsOfTheConnection)
+TEST(HttpServer, HidesHopByHopFields)
 {
     listen();
     const std::string answer =
-        answerTo("GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nTE: t\r\n"
-                 "Keep-Alive: 3\r\nUpgrade: h2c\r\nProxy-Authorization: p\r\nX-End: 2\r\n\r\n");
+        responseTo("GET / HTTP/1.1\r\nHost: a\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nTE: t\r\n"
+                   "Keep-Alive: 3\r\nUpgrade: h2c\r\nProxy-Authorization: p\r\nX-End: 2\r\n\r\n");
     CHECK(contains(answer, "GET / |Host=a|X-End=2"));
     CHECK_EQUAL(answer.size() - 3, answer.find("d=2"));
 }
 
-TEST(HttpServer, DropsUnsafeAndConnectionFieldsOfAResponse)
+TEST(HttpServer, DropsUnsafeAndHopByHopResponseFields)
 {
     listen([](IHttpExchange &) {
         HttpResponse response;
@@ -167,7 +167,7 @@
         response.body = "ok";
         return response;
     });
-    const std::string answer = answerTo("GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
+    const std::string answer = responseTo("GET / HTTP/1.1\r\nConnection: close\r\n\r\n");
     STRCMP_EQUAL("HTTP/1.1 200 OK\r\nX-Good: 1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
                  answer.c_str());
 }
@@ -180,12 +180,12 @@
         return response;
     });
     STRCMP_EQUAL("HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\n",
-                 answerTo("HEAD /ab HTTP/1.1\r\nConnection: close\r\n\r\n").c_str());
+                 responseTo("HEAD /ab HTTP/1.1\r\nConnection: close\r\n\r\n").c_str());
     STRCMP_EQUAL("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n",
-                 answerTo("DELETE / HTTP/1.1\r\nConnection: close\r\n\r\n").c_str());
+                 responseTo("DELETE / HTTP/1.1\r\nConnection: close\r\n\r\n").c_str());
 }
 
-TEST(HttpServer, AsksForABodyThatTheClientHoldsBack)
+TEST(HttpServer, SendsContinueToAnExpectingClient)
 {
     listen();
     RawSocket client = connect();
@@ -199,31 +199,32 @@
 /// Each client breaks one rule. It gets the status that names it and then the end of its
 /// connection, also while it still sends: the rest of its input is read before closing, as a
 /// reset could overtake the answer.
-TEST(HttpServer, RefusesInputPastTheLimits)
+TEST(HttpServer, RejectsInputOverLimits)
 {
     m_limits.headerBytes = 1000;
     m_limits.bodyBytes = 1000;
     listen();
     const std::string big(3000, 'x');
     const std::string post = "POST / HTTP/1.1\r\n";
-    CHECK(contains(answerTo("GET /" + big + " HTTP/1.1\r\n\r\n"), "HTTP/1.1 431 "));
-    CHECK(contains(answerTo("GET / HTTP/1.1\r\nX: " + big + "\r\n\r\n"), "HTTP/1.1 431 "));
+    CHECK(contains(responseTo("GET /" + big + " HTTP/1.1\r\n\r\n"), "HTTP/1.1 431 "));
+    CHECK(contains(responseTo("GET / HTTP/1.1\r\nX: " + big + "\r\n\r\n"), "HTTP/1.1 431 "));
     std::string manyFields = "GET / HTTP/1.1\r\n";
     for (int i = 0; i < 1000; ++i) {
         manyFields += "X: y\r\n";
     }
-    CHECK(contains(answerTo(manyFields), "HTTP/1.1 431 "));
-    CHECK(contains(answerTo(post + "Content-Length: 3000\r\n\r\n" + big), "HTTP/1.1 413 "));
-    CHECK(contains(answerTo(post + "Transfer-Encoding: chunked\r\n\r\nbb8\r\n" + big),
+    CHECK(contains(responseTo(manyFields), "HTTP/1.1 431 "));
+    CHECK(contains(responseTo(post + "Content-Length: 3000\r\n\r\n" + big), "HTTP/1.1 413 "));
+    CHECK(contains(responseTo(post + "Transfer-Encoding: chunked\r\n\r\nbb8\r\n" + big),
                    "HTTP/1.1 413 "));
-    CHECK(contains(answerTo(post + "Transfer-Encoding: chunked\r\n\r\n1;" + big), "HTTP/1.1 400 "));
-    CHECK(contains(answerTo(post + "Transfer-Encoding: chunked\r\n\r\n0\r\nT: " + big),
+    CHECK(
+        contains(responseTo(post + "Transfer-Encoding: chunked\r\n\r\n1;" + big), "HTTP/1.1 400 "));
+    CHECK(contains(responseTo(post + "Transfer-Encoding: chunked\r\n\r\n0\r\nT: " + big),
                    "HTTP/1.1 400 "));
 }
 
 /// A header that arrives field by field never has more than its last field in the input buffer.
 /// The limit must count what was already taken, or such a client fills the memory.
-TEST(HttpServer, CountsAHeaderThatArrivesInPieces)
+TEST(HttpServer, HeaderLimitCoversHeaderReceivedInPieces)
 {
     m_limits.headerBytes = 1000;
     listen();
@@ -237,7 +238,7 @@
     CHECK(contains(client.readToEnd(), "HTTP/1.1 431 "));
 }
 
-TEST(HttpServer, RefusesMalformedRequests)
+TEST(HttpServer, RejectsMalformedRequests)
 {
     listen();
     for (const char *request :
@@ -249,33 +250,33 @@
            "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
            "\x16\x03\x01\x02\x05\x01\xff\xfe garbage\r\n\r\n" }) {
-        CHECK_TRUE_TEXT(contains(answerTo(request), "HTTP/1.1 400 "), request);
+        CHECK_TRUE_TEXT(contains(responseTo(request), "HTTP/1.1 400 "), request);
     }
 }
 
 /// A client sends half a request and then nothing. Its connection would be held for ever; it gets
 /// 408 and its connection ends, while another client is answered all the time.
-TEST(HttpServer, EndsSlowSenders)
+TEST(HttpServer, TimesOutSlowSenders)
 {
     m_limits.receiveTimeout = milliseconds(50);
     listen();
     RawSocket other = connect();
-    CHECK(contains(answerTo("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"), "HTTP/1.1 408 "));
-    CHECK(contains(answerTo("GET / HT"), "HTTP/1.1 408 "));
+    CHECK(contains(responseTo("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab"), "HTTP/1.1 408 "));
+    CHECK(contains(responseTo("GET / HT"), "HTTP/1.1 408 "));
     other.send(get("/other"));
     CHECK(contains(other.readUntil("|Host=a"), "GET /other"));
 }
 
-TEST(HttpServer, EndsIdleConnectionsWithoutAWord)
+TEST(HttpServer, ClosesIdleConnectionsSilently)
 {
     m_limits.idleTimeout = milliseconds(20);
     listen();
-    STRCMP_EQUAL("", answerTo("").c_str());
+    STRCMP_EQUAL("", responseTo("").c_str());
 }
 
 /// A client asks for a large answer and does not read it. When the kernel's buffers are full the
 /// server waits for the client, and ends the connection after the send timeout.
-TEST(HttpServer, EndsClientsThatDoNotTakeTheirAnswer)
+TEST(HttpServer, DisconnectsClientsThatDoNotReadTheResponse)
 {
     constexpr std::size_t BODY_BYTES = 64 * 1024 * 1024;
     m_limits.sendTimeout = milliseconds(20);
@@ -295,7 +296,7 @@
     CHECK(client.readToEnd().size() < BODY_BYTES);
 }
 
-TEST(HttpServer, RefusesConnectionsPastTheLimit)
+TEST(HttpServer, RejectsConnectionsOverLimit)
 {
     m_limits.connections = 2;
     listen();
@@ -305,14 +306,14 @@
     second.send(get("/2"));
     first.readUntil("|Host=a");
     second.readUntil("|Host=a");
-    CHECK(contains(answerTo(get("/3")), "HTTP/1.1 503 "));
+    CHECK(contains(responseTo(get("/3")), "HTTP/1.1 503 "));
     first.send(get("/4"));
     CHECK(contains(first.readUntil("|Host=a"), "GET /4"));
 }
 
 /// The client goes away while its request is worked on. The handler hears of it once and can
 /// cancel what it started.
-TEST(HttpServer, TellsAHandlerThatItsClientIsGone)
+TEST(HttpServer, NotifiesHandlerOfClientDisconnect)
 {
     std::atomic<int> calls = 0;
     std::promise<void> isHandling;
@@ -338,7 +339,7 @@
 
 // Guards against requests that lay unread in a busy process and are passed on for clients that have
 // left meanwhile.
-TEST(HttpServer, AHandlerHearsAtOnceOfAClientThatLeftBeforeItWasRead)
+TEST(HttpServer, DetectsDisconnectBeforeRequestWasRead)
 {
     std::promise<bool> isKnownToBeGone;
     listen([&](IHttpExchange &exchange) {
@@ -359,7 +360,7 @@
 
 /// A pipelined request arrives while the first one is worked on. That is no disconnect; when the
 /// client then goes away, the handler still hears of it.
-TEST(HttpServer, APipelinedRequestIsNoDisconnect)
+TEST(HttpServer, PipelinedRequestIsNotADisconnect)
 {
     std::atomic<int> calls = 0;
     std::promise<void> isHandling;
@@ -382,7 +383,7 @@
     CHECK_EQUAL(0, calls.load());
 }
 
-TEST(HttpServer, DisconnectIsSeenBehindAPipelinedRequest)
+TEST(HttpServer, DisconnectAfterPipelinedRequestIsDetected)
 {
     std::promise<void> isHandling;
     std::promise<void> isNotified;
@@ -405,17 +406,17 @@
     settle();
 }
 
-TEST(HttpServer, AnExceptionOfAHandlerBecomesAnAnswer)
+TEST(HttpServer, HandlerExceptionGivesStatus500)
 {
     listen(
         [](IHttpExchange &) -> HttpResponse { throw std::runtime_error("expected by the test"); });
-    CHECK(contains(answerTo(get("/")), "HTTP/1.1 500 "));
+    CHECK(contains(responseTo(get("/")), "HTTP/1.1 500 "));
 }
 
 /// A planned stop while one request is worked on, one connection is idle and one has sent half a
 /// request. The request in work and the half one are answered whole with `Connection: close`; the
 /// idle connection ends; new connections are not accepted.
-TEST(HttpServer, DrainCutsOffNoRequest)
+TEST(HttpServer, DrainCompletesRequestsInProgress)
 {
     std::promise<void> isHandling;
     listen([&](IHttpExchange &exchange) {
@@ -427,18 +428,18 @@
     });
     RawSocket working = connect();
     RawSocket idle = connect();
-    RawSocket half = connect();
+    RawSocket partial = connect();
     idle.send(get("/idle"));
     idle.readUntil("|Host=a");
-    half.send("GET /half HT");
+    partial.send("GET /half HT");
     working.send(get("/working"));
     isHandling.get_future().wait();
     auto drained = m_runner.start([&] { m_server->drain(seconds(20)); });
     STRCMP_EQUAL("", idle.readToEnd().c_str());
-    half.send("TP/1.1\r\nHost: a\r\n\r\n");
-    const std::string halfAnswer = half.readToEnd();
-    CHECK(contains(halfAnswer, "Connection: close\r\n"));
-    CHECK(contains(halfAnswer, "GET /half"));
+    partial.send("TP/1.1\r\nHost: a\r\n\r\n");
+    const std::string partialResponse = partial.readToEnd();
+    CHECK(contains(partialResponse, "Connection: close\r\n"));
+    CHECK(contains(partialResponse, "GET /half"));
     openGate();
     const std::string answer = working.readToEnd();
     CHECK(contains(answer, "Connection: close\r\n"));
@@ -448,7 +449,7 @@
     STRCMP_EQUAL("", connect().readToEnd().c_str());
 }
 
-TEST(HttpServer, DrainGivesUpAfterItsTimeout)
+TEST(HttpServer, DrainReturnsAfterTimeout)
 {
     std::promise<void> isHandling;
     listen([&](IHttpExchange &) {
@@ -466,7 +467,7 @@
 }
 
 /// Many clients send random bytes while another one asks and gets its own answers.
-TEST(HttpServer, GarbageDisturbsNoOtherClient)
+TEST(HttpServer, MalformedInputDoesNotAffectOtherClients)
 {
     listen();
     RawSocket good = connect();
--- a/src/transport/tests/mockstest.cpp
+++ b/src/transport/tests/mockstest.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(TransportMocks){};
 
-TEST(TransportMocks, TheLogKeepsOrderAndForgets)
+TEST(TransportMocks, LogKeepsOrderAndTrims)
 {
     const StreamName stream("s");
     MockLogService log;
@@ -31,7 +31,7 @@
     STRCMP_EQUAL("b", page.records.front().payload.c_str());
 }
 
-TEST(TransportMocks, TheNetworkReportsALostLinkOnce)
+TEST(TransportMocks, NetworkReportsLostLinkOnce)
 {
     struct Handler : IPeerHandler
     {
@@ -52,7 +52,7 @@
     CHECK_FALSE(network.send(link, "z").has_value());
 }
 
-TEST(TransportMocks, TheHttpClientGivesResultsInOrder)
+TEST(TransportMocks, HttpClientReturnsResultsInOrder)
 {
     MockHttpClient client;
     client.failNext(HttpFailureStage::NotSent, HttpFailureCause::Connect);
--- a/src/transport/tests/peernetworktest.cpp
+++ b/src/transport/tests/peernetworktest.cpp
@@ -228,7 +228,7 @@
 
 /// The peer accepts the connection and never answers the handshake. The attempt ends at the
 /// timeout; nothing is left behind.
-TEST(PeerNetwork, ASilentPeerFailsTheConnect)
+TEST(PeerNetwork, ConnectTimesOutOnUnansweredHandshake)
 {
     RawSocket listener = RawSocket::listenOn(ANY_PORT);
     PeerLimits limits;
@@ -243,7 +243,7 @@
 
 /// The peer's process ends. This side is told once; the old id is dead, and the link to the
 /// peer's successor has a new one.
-TEST(PeerNetwork, ALostLinkIsReportedOnceAndItsIdIsNotReused)
+TEST(PeerNetwork, LostLinkIsReportedOnceAndItsIdIsNotReused)
 {
     Node a;
     auto b = std::make_unique<Node>();
@@ -263,7 +263,7 @@
 
 /// This side closes a link. What was sent before arrives, both sides are told once, and nothing
 /// that arrives later is passed on.
-TEST(PeerNetwork, CloseSendsWhatIsQueued)
+TEST(PeerNetwork, CloseSendsQueuedFrames)
 {
     constexpr int COUNT = 100;
     Node a;
@@ -284,7 +284,7 @@
     CHECK(a.linkTo(b.endpoint) != link);
 }
 
-TEST(PeerNetwork, ShutdownSendsWhatIsQueued)
+TEST(PeerNetwork, ShutdownSendsQueuedFrames)
 {
     constexpr int COUNT = 2000;
     Node a;
@@ -302,7 +302,7 @@
     CHECK_FALSE(b.connectTo(a.endpoint).has_value());
 }
 
-TEST(PeerNetwork, RefusesToSendAnOversizedFrame)
+TEST(PeerNetwork, SendRejectsOversizedFrame)
 {
     PeerLimits limits;
     limits.frameBytes = 1000;
@@ -316,7 +316,7 @@
 
 /// A peer with a larger limit sends a frame that is too large here. Its link ends at once, without
 /// the frame; another link goes on.
-TEST(PeerNetwork, AnOversizedFrameEndsOnlyItsLink)
+TEST(PeerNetwork, OversizedFrameClosesOnlyItsLink)
 {
     PeerLimits small;
     small.frameBytes = 1000;
@@ -336,7 +336,7 @@
 
 /// The peer does not read. The queue grows up to its bound; then `send` refuses, which proves that
 /// the frame was not sent.
-TEST(PeerNetwork, BoundsWhatWaitsOnALink)
+TEST(PeerNetwork, BoundsSendBufferOfLink)
 {
     PeerLimits limits;
     limits.sendBufferBytes = 1024 * 1024;
@@ -357,7 +357,7 @@
 
 /// The peer stops without closing its connection. It is probed with a ping, and when no answer
 /// comes the link is closed.
-TEST(PeerNetwork, AnUnresponsivePeerIsProbedAndDropped)
+TEST(PeerNetwork, UnresponsivePeerIsPingedAndDisconnected)
 {
     PeerLimits limits;
     limits.heartbeatInterval = milliseconds(20);
@@ -370,7 +370,7 @@
 }
 
 /// A link without frames stays: the peer answers each ping.
-TEST(PeerNetwork, AQuietLinkIsKeptByAnswers)
+TEST(PeerNetwork, PongsKeepIdleLinkOpen)
 {
     PeerLimits limits;
     limits.heartbeatInterval = milliseconds(300);
@@ -385,7 +385,7 @@
     STRCMP_EQUAL("alive", b.handler.waitForFrames(1).front().second.c_str());
 }
 
-TEST(PeerNetwork, UnusedLinksAreClosedByTheSideThatOpenedThem)
+TEST(PeerNetwork, IdleLinksAreClosedByTheSideThatOpenedThem)
 {
     PeerLimits limits;
     limits.heartbeatInterval = milliseconds(10);
@@ -397,7 +397,7 @@
     CHECK_EQUAL(1, b.handler.waitForDown(1).size());
 }
 
-TEST(PeerNetwork, LinksPastTheLimitAreRefused)
+TEST(PeerNetwork, LinksOverLimitAreRejected)
 {
     PeerLimits limits;
     limits.links = 1;
@@ -411,7 +411,7 @@
 
 /// Bytes that are no handshake, plain HTTP, a text message, and random bytes after a handshake:
 /// each ends its own connection only. Meanwhile another link carries every frame.
-TEST(PeerNetwork, GarbageEndsOnlyItsLink)
+TEST(PeerNetwork, MalformedInputClosesOnlyItsLink)
 {
     Node a;
     Node b;
@@ -482,7 +482,7 @@
     b.handler.waitForDown(2);
 }
 
-TEST(PeerNetwork, DestructionEndsAConnectThatWaits)
+TEST(PeerNetwork, DestructionFailsPendingConnect)
 {
     RawSocket listener = RawSocket::listenOn(ANY_PORT);
     PeerLimits limits;
--- a/src/transport/tests/timerqueuetest.cpp
+++ b/src/transport/tests/timerqueuetest.cpp
@@ -29,7 +29,7 @@
     }
 };
 
-TEST(TimerQueue, GivesDueTasksInOrder)
+TEST(TimerQueue, ReturnsDueTasksInOrder)
 {
     for (const int time : { 5, 1, 3, 9, 7 }) {
         add(time);
@@ -44,7 +44,7 @@
 
 /// Most timeouts are cancelled long before they are due, so their places are used again while
 /// their old entries still wait. An old id must never reach a new task.
-TEST(TimerQueue, CancelledTasksNeverRunAndNeverTakeOthersWithThem)
+TEST(TimerQueue, CancelledTasksNeverRunAndStaleIdsCancelNothing)
 {
     constexpr int ROUNDS = 10000;
     std::vector<TimerId> old;
@@ -62,7 +62,7 @@
     CHECK((m_ran == std::vector<int>{ 1, 2 }));
 }
 
-TEST(TimerQueue, TheNextTimeIsThatOfALiveTask)
+TEST(TimerQueue, NextTimeIgnoresCancelledTasks)
 {
     const TimerId first = add(1);
     add(2);
