--- a/src/transport/tests/mocks/mockhttpclient.h
+++ b/src/transport/tests/mocks/mockhttpclient.h
@@ -31,7 +31,7 @@
     bool isUp = true;
     std::vector<Endpoint> probed;
     std::map<Endpoint, std::size_t> limits;
-    std::map<Endpoint, std::size_t> warmed;
+    std::map<Endpoint, std::size_t> preconnected;
 
     void failNext(HttpFailureStage stage, HttpFailureCause cause)
     {
@@ -67,7 +67,7 @@
 
     void preconnect(const Endpoint &endpoint, std::size_t connections) override
     {
-        warmed[endpoint] = connections;
+        preconnected[endpoint] = connections;
     }
 };
 
--- a/src/transport/tests/mocks/mocklogservice.h
+++ b/src/transport/tests/mocks/mocklogservice.h
@@ -18,7 +18,7 @@
         None,
         Unavailable, ///< Nothing is appended or read.
         Throttled, ///< As Unavailable, but said to be a limit.
-        AnswerLost, ///< The record is appended, the caller gets `Unknown`.
+        ResponseLost, ///< The record is appended, the caller gets `Unknown`.
         RecordLost, ///< The record is not appended, the caller gets `Unknown`.
     };
 
@@ -43,7 +43,7 @@
             return makeError(ErrorCode::Unavailable, "mock: the log is down");
         case Fault::Throttled:
             return makeError(ErrorCode::Throttled, "mock: too many appends");
-        case Fault::AnswerLost:
+        case Fault::ResponseLost:
             put(stream, payload);
             return makeError(ErrorCode::Unknown, "mock: no answer");
         case Fault::RecordLost:
--- a/src/transport/tests/mockstest.cpp
+++ b/src/transport/tests/mockstest.cpp
@@ -15,7 +15,7 @@
     const StreamName stream("s");
     MockLogService log;
     CHECK(log.append(stream, "a").value() == LogOffset(0));
-    log.appendFault = MockLogService::Fault::AnswerLost;
+    log.appendFault = MockLogService::Fault::ResponseLost;
     CHECK(log.append(stream, "b").error().code == ErrorCode::Unknown);
     log.appendFault = MockLogService::Fault::RecordLost;
     CHECK(log.append(stream, "c").error().code == ErrorCode::Unknown);
