--- a/src/transport/tests/loopback.h
+++ b/src/transport/tests/loopback.h
@@ -8,9 +8,9 @@
 
 namespace ivyspar {
 
-/// A loopback address of this process only, with port 0. A test that expects a refused connect
-/// would otherwise now and then reach a test of another process, which was given the port that has
-/// just become free.
+/// A loopback address used by this process only, with port 0. With a shared address, a test that
+/// expects a refused connection could reach a test in another process that was given the port just
+/// released.
 inline Endpoint ownLoopback()
 {
     constexpr in_addr_t FIRST = INADDR_LOOPBACK + 1;
--- a/src/transport/tests/looprunner.h
+++ b/src/transport/tests/looprunner.h
@@ -44,11 +44,11 @@
         return future;
     }
 
-    /// Runs `task` in a fiber of the loop and waits for its end.
+    /// Runs `task` in a fiber of the loop and blocks until it ends.
     void run(std::function<void()> task) { start(std::move(task)).wait(); }
 
-    /// Asks on the loop's thread, again and again, for five seconds at the most. To be checked on
-    /// the test's own thread: a check that fails on another one ends the whole run.
+    /// Polls `condition` on the loop's thread for about five seconds at most. The result is to be
+    /// checked on the test's own thread: a failed check on another thread ends the whole test run.
     bool reaches(const std::function<bool()> &condition)
     {
         constexpr int TRIES = 5000;
--- a/src/transport/tests/mocks/mockhttpclient.h
+++ b/src/transport/tests/mocks/mockhttpclient.h
@@ -11,7 +11,7 @@
 
 namespace ivyspar {
 
-/// Gives prepared results and records what was asked. Never suspends by itself; `answer` may.
+/// Returns prepared results and records the calls. Never suspends by itself; `answer` may.
 class MockHttpClient : public IHttpClient
 {
 public:
@@ -23,11 +23,11 @@
         HttpCancellationPtr cancellation;
     };
 
-    /// Makes the result when set; otherwise `results` are given in order, then status 200.
+    /// Produces the result if set; otherwise `results` are returned in order, then status 200.
     std::function<HttpResult(const Call &)> answer;
     std::deque<HttpResult> results;
     std::vector<Call> calls;
-    /// What `isListening` says, and what it was asked.
+    /// What `isListening` returns, and the endpoints that it was called with.
     bool isUp = true;
     std::vector<Endpoint> probed;
     std::map<Endpoint, std::size_t> limits;
--- a/src/transport/tests/mocks/mocklogservice.h
+++ b/src/transport/tests/mocks/mocklogservice.h
@@ -10,14 +10,14 @@
 
 namespace ivyspar {
 
-/// The platform's log in memory, with switches for its faults. Never suspends by itself.
+/// In-memory implementation of the platform's log with fault injection. Never suspends by itself.
 class MockLogService : public ILogService
 {
 public:
     enum class Fault {
         None,
         Unavailable, ///< Nothing is appended or read.
-        Throttled, ///< As Unavailable, but said to be a limit.
+        Throttled, ///< As Unavailable, but reported as a rate limit.
         ResponseLost, ///< The record is appended, the caller gets `Unknown`.
         RecordLost, ///< The record is not appended, the caller gets `Unknown`.
     };
@@ -25,9 +25,9 @@
     /// Applies to each append or read until it is changed.
     Fault appendFault = Fault::None;
     Fault readFault = Fault::None;
-    /// Records at the end that reads do not see yet.
+    /// Number of newest records that reads do not return yet.
     std::size_t staleRecords = 0;
-    /// Runs before each append, so that a test can let another writer be first.
+    /// Runs before each append, so that a test can let another writer append first.
     std::function<void(const StreamName &, const std::string &)> beforeAppend;
     std::size_t appendCalls = 0;
     std::size_t readCalls = 0;
@@ -40,7 +40,7 @@
         }
         switch (appendFault) {
         case Fault::Unavailable:
-            return makeError(ErrorCode::Unavailable, "mock: the log is down");
+            return makeError(ErrorCode::Unavailable, "mock: the log is unavailable");
         case Fault::Throttled:
             return makeError(ErrorCode::Throttled, "mock: too many appends");
         case Fault::ResponseLost:
@@ -74,7 +74,7 @@
         return page;
     }
 
-    /// Appends as another writer would, whatever the faults.
+    /// Appends as another writer would, regardless of the faults.
     LogOffset put(const StreamName &stream, const std::string &payload)
     {
         Stream &records = m_streams[stream];
@@ -82,7 +82,7 @@
         return LogOffset(records.end() - 1);
     }
 
-    /// Drops the records before `first`, as the retention does.
+    /// Drops the records before `first`, as log retention does.
     void trim(const StreamName &stream, LogOffset first)
     {
         Stream &records = m_streams[stream];
@@ -92,7 +92,7 @@
         }
     }
 
-    /// All payloads that the stream keeps.
+    /// All payloads that the stream retains.
     const std::vector<std::string> &payloads(const StreamName &stream)
     {
         return m_streams[stream].payloads;
--- a/src/transport/tests/mocks/mockpeernetwork.h
+++ b/src/transport/tests/mocks/mockpeernetwork.h
@@ -10,7 +10,7 @@
 
 namespace ivyspar {
 
-/// Records what is sent and lets a test play the peers. Never suspends.
+/// Records the frames sent and lets a test act as the peers. Never suspends.
 class MockPeerNetwork : public IPeerNetwork
 {
 public:
@@ -22,21 +22,21 @@
 
     /// `connect` fails while set.
     bool isUnreachable = false;
-    /// `send` refuses while set.
+    /// `send` fails with `Throttled` while set.
     bool isCongested = false;
     std::vector<Sent> sent;
     std::set<LinkId> compressed;
     std::map<Endpoint, LinkId> links;
     IPeerHandler *handler = nullptr;
 
-    /// A link that a peer opened.
+    /// Adds a link that a peer opened.
     LinkId addIncoming()
     {
         m_incoming.push_back(LinkId(++m_lastId));
         return m_incoming.back();
     }
 
-    /// Plays the peer: a frame arrives.
+    /// Simulates the arrival of a frame.
     void receive(LinkId link, std::string frame)
     {
         if (handler != nullptr && isOpen(link)) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Plays a lost link, or the end that follows `close`.
+    /// Simulates a lost link, or the end of a link after `close`.
     void lose(LinkId link)
     {
         if (remove(link) && handler != nullptr) {
@@ -101,10 +101,10 @@
     Ret send(LinkId link, std::string frame) override
     {
         if (!isOpen(link)) {
-            return makeError(ErrorCode::Unavailable, "mock: the link is gone");
+            return makeError(ErrorCode::Unavailable, "mock: the link is closed");
         }
         if (isCongested) {
-            return makeError(ErrorCode::Throttled, "mock: too much waits");
+            return makeError(ErrorCode::Throttled, "mock: the send buffer of the link is full");
         }
         sent.push_back({ link, std::move(frame) });
         return {};
--- a/src/transport/tests/mocks/simulatedeventloop.h
+++ b/src/transport/tests/mocks/simulatedeventloop.h
@@ -13,9 +13,9 @@
 
 namespace ivyspar {
 
-/// Fibers and timers under a clock that moves only while nothing is ready to run, so that the same
-/// events give the same run whatever the machine does. Lives and runs on one thread; all fibers
-/// have to end before it does.
+/// Fibers and timers with a simulated clock, which advances only while nothing is ready to run: a
+/// run is deterministic and independent of the machine's load. Bound to one thread; all fibers must
+/// end before it is destroyed.
 class SimulatedEventLoop : public IEventLoop
 {
 public:
@@ -61,7 +61,7 @@
         m_now = end;
     }
 
-    /// Runs `task` in a fiber until it ends; false if it does not within `limit`.
+    /// Runs `task` in a fiber until it ends; false if it does not end within `limit`.
     bool runToEnd(std::function<void()> task, Duration limit)
     {
         constexpr Duration STEP = std::chrono::milliseconds(10);
--- a/src/transport/tests/rawsocket.h
+++ b/src/transport/tests/rawsocket.h
@@ -14,8 +14,8 @@
 
 namespace ivyspar {
 
-/// A blocking TCP socket, for tests that decide about each byte. Reads give up after a time that
-/// no passing test comes near.
+/// A blocking TCP socket, for tests that control every byte. Reads time out after 20 s, far longer
+/// than a passing test needs.
 class RawSocket
 {
 public:
@@ -85,8 +85,8 @@
         return true;
     }
 
-    /// Reads until what arrived since the last call contains `end`, and returns it up to there;
-    /// all that came if the connection ends first.
+    /// Reads until the input contains `end` and returns it up to and including `end`; returns all
+    /// input if the connection closes first.
     std::string readUntil(const std::string &end)
     {
         std::size_t found = 0;
