--- a/src/transport/internal/datagramsocket.cpp
+++ b/src/transport/internal/datagramsocket.cpp
@@ -11,7 +11,7 @@
 
 using boost::asio::ip::udp;
 
-/// Datagrams read in one turn of the loop, so that a flood of them leaves the other work its turn.
+/// Maximum number of datagrams read per loop iteration, so that a flood does not starve other work.
 constexpr int READS_PER_TURN = 64;
 
 RetVal<udp::endpoint> toUdpEndpoint(const Endpoint &endpoint)
@@ -53,7 +53,7 @@
         boost::system::error_code ignored;
         m_socket.close(ignored);
         return makeError(ErrorCode::Unavailable,
-                         "cannot take datagrams at " + endpoint.text() + ": " + error.message());
+                         "cannot receive datagrams on " + endpoint.text() + ": " + error.message());
     }
     waitForInput();
     return {};
@@ -62,7 +62,7 @@
 Ret DatagramSocket::send(const Endpoint &to, const std::string &payload)
 {
     if (payload.size() > MAX_PAYLOAD_BYTES) {
-        return makeError(ErrorCode::InvalidArgument, "too long for a datagram");
+        return makeError(ErrorCode::InvalidArgument, "payload exceeds the datagram size limit");
     }
     const auto target = toUdpEndpoint(to);
     if (!target) {
@@ -71,7 +71,7 @@
     boost::system::error_code error;
     m_socket.send_to(boost::asio::buffer(payload), *target, 0, error);
     if (error) {
-        return makeError(ErrorCode::Unavailable, "datagram not sent: " + error.message());
+        return makeError(ErrorCode::Unavailable, "failed to send datagram: " + error.message());
     }
     return {};
 }
--- a/src/transport/internal/eventloop.cpp
+++ b/src/transport/internal/eventloop.cpp
@@ -18,25 +18,26 @@
 
 namespace {
 
-/// Tells asio that one thread runs the loop; posting from others stays safe.
+/// Concurrency hint for asio: one thread runs the loop; posting from others remains safe.
 constexpr int SINGLE_THREAD_HINT = 1;
 constexpr Duration MAX_TIMER_DELAY = std::chrono::hours(24 * 365);
 constexpr int MAX_SHUTDOWN_ROUNDS = 1000;
 
-/// An exception that reached a task's end is a broken invariant of that task; the other fibers and
-/// connections of the thread go on.
+/// An exception that escapes a task is a bug in that task; the other fibers and connections of the
+/// thread continue.
 void runGuarded(const std::function<void()> &task)
 {
     try {
         task();
     } catch (const std::exception &error) {
-        std::fprintf(stderr, "ivyspar: a task ended by an exception: %s\n", error.what());
+        std::fprintf(stderr, "ivyspar: uncaught exception in a task: %s\n", error.what());
     }
 }
 
-/// Boost.Fiber waits at a thread's end until all its fibers have ended; with one that sleeps for an
-/// hour the join of that thread would hang as long. Boost.Fiber's own object of the thread exists
-/// before this one and is therefore destroyed after it.
+/// Ends the fibers of the loop at thread exit. Boost.Fiber waits there until all fibers of the
+/// thread have ended; a fiber that sleeps for an hour would block the join of the thread for as
+/// long. Boost.Fiber's own thread-local object is created before this one and so is destroyed after
+/// it.
 class ThreadExitHook
 {
 public:
@@ -86,14 +87,15 @@
     m_scheduler->detachLoop();
 }
 
-/// The algorithm is installed late, so that a loop may be made on one thread and run on another.
+/// Installs the scheduling algorithm on first use, so that a loop can be created on one thread and
+/// run on another.
 void EventLoop::bindToThread()
 {
     if (m_thread == std::this_thread::get_id()) {
         return;
     }
     if (m_thread != std::thread::id()) {
-        std::fputs("ivyspar: an event loop was used on two threads\n", stderr);
+        std::fputs("ivyspar: event loop used on more than one thread\n", stderr);
         std::abort();
     }
     m_thread = std::this_thread::get_id();
@@ -186,8 +188,8 @@
     boost::asio::post(m_io, [this] { m_isStopped = true; });
 }
 
-/// Runs every fiber that is ready now once, then one event. Events get their turn also while
-/// fibers keep each other ready.
+/// Runs each ready fiber once, then one event. Events are thus processed even while fibers keep
+/// making each other ready.
 void EventLoop::runOnce()
 {
     ++m_turnCount;
@@ -206,7 +208,7 @@
             m_io.poll_one();
         }
     } catch (const std::exception &error) {
-        std::fprintf(stderr, "ivyspar: a callback ended by an exception: %s\n", error.what());
+        std::fprintf(stderr, "ivyspar: uncaught exception in a callback: %s\n", error.what());
     }
 }
 
@@ -219,7 +221,7 @@
             m_io.run_one_until(time);
         }
     } catch (const std::exception &error) {
-        std::fprintf(stderr, "ivyspar: a callback ended by an exception: %s\n", error.what());
+        std::fprintf(stderr, "ivyspar: uncaught exception in a callback: %s\n", error.what());
     }
 }
 
--- a/src/transport/internal/fiberscheduler.cpp
+++ b/src/transport/internal/fiberscheduler.cpp
@@ -33,18 +33,20 @@
     return fiber;
 }
 
-/// Called only while the thread's main fiber is suspended, which happens outside of
-/// EventLoop::run: when it waits for something before or after, or when the thread ends.
+/// Called only while the thread's main fiber is suspended. That happens outside of EventLoop::run:
+/// when it waits before or after the run, or at thread exit.
 void FiberScheduler::suspend_until(const std::chrono::steady_clock::time_point &time) noexcept
 {
     if (m_loop == nullptr) {
-        std::fputs("ivyspar: a fiber was left waiting when its event loop ended\n", stderr);
+        std::fputs("ivyspar: a fiber was still waiting when its event loop was destroyed\n",
+                   stderr);
         std::abort();
     }
     m_loop->waitForEvent(time);
 }
 
-/// Called when another thread wakes a fiber of this one. Ours use IEventLoop::post instead.
+/// Called when another thread wakes a fiber of this one. This code base uses IEventLoop::post
+/// instead.
 void FiberScheduler::notify() noexcept
 {
     if (m_loop != nullptr) {
--- a/src/transport/internal/framecompression.cpp
+++ b/src/transport/internal/framecompression.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// With these a link needs 32 KiB for what it sends and 11 KiB for what it receives; a daemon has a
-// link to each daemon that it calls. The window holds some ten frames of the usual size.
+// With these settings a link needs 32 KiB of memory to compress and 11 KiB to decompress; a daemon
+// has a link to each daemon that it calls. The window holds about ten frames of typical size.
 constexpr int WINDOW_BITS = 12;
 constexpr int MEMORY_LEVEL = 5;
-/// Negative: no header and no checksum. The WebSocket frame says where the data end.
+/// Negative for raw deflate, without header and checksum. WebSocket framing delimits the data.
 constexpr int RAW_WINDOW_BITS = -WINDOW_BITS;
 constexpr std::size_t CHUNK_BYTES = 4096;
 
@@ -21,7 +21,7 @@
 
 void setInput(z_stream &stream, const std::string &input)
 {
-    // zlib reads the input only; its interface is older than const.
+    // zlib only reads the input, but its interface lacks const.
     stream.next_in = reinterpret_cast<unsigned char *>(const_cast<char *>(input.data()));
     stream.avail_in = static_cast<unsigned>(input.size());
 }
@@ -88,11 +88,12 @@
         setOutput(*m_stream, chunk);
         const int done = ::inflate(m_stream.get(), Z_SYNC_FLUSH);
         if (done != Z_OK && done != Z_BUF_ERROR) {
-            return makeError(ErrorCode::InvalidArgument, "the frame is no deflated data");
+            return makeError(ErrorCode::InvalidArgument, "the frame is not valid deflate data");
         }
         appendOutput(*m_stream, chunk, frame);
         if (frame.size() > maxBytes) {
-            return makeError(ErrorCode::InvalidArgument, "the frame is too large");
+            return makeError(ErrorCode::InvalidArgument,
+                             "the decompressed frame exceeds the size limit");
         }
     } while (m_stream->avail_out == 0);
     return frame;
--- a/src/transport/internal/httpclient.cpp
+++ b/src/transport/internal/httpclient.cpp
@@ -93,7 +93,8 @@
     startSweep();
 }
 
-/// Runs only while there is something to close, so that an unused client causes no wake-ups.
+/// The sweep runs only while there are idle connections, so that an unused client causes no
+/// wake-ups.
 void HttpClientCore::startSweep()
 {
     if (std::exchange(m_isSweeping, true)) {
--- a/src/transport/internal/httpclientexchange.cpp
+++ b/src/transport/internal/httpclientexchange.cpp
@@ -19,11 +19,11 @@
 {
     switch (status) {
     case HttpParseStatus::HeaderTooLarge:
-        return "the header of the answer is too large";
+        return "the response header exceeds the size limit";
     case HttpParseStatus::BodyTooLarge:
-        return "the body of the answer is too large";
+        return "the response body exceeds the size limit";
     default:
-        return "the answer is malformed or has no length";
+        return "the response is malformed or has no length";
     }
 }
 
@@ -42,13 +42,14 @@
 {
     m_head = formatRequestHead(m_request, m_endpoint.text());
     if (m_head.empty()) {
-        return fail(HttpFailureCause::Broken, "the request cannot be written safely");
+        return fail(HttpFailureCause::Broken,
+                    "the method, target or a header field of the request is invalid");
     }
     if (!cancellation) {
         return runWithTimeout(timeout);
     }
     if (cancellation->isCancelled()) {
-        return fail(HttpFailureCause::Cancelled, "cancelled before it began");
+        return fail(HttpFailureCause::Cancelled, "the request was cancelled before it was sent");
     }
     cancellation->setAction([this] { abort(HttpFailureCause::Cancelled); });
     HttpResult result = runWithTimeout(timeout);
@@ -88,7 +89,7 @@
     return runOnNewConnection();
 }
 
-/// The server closed an unused connection and no byte of the request left on it.
+/// True if the server closed an idle connection before any byte of the request was sent on it.
 bool HttpClientExchange::canRetryOnNewConnection(const HttpResult &result) const
 {
     return !result && !m_abortCause && m_sentBytes == 0;
@@ -97,7 +98,8 @@
 HttpResult HttpClientExchange::runOnNewConnection()
 {
     if (!m_pool->reserve()) {
-        return fail(HttpFailureCause::NoConnection, "the connection limit is reached");
+        return fail(HttpFailureCause::NoConnection,
+                    "the connection limit of the endpoint is reached");
     }
     m_stream = m_client.makeStream();
     const Ret connected = m_client.connect(m_stream, m_endpoint);
@@ -121,10 +123,10 @@
 {
     const auto error = m_stream->write(m_head, m_request.body, m_sentBytes);
     if (m_abortCause || (error && m_sentBytes == 0)) {
-        return fail(HttpFailureCause::Broken, "the request could not be sent: " + error.message());
+        return fail(HttpFailureCause::Broken, "failed to send the request: " + error.message());
     }
-    // A server that refuses a body answers and closes before it was all sent; its answer may
-    // still be there to read.
+    // A server that rejects a body may respond and close before all of it was sent; its response
+    // may still be readable.
     HttpResult result = receive();
     m_isReusable = m_isReusable && !error;
     return result;
@@ -133,8 +135,8 @@
 HttpResult HttpClientExchange::receive()
 {
     HttpResult result = receiveFinal();
-    // A server may answer an earlier request a second time, late: taken for the answer to this one
-    // it would reach the wrong caller. The right one may follow on the same connection.
+    // A server may send a late duplicate response to an earlier request. Taken as the response to
+    // this one, it would reach the wrong caller. The right one may follow on the same connection.
     bool isClean = true;
     while (result && !matchesEchoHeader(*result)) {
         isClean = false;
@@ -161,7 +163,8 @@
     while (result && result->status < FIRST_FINAL_STATUS) {
         if (result->status == STATUS_SWITCHING_PROTOCOLS) {
             m_isReusable = false;
-            return fail(HttpFailureCause::Broken, "the server switched to another protocol");
+            return fail(HttpFailureCause::Broken,
+                        "the server switched to another protocol (status 101)");
         }
         result = receiveOne();
     }
@@ -189,7 +192,7 @@
         }
         if (error || m_abortCause) {
             m_hasConnectionEnded = !m_abortCause;
-            return fail(HttpFailureCause::Broken, "the answer is not whole: " + error.message());
+            return fail(HttpFailureCause::Broken, "incomplete response: " + error.message());
         }
     }
     if (status != HttpParseStatus::Done) {
--- a/src/transport/internal/httpconnection.cpp
+++ b/src/transport/internal/httpconnection.cpp
@@ -120,7 +120,7 @@
     lingeringClose();
 }
 
-/// Returns whether the connection can take another request.
+/// Returns whether the connection can serve another request.
 bool HttpConnection::serveOne()
 {
     if (receive() != Received::Request) {
@@ -195,14 +195,15 @@
 HttpResponse HttpConnection::handle()
 {
     m_state = State::Handling;
-    // A process that is behind finds the client's close right behind its request.
+    // In an overloaded process, the client may have closed the connection already by the time its
+    // request is read.
     m_stream->detectPeerClose();
     watchForDisconnect();
     HttpResponse response;
     try {
         response = m_server->handler()(*this);
     } catch (const std::exception &error) {
-        std::fprintf(stderr, "ivyspar: a handler ended by an exception: %s\n", error.what());
+        std::fprintf(stderr, "ivyspar: uncaught exception in an HTTP handler: %s\n", error.what());
         m_framing.isKeepAlive = false;
         response = makeErrorResponse(STATUS_INTERNAL_ERROR);
     }
@@ -218,8 +219,8 @@
     m_stream->startRead();
 }
 
-/// Pipelined requests are kept for later and the watch goes on, until they fill the input: an
-/// unbounded watch would let a client fill the memory while its first request is worked on.
+/// Pipelined requests are buffered and reading continues until the buffer reaches the header limit.
+/// Without a bound a client could exhaust the memory while its first request is handled.
 void HttpConnection::onReadWhileHandling()
 {
     if (isDisconnected()) {
@@ -264,8 +265,9 @@
     return !error;
 }
 
-/// Closing a socket with unread input resets the connection, and a client that still sends would
-/// lose the answer that says why. So the rest is read and dropped first, within bounds.
+/// Closing a socket with unread input resets the connection, and a client that is still sending
+/// would lose the error response. So remaining input is read and discarded first, up to
+/// `LINGER_BYTES` and `LINGER_TIME`.
 void HttpConnection::lingeringClose()
 {
     m_stream->shutdownSend();
--- a/src/transport/internal/httpfields.cpp
+++ b/src/transport/internal/httpfields.cpp
@@ -150,8 +150,8 @@
     std::string head = "HTTP/1.1 " + std::to_string(status) + ' ';
     head.append(reason.data(), reason.size()).append("\r\n");
     appendFields(head, response.headers);
-    // The length in the answer to HEAD is that of the body which GET would get. When the handler
-    // gives no body it is not known, and 0 would be wrong.
+    // The length in a response to HEAD is that of the body of a GET response. If the handler
+    // provides no body, it is unknown, and 0 would be wrong.
     if (hasResponseBody(response, framing) || (framing.isHead && !response.body.empty())) {
         appendField(head, "Content-Length", std::to_string(response.body.size()));
     }
--- a/src/transport/internal/httplogservice.cpp
+++ b/src/transport/internal/httplogservice.cpp
@@ -24,11 +24,11 @@
 
 std::string statusText(const HttpResponse &response)
 {
-    return "the log answered " + std::to_string(response.status);
+    return "the log responded with status " + std::to_string(response.status);
 }
 
-/// A 503 alone is no proof: something between here and the log may have sent it after the log had
-/// appended the record. A caller that was told "not appended" would let the change be made twice.
+/// Status 503 alone proves nothing: an intermediary may have sent it after the log had appended the
+/// record. A caller told "not appended" would then append the record a second time.
 bool provesNotAppended(const HttpResponse &response)
 {
     const std::string *outcome = findHeader(response.headers, headers::LOG_OUTCOME);
@@ -43,7 +43,8 @@
         const auto offset =
             body.is_object() ? unsignedField<std::uint64_t>(body, "offset") : std::nullopt;
         if (!offset) {
-            return makeError(ErrorCode::Unknown, "the log's answer has no offset");
+            return makeError(ErrorCode::Unknown,
+                             "the log's response to an append has no valid offset");
         }
         return LogOffset(*offset);
     }
@@ -61,10 +62,10 @@
 
 tl::unexpected<Error> malformedPage()
 {
-    return makeError(ErrorCode::Unavailable, "the log's page is malformed");
+    return makeError(ErrorCode::Unavailable, "the log returned a malformed page");
 }
 
-/// Takes the records as far as they follow each other from the first one.
+/// Fails unless the records have contiguous offsets from `from`, or from the first retained one.
 RetVal<LogPage> parsePage(const std::string &body, LogOffset from)
 {
     const Json map = Json::parse(body, nullptr, false);
@@ -86,7 +87,7 @@
         const auto offset = unsignedField<std::uint64_t>(each, "offset");
         const auto text = textField(each, "payload", MAX_LOG_RESPONSE_BYTES);
         auto payload = text ? fromBase64(*text) : std::nullopt;
-        // A gap would make a reader skip a record for good and judge later ones wrongly.
+        // With a gap a reader would skip a record permanently and misinterpret later ones.
         if (!offset || !payload || *offset != expected) {
             return malformedPage();
         }
@@ -109,8 +110,8 @@
 {
 }
 
-/// The next endpoint is tried only with proof that nothing was appended: a second append after a
-/// lost answer would put the record into the log twice.
+/// The next endpoint is tried only if it is proven that nothing was appended: another append after
+/// a lost response would write the record twice.
 RetVal<LogOffset> HttpLogService::append(const StreamName &stream, const std::string &payload)
 {
     HttpRequest request = makeRequest("POST", recordsTarget(stream));
@@ -123,10 +124,11 @@
             m_client.exchange(endpoint(start + i), request, m_settings.timeout, nullptr);
         if (!result && result.error().stage == HttpFailureStage::MaybeSent) {
             preferEndpoint(start + i + 1);
-            return makeError(ErrorCode::Unknown, "no answer from the log: " + result.error().text);
+            return makeError(ErrorCode::Unknown,
+                             "no response from the log: " + result.error().text);
         }
         if (!result) {
-            error = { ErrorCode::Unavailable, "the log cannot be reached: " + result.error().text };
+            error = { ErrorCode::Unavailable, "failed to reach the log: " + result.error().text };
             continue;
         }
         RetVal<LogOffset> offset = parseAppendResponse(*result);
@@ -161,7 +163,7 @@
             return makeError(ErrorCode::Cancelled, "the read was cancelled");
         }
         if (!result) {
-            error = { ErrorCode::Unavailable, "no answer from the log: " + result.error().text };
+            error = { ErrorCode::Unavailable, "no response from the log: " + result.error().text };
             continue;
         }
         if (result->status == STATUS_TOO_MANY) {
@@ -179,7 +181,7 @@
 
 void HttpLogService::cancelReads()
 {
-    // A copy, as the fibers that are woken take theirs out of the list.
+    // Iterates over a copy, as the woken fibers remove their entries from the list.
     const std::list<HttpCancellationPtr> reads = m_reads;
     for (const HttpCancellationPtr &each : reads) {
         each->cancel();
--- a/src/transport/internal/httpparser.cpp
+++ b/src/transport/internal/httpparser.cpp
@@ -18,10 +18,10 @@
 using boost::beast::string_view;
 using ErrorCode = boost::system::error_code;
 
-/// A length that a message claims is only reserved up to this; the rest grows with what arrives.
+/// Memory reserved in advance for a declared body length; beyond it the body grows as data arrives.
 constexpr std::uint64_t MAX_RESERVED_BYTES = 64 * 1024;
 
-/// What requests and responses have in common. Writes into `headers` and `body`.
+/// Common part of the request and response parsers. Writes into `headers` and `body`.
 template <bool isRequest> class MessageParser : public http::basic_parser<isRequest>
 {
 public:
@@ -77,8 +77,8 @@
         if (error && error != http::error::need_more) {
             return HttpParseStatus::Malformed;
         }
-        // Beast consumes field by field and compares only the rest with its limit, so a header
-        // that arrives in pieces could grow without end.
+        // Beast consumes field by field and compares only the unconsumed rest with its limit, so a
+        // header that arrives in pieces could grow without bound.
         if (!this->is_header_done()) {
             const bool fits = m_headerBytes + leftBytes <= m_limits.headerBytes;
             return fits ? HttpParseStatus::NeedMore : HttpParseStatus::HeaderTooLarge;
@@ -86,12 +86,12 @@
         if (this->is_done()) {
             return HttpParseStatus::Done;
         }
-        // A body that ends with the connection looks the same when the sender died in the middle:
-        // half an answer would be passed on as whole.
+        // A body delimited by the end of the connection looks the same if the sender crashed
+        // halfway: a truncated response would be passed on as complete.
         if (this->need_eof()) {
             return m_acceptsUnframed ? HttpParseStatus::NeedMore : HttpParseStatus::Malformed;
         }
-        // Chunk extensions and trailers are kept in the input until they are complete.
+        // Chunk extensions and trailers stay in the input until they are complete.
         return leftBytes <= m_limits.headerBytes ? HttpParseStatus::NeedMore
                                                  : HttpParseStatus::Malformed;
     }
@@ -99,7 +99,7 @@
     void on_field_impl(http::field field, string_view name, string_view value,
                        ErrorCode &error) override // NOLINT
     {
-        // A trailer must not pass for a header field that was checked before the body.
+        // A trailer must not be taken for a header field that was checked before the body.
         if (this->is_header_done()) {
             return;
         }
@@ -161,7 +161,8 @@
     bool m_acceptsUnframed = false;
 };
 
-/// Bases, so that they exist before the parser that refers to their parts.
+/// Used as base classes, so that they are constructed before the parser that refers to their
+/// members.
 struct RequestHolder
 {
     HttpRequest m_request;
--- a/src/transport/internal/httppool.cpp
+++ b/src/transport/internal/httppool.cpp
@@ -19,8 +19,9 @@
     --m_connectionCount;
 }
 
-/// A server may have closed a connection while it was unused; a request written to it would be
-/// lost with nothing known of its fate. An end that has arrived is seen here, before any byte.
+/// A server may have closed a connection while it was idle; a request written to it would be lost
+/// with an unknown outcome. A close that has already arrived is detected here, before any byte is
+/// sent.
 TcpStreamPtr HttpPool::takeIdle()
 {
     while (!m_idle.empty()) {
--- a/src/transport/internal/httpserver.cpp
+++ b/src/transport/internal/httpserver.cpp
@@ -11,13 +11,14 @@
 
 using boost::asio::ip::tcp;
 
-/// Refusals that may wait for their client at a time; past them connections are just closed.
+/// Connections over the limit that are being answered with 503 at a time; further ones are closed
+/// without a response.
 constexpr std::size_t MAX_REFUSALS = 64;
-/// Connections that may wait for their client's end at a time, so that clients which cause errors
-/// cannot hold more than this on top of the connection limit.
+/// Lingering connections at a time. Bounds the connections that clients which cause errors can hold
+/// in addition to the connection limit.
 constexpr std::size_t MAX_LINGERING = 256;
 constexpr Duration ACCEPT_RETRY_DELAY = std::chrono::milliseconds(50);
-/// How long a drain leaves idle connections open, at most.
+/// Maximum time that a drain leaves idle connections open.
 constexpr Duration DRAIN_GRACE = std::chrono::milliseconds(200);
 
 } // namespace
@@ -32,7 +33,7 @@
                                         HttpHandler handler)
 {
     if (m_acceptor.is_open()) {
-        return makeError(ErrorCode::Conflict, "the server listens already");
+        return makeError(ErrorCode::Conflict, "the HTTP server is already listening");
     }
     auto result = openAcceptor(m_acceptor, endpoint);
     if (result) {
@@ -54,8 +55,8 @@
         });
 }
 
-/// When the process has no descriptor left, every accept fails at once although the client stays
-/// in the queue: without a pause the loop would spin until another connection ends.
+/// When the process has run out of file descriptors, every accept fails at once while the client
+/// stays in the queue: without a delay the loop would spin until another connection ends.
 void HttpServerCore::onAccept(const boost::system::error_code &error, tcp::socket socket)
 {
     if (!m_acceptor.is_open()) {
@@ -90,7 +91,7 @@
     });
 }
 
-/// Clients whose connection waits in the queue would be reset by closing the listener.
+/// Closing the listener would reset the connections that are still in the accept queue.
 void HttpServerCore::acceptPending()
 {
     boost::system::error_code error;
@@ -103,9 +104,9 @@
     }
 }
 
-/// A request may be on its way on a connection that looks idle; closing that at once would leave
-/// its client without an answer. So idle connections first get some time, in which a request is
-/// answered with `Connection: close`.
+/// A request may be in transit on a connection that appears idle; closing it at once would leave
+/// the client without a response. So idle connections stay open for a grace period, in which a
+/// request is answered with `Connection: close`.
 void HttpServerCore::drain(Duration timeout)
 {
     const HttpServerCorePtr self(this);
--- a/src/transport/internal/peernetworkcore.cpp
+++ b/src/transport/internal/peernetworkcore.cpp
@@ -13,10 +13,10 @@
 using boost::asio::ip::tcp;
 
 constexpr const char *RESOURCE = "/peer/3";
-/// First byte of each message.
+// Values of the first byte of each message.
 constexpr char PLAIN = '\0';
 constexpr char COMPRESSED = '\1';
-/// The first byte, and what compression adds to bytes that cannot be made smaller.
+/// The first byte plus the expansion of incompressible data by deflate.
 constexpr std::size_t MESSAGE_OVERHEAD = 4096;
 constexpr Duration ACCEPT_RETRY_DELAY = std::chrono::milliseconds(50);
 
@@ -46,7 +46,7 @@
     setUp(m_client);
 }
 
-/// The handlers are copied into each connection; a raw pointer keeps these copies small, and
+/// The handlers are copied into each connection; a raw `this` pointer keeps the copies small, and
 /// PeerLinkState::core keeps it valid.
 template <typename WebSocketEndpoint> void PeerNetworkCore::setUp(WebSocketEndpoint &endpoint)
 {
@@ -77,7 +77,8 @@
 RetVal<Endpoint> PeerNetworkCore::listen(const Endpoint &endpoint, const PeerLimits &limits)
 {
     if (m_acceptor.is_open() || m_isShutDown) {
-        return makeError(ErrorCode::Conflict, "the peer network listens already or was shut down");
+        return makeError(ErrorCode::Conflict,
+                         "the peer network is already listening or was shut down");
     }
     auto result = openAcceptor(m_acceptor, endpoint);
     if (!result) {
@@ -101,8 +102,8 @@
         });
 }
 
-/// websocketpp's own accept loop is not used: it goes on at once after an error, so it spins when
-/// the process has no descriptor left, and it knows no limit.
+/// websocketpp's own accept loop is not used: it continues at once after an error, so it spins when
+/// the process has run out of file descriptors, and it has no connection limit.
 void PeerNetworkCore::onAccept(const boost::system::error_code &error, tcp::socket socket)
 {
     if (!m_acceptor.is_open()) {
@@ -168,7 +169,7 @@
 Ret PeerNetworkCore::openLink(const Endpoint &endpoint)
 {
     if (m_connections.size() + m_attempts.size() > m_limits.links) {
-        return makeError(ErrorCode::Throttled, "the limit of links is reached");
+        return makeError(ErrorCode::Throttled, "the link limit is reached");
     }
     auto socket = openSocket(endpoint);
     if (!socket) {
@@ -178,7 +179,7 @@
     const ConnectionPtr connection =
         m_client.get_connection("ws://" + endpoint.text() + RESOURCE, error);
     if (error || !connection || m_isShutDown) {
-        return makeError(ErrorCode::Unavailable, "cannot open a link to " + endpoint.text());
+        return makeError(ErrorCode::Unavailable, "failed to open a link to " + endpoint.text());
     }
     connection->isOutgoing = true;
     connection->endpoint = endpoint;
@@ -186,7 +187,7 @@
     return {};
 }
 
-/// websocketpp's own connect is not used: it hands even IP numbers to a resolver thread.
+/// websocketpp's own connect is not used: it passes even numeric addresses to a resolver thread.
 RetVal<tcp::socket> PeerNetworkCore::openSocket(const Endpoint &endpoint)
 {
     const auto target = toTcpEndpoint(endpoint);
@@ -264,11 +265,11 @@
                                                    const std::string &message) const
 {
     if (message.empty() || (message.front() != PLAIN && message.front() != COMPRESSED)) {
-        return makeError(ErrorCode::InvalidArgument, "the message does not say how to read it");
+        return makeError(ErrorCode::InvalidArgument, "the message has an unknown encoding byte");
     }
     std::string frame = message.substr(1);
     if (frame.size() > m_limits.frameBytes) {
-        return makeError(ErrorCode::InvalidArgument, "the frame is too large");
+        return makeError(ErrorCode::InvalidArgument, "the frame exceeds the size limit");
     }
     if (message.front() == PLAIN) {
         return frame;
@@ -293,8 +294,8 @@
     }
 }
 
-/// Returns whether to answer. A peer that sends pings and takes no answers would fill the memory
-/// with them.
+/// Returns whether to send a pong. Otherwise a peer that sends pings without reading the pongs
+/// could exhaust the memory.
 bool PeerNetworkCore::onPing(const Hdl &hdl)
 {
     onPong(hdl);
@@ -319,7 +320,7 @@
     } else if (connection->isOutgoing) {
         finishAttempt(connection->endpoint,
                       makeError(ErrorCode::Unavailable,
-                                "no link to " + connection->endpoint.text() + ": "
+                                "failed to open a link to " + connection->endpoint.text() + ": "
                                     + connection->get_ec().message()));
     }
     if (m_connections.empty()) {
@@ -327,7 +328,7 @@
     }
 }
 
-/// From now on the connection is no link any more, though its closing handshake may go on.
+/// Removes the connection from the open links, though its closing handshake may continue.
 void PeerNetworkCore::forget(const ConnectionPtr &connection)
 {
     if (!std::exchange(connection->isEstablished, false)) {
@@ -358,13 +359,13 @@
 {
     const ConnectionPtr connection = findOpen(link);
     if (!connection) {
-        return makeError(ErrorCode::Unavailable, "the link is gone");
+        return makeError(ErrorCode::Unavailable, "the link is closed");
     }
     if (frame.size() > m_limits.frameBytes) {
-        return makeError(ErrorCode::InvalidArgument, "the frame is too large");
+        return makeError(ErrorCode::InvalidArgument, "the frame exceeds the size limit");
     }
     if (connection->get_buffered_amount() + frame.size() > m_limits.sendBufferBytes) {
-        return makeError(ErrorCode::Throttled, "too much waits to be sent on the link");
+        return makeError(ErrorCode::Throttled, "the send buffer of the link is full");
     }
     const std::string message = encodeMessage(connection, frame);
     const auto error =
@@ -376,7 +377,7 @@
     return {};
 }
 
-/// The handler hears of it from the loop, never from within its own call.
+/// The handler is notified from the loop, never from within its own call.
 void PeerNetworkCore::close(LinkId link, Duration timeout)
 {
     const ConnectionPtr connection = findOpen(link);
@@ -423,7 +424,7 @@
     }
 }
 
-/// Runs only while there are links, so that an unused network causes no wake-ups.
+/// The heartbeat runs only while there are links, so that an unused network causes no wake-ups.
 void PeerNetworkCore::startHeartbeat()
 {
     if (std::exchange(m_hasHeartbeat, true)) {
@@ -437,8 +438,8 @@
 void PeerNetworkCore::onHeartbeat()
 {
     const TimePoint now = m_loop.now();
-    // After a pause of this process its timers run before the input that waits is read. Every
-    // peer would look silent and all links would be closed at once; so they get another period.
+    // After a pause of this process, its timers fire before pending input is read. All peers would
+    // appear silent and all links would be closed at once; so they get another heartbeat interval.
     const bool wasPaused = now - m_lastHeartbeat > m_limits.heartbeatInterval;
     const auto connections = m_connections;
     for (const auto &entry : connections) {
--- a/src/transport/internal/tcpstream.cpp
+++ b/src/transport/internal/tcpstream.cpp
@@ -17,11 +17,11 @@
 using asio::ip::tcp;
 
 constexpr std::size_t READ_BYTES = 16 * 1024;
-/// An emptied input buffer above this is given back.
+/// An empty input buffer with a larger capacity is freed.
 constexpr std::size_t MAX_RETAINED_INPUT_BYTES = 1024;
 
-/// Filled and emptied within one callback, so all streams of a thread share it: a buffer for each
-/// pending read would cost every idle connection its size.
+/// Filled and emptied within one callback and thus shared by all streams of a thread. A buffer per
+/// pending read would cost memory for every idle connection.
 // NOLINTNEXTLINE(readability-identifier-naming): a variable, though clang-tidy sees a constant.
 thread_local std::array<char, READ_BYTES> readBuffer;
 
@@ -48,8 +48,8 @@
     if (result) {
         return result;
     }
-    // Without a listener, a connect to a port of the ephemeral range of the same host can meet
-    // itself: the request would come back as its own answer.
+    // Without a listener, a connect to an ephemeral port of the same host can connect to itself
+    // (TCP simultaneous open): the request would come back as its own response.
     ErrorCode ignored;
     if (m_socket.local_endpoint(ignored) == endpoint) {
         close();
@@ -119,8 +119,8 @@
     }
 }
 
-/// Writes at once and suspends only when the kernel's buffer is full: a write that goes through
-/// the loop would cost another turn of it.
+/// Writes synchronously and suspends only if the kernel's buffer is full: an asynchronous write
+/// would cost another loop iteration.
 TcpStream::ErrorCode TcpStream::write(std::string_view head, std::string_view body,
                                       std::size_t &written)
 {
@@ -211,7 +211,7 @@
     const auto address = asio::ip::make_address(endpoint.address, error);
     if (error) {
         return makeError(ErrorCode::InvalidArgument,
-                         '"' + endpoint.address + "\" is not an IP number");
+                         '"' + endpoint.address + "\" is not an IP address");
     }
     return tcp::endpoint(address, endpoint.port);
 }
