--- a/src/transport/internal/httpfields.cpp
+++ b/src/transport/internal/httpfields.cpp
@@ -59,7 +59,7 @@
     return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-bool sendsLengthOfNothing(const std::string &method)
+bool sendsZeroContentLength(const std::string &method)
 {
     return method == "POST" || method == "PUT" || method == "PATCH";
 }
@@ -129,7 +129,7 @@
         appendField(head, "Host", host);
     }
     appendFields(head, request.headers);
-    if (!request.body.empty() || sendsLengthOfNothing(request.method)) {
+    if (!request.body.empty() || sendsZeroContentLength(request.method)) {
         appendField(head, "Content-Length", std::to_string(request.body.size()));
     }
     head += "\r\n";
--- a/src/transport/tests/eventlooptest.cpp
+++ b/src/transport/tests/eventlooptest.cpp
@@ -100,7 +100,7 @@
 /// fiber would turn as fast as it can, and an idle daemon would use a whole core.
 TEST(EventLoop, IdleLoopBlocks)
 {
-    constexpr std::uint64_t FEW = 10;
+    constexpr std::uint64_t MAX_IDLE_TURNS = 10;
     EventLoop loop;
     std::uint64_t turns = 0;
     loop.spawn([&] {
@@ -111,7 +111,7 @@
     });
     loop.run();
     CHECK(turns > 0);
-    CHECK(turns < FEW);
+    CHECK(turns < MAX_IDLE_TURNS);
 }
 
 TEST(EventLoop, ExceptionEndsOnlyItsFiber)
