--- a/src/transport/tests/datagramsockettest.cpp
+++ b/src/transport/tests/datagramsockettest.cpp
@@ -17,7 +17,7 @@
     std::vector<std::string> payloads;
 };
 
-/// A port of this process' own loopback address that no TCP socket listens on.
+/// An endpoint on this process' own loopback address that no TCP socket listens on.
 Endpoint freeEndpoint(IEventLoop &loop)
 {
     const auto network = makePeerNetwork(loop);
@@ -80,9 +80,9 @@
     CHECK(sent.error().code == ErrorCode::InvalidArgument);
 }
 
-// 1. A peer's process has ended, and nothing takes datagrams at its port any more.
-// 2. The kernel may say so to the sender, as an error of a later call.
-// 3. Other peers are heard and spoken to as before: one that is gone must not cut this daemon off.
+// A peer's process has ended and its port is closed. The kernel may report this to the sender as an
+// error of a later call on the same socket. Guards against such an error cutting the daemon off
+// from all other peers.
 TEST(DatagramSocket, UnreachablePeerDoesNotAffectOthers)
 {
     m_runner.run([this] {
--- a/src/transport/tests/eventlooptest.cpp
+++ b/src/transport/tests/eventlooptest.cpp
@@ -96,8 +96,8 @@
     CHECK_EQUAL(3, received);
 }
 
-/// A fiber sleeps and nothing else happens. A loop that took Boost.Fiber's dispatcher for a ready
-/// fiber would turn as fast as it can, and an idle daemon would use a whole core.
+/// Guards against busy waiting while all fibers sleep: a loop that counted Boost.Fiber's dispatcher
+/// as a ready fiber would never block, and an idle daemon would use a whole core.
 TEST(EventLoop, IdleLoopBlocks)
 {
     constexpr std::uint64_t MAX_IDLE_TURNS = 10;
@@ -135,8 +135,8 @@
     CHECK_EQUAL(5, value.wait(hours(1)).value_or(0));
 }
 
-/// A fiber sleeps for an hour when its loop is destroyed. Boost.Fiber joins all fibers when the
-/// thread ends, so without the early wake-up the thread would hang for that hour.
+/// A fiber sleeps for an hour when its loop is destroyed. Boost.Fiber joins all fibers at thread
+/// exit, so without the early wake-up the thread would hang for that hour.
 TEST(EventLoop, DestructionEndsSleepingFibers)
 {
     bool hasEnded = false;
@@ -153,7 +153,7 @@
     CHECK(hasEnded);
 }
 
-/// The same with a loop that another thread made and destroys.
+/// As above, with a loop that another thread creates and destroys.
 TEST(EventLoop, ThreadExitEndsSleepingFibers)
 {
     bool hasEnded = false;
--- a/src/transport/tests/framecompressiontest.cpp
+++ b/src/transport/tests/framecompressiontest.cpp
@@ -55,8 +55,8 @@
     CHECK(m_deflater.deflate(frame).size() * 4 < frame.size());
 }
 
-// A peer sends a few bytes that make a frame of megabytes. It is not unpacked beyond the limit that
-// holds for plain frames.
+// A peer sends a few bytes that decompress to megabytes (a decompression bomb). Decompression stops
+// at the size limit of uncompressed frames.
 TEST(FrameCompression, FrameExpandingBeyondLimitIsRejected)
 {
     const std::string small = m_deflater.deflate(std::string(10 * MAX_BYTES, 'x'));
--- a/src/transport/tests/httpclienttest.cpp
+++ b/src/transport/tests/httpclienttest.cpp
@@ -21,7 +21,7 @@
 const Endpoint ANY_PORT = ownLoopback();
 const std::string HEAD_END = "\r\n\r\n";
 
-/// An upstream that the test writes byte by byte, on a thread of its own.
+/// A server on its own thread whose script controls every byte.
 class ScriptedServer
 {
 public:
@@ -36,8 +36,8 @@
     {
         m_thread = std::thread([this, script = std::move(script)] { script(m_listener); });
     }
-    /// A test whose script refers to its locals calls this last; the script could otherwise still
-    /// be on its way to them when they are gone.
+    /// To be called at the end of a test whose script refers to local variables: otherwise the
+    /// script could use them after their destruction.
     void join()
     {
         if (m_thread.joinable()) {
@@ -96,7 +96,7 @@
         return result;
     }
 
-    /// The result when the server answers with `bytes` and ends the connection.
+    /// The result when the server responds with `bytes` and closes the connection.
     HttpResult resultOf(const std::string &bytes, const std::string &method = "GET")
     {
         ScriptedServer server;
@@ -194,8 +194,9 @@
     STRCMP_EQUAL("x", result->body.c_str());
 }
 
-/// The server takes the request and its answer ends early, breaks the protocol, or has no end that
-/// could be told from a crash. The request may have run, and no part of the answer is passed on.
+/// The server accepts the request, and its response is truncated, violates the protocol, or ends in
+/// a way that is indistinguishable from a crash. The request may have been processed; no part of
+/// the response is passed on.
 TEST(HttpClient, IncompleteOrMalformedResponseIsAFailure)
 {
     m_limits.bodyBytes = 1000;
@@ -235,8 +236,8 @@
     checkFailure(exchange(makeGet("/")), HttpFailureStage::MaybeSent, HttpFailureCause::Broken);
 }
 
-/// The server closes the connection after its first answer, without saying so. The client sees
-/// the end before it writes the second request, and sends it on a fresh connection.
+/// The server closes the connection after its first response, without `Connection: close`. The
+/// client detects this before it writes the second request and sends it on a new connection.
 TEST(HttpClient, ReplacesIdleConnectionClosedByServer)
 {
     std::promise<void> isClosed;
@@ -257,8 +258,8 @@
     m_server.join();
 }
 
-/// After its answer the server sends more than it was asked for. Taken as the next answer, it
-/// would give a caller somebody else's answer; the connection must not be used again.
+/// After its response the server sends an unsolicited second one. Taken as the response to the next
+/// request, it would reach the wrong caller; the connection must not be reused.
 TEST(HttpClient, UnsolicitedBytesAreNeverTakenAsResponse)
 {
     m_server.run([&](RawSocket &listener) {
@@ -289,8 +290,8 @@
     m_server.join();
 }
 
-/// The answer comes after the timeout. The exchange fails as MaybeSent, its connection is closed,
-/// and the late answer can't be taken for that of the next request.
+/// The response arrives after the timeout. The exchange fails with MaybeSent and its connection is
+/// closed, so that the late response cannot be taken for that of the next request.
 TEST(HttpClient, LateResponseIsDiscarded)
 {
     m_server.run([&](RawSocket &listener) {
@@ -332,8 +333,8 @@
     checkFailure(exchange(makeGet("/")), HttpFailureStage::NotSent, HttpFailureCause::Cancelled);
 }
 
-/// The server takes nothing, so a large request gets stuck half written. Cancelling it then is no
-/// proof: the part that left may have been enough.
+/// The server stops reading, so a large request is only partly written when it is cancelled. The
+/// failure must be MaybeSent: the server may act on the part that was sent.
 TEST(HttpClient, CancelledPartialRequestIsReportedAsMaybeSent)
 {
     std::promise<void> isReceived;
@@ -403,7 +404,7 @@
         m_client->preconnect(m_endpoint, 5);
     });
     isAccepted.get_future().wait();
-    // The limit is 1: while the warm connection is still opening there is none to use.
+    // The limit is 1: none is available while the preconnected one is still being opened.
     HttpResult result = exchange(makeGet("/"));
     while (!result && result.error().cause == HttpFailureCause::NoConnection) {
         result = exchange(makeGet("/"));
@@ -427,7 +428,7 @@
     STRCMP_EQUAL("", rest.c_str());
 }
 
-/// The client is destroyed while a request is out: its caller is told so, with the right stage.
+/// The client is destroyed during a request: the exchange fails with the correct stage.
 TEST(HttpClient, DestructionCancelsExchanges)
 {
     std::promise<void> isReceived;
@@ -448,8 +449,9 @@
     m_server.join();
 }
 
-/// The server refuses a body by its length, answers at once and drops what still comes. The
-/// client gets that answer although it could not know it while it was writing.
+/// The server rejects a body by its declared length, responds at once and discards the remaining
+/// input. The client receives that response although it arrives while the request is still being
+/// written.
 TEST(HttpClient, AcceptsResponseSentBeforeWholeRequest)
 {
     std::unique_ptr<IHttpServer> server;
--- a/src/transport/tests/httplogservicetest.cpp
+++ b/src/transport/tests/httplogservicetest.cpp
@@ -44,8 +44,8 @@
     STRCMP_EQUAL("b", findHeader(request.headers, headers::LOG_CLIENT)->c_str());
 }
 
-// A caller that is told "not appended" appends again. When an answer is lost after the bytes were
-// sent, the record may be in the log, so no other endpoint is asked and the outcome is unknown.
+// A caller told "not appended" appends again. If a response is lost after the request was sent, the
+// record may be in the log: no other endpoint is tried and the outcome is `Unknown`.
 TEST(HttpLogService, LostResponseGivesUnknown)
 {
     fail(HttpFailureStage::MaybeSent);
@@ -111,7 +111,7 @@
     }
 }
 
-// A daemon that stops must not wait for a read that the log holds back, nor ask the next endpoint.
+// A daemon that shuts down must neither wait for a pending long poll nor try the next endpoint.
 TEST(HttpLogService, PendingReadCanBeCancelled)
 {
     m_client.answer = [this](const MockHttpClient::Call &call) -> HttpResult {
--- a/src/transport/tests/httpparsertest.cpp
+++ b/src/transport/tests/httpparsertest.cpp
@@ -10,7 +10,7 @@
 
 constexpr HttpParseLimits LIMITS{ 1000, 1000 };
 
-/// Gives `first` and then the rest to the parser, as two reads would.
+/// Passes the first `first` bytes and then the rest to the parser, as two reads would.
 template <typename Parser>
 HttpParseStatus parseInTwo(Parser &parser, const std::string &text, std::size_t first,
                            std::size_t &leftOver)
@@ -31,7 +31,7 @@
 
 TEST_GROUP(HttpParser){};
 
-/// The network may cut a message anywhere; the result must not depend on where.
+/// The network may split a message anywhere; the result must not depend on the position.
 TEST(HttpParser, RequestIsIndependentOfSplitPosition)
 {
     const std::string text = "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n"
@@ -60,8 +60,8 @@
     }
 }
 
-/// Without a length the body would last until the connection ends, which is no proof of its end.
-/// The header is enough to refuse it; the caller does not wait for the rest.
+/// Without a length the body extends to the end of the connection, which does not prove that it is
+/// complete. The header suffices to reject it, so that the caller need not wait for the body.
 TEST(HttpParser, ResponseWithoutLengthIsRejectedAtHeader)
 {
     HttpResponseParser parser(LIMITS, true);
--- a/src/transport/tests/httpservertest.cpp
+++ b/src/transport/tests/httpservertest.cpp
@@ -62,7 +62,7 @@
         m_runner.run([&] { m_gate->set(1); });
     }
 
-    /// Waits until the loop has left a handler that refers to the test's locals.
+    /// Waits until the loop has left a handler that refers to local variables of the test.
     void settle()
     {
         m_runner.run([] {});
@@ -78,7 +78,7 @@
         return RawSocket::connectTo(m_endpoint);
     }
 
-    /// What a client gets that sends `request` and then only reads.
+    /// Everything that a client receives which sends `request` and then only reads.
     std::string responseTo(const std::string &request)
     {
         RawSocket client = connect();
@@ -196,9 +196,9 @@
     CHECK(contains(client.readToEnd(), "POST /e ab"));
 }
 
-/// Each client breaks one rule. It gets the status that names it and then the end of its
-/// connection, also while it still sends: the rest of its input is read before closing, as a
-/// reset could overtake the answer.
+/// Each client exceeds one limit. It gets the matching status and its connection is closed, even
+/// while it is still sending: the rest of its input is read before closing, as a reset could
+/// overtake the response.
 TEST(HttpServer, RejectsInputOverLimits)
 {
     m_limits.headerBytes = 1000;
@@ -222,8 +222,8 @@
                    "HTTP/1.1 400 "));
 }
 
-/// A header that arrives field by field never has more than its last field in the input buffer.
-/// The limit must count what was already taken, or such a client fills the memory.
+/// When a header arrives field by field, the input buffer never holds more than the last field. The
+/// limit must include the bytes already parsed, or such a client could exhaust the memory.
 TEST(HttpServer, HeaderLimitCoversHeaderReceivedInPieces)
 {
     m_limits.headerBytes = 1000;
@@ -254,8 +254,8 @@
     }
 }
 
-/// A client sends half a request and then nothing. Its connection would be held for ever; it gets
-/// 408 and its connection ends, while another client is answered all the time.
+/// A client sends part of a request and then nothing, which would hold its connection indefinitely.
+/// It gets 408 and its connection is closed; another client is served as usual.
 TEST(HttpServer, TimesOutSlowSenders)
 {
     m_limits.receiveTimeout = milliseconds(50);
@@ -274,8 +274,8 @@
     STRCMP_EQUAL("", responseTo("").c_str());
 }
 
-/// A client asks for a large answer and does not read it. When the kernel's buffers are full the
-/// server waits for the client, and ends the connection after the send timeout.
+/// A client requests a large response and does not read it. When the kernel's buffers are full, the
+/// server waits for the client and closes the connection after the send timeout.
 TEST(HttpServer, DisconnectsClientsThatDoNotReadTheResponse)
 {
     constexpr std::size_t BODY_BYTES = 64 * 1024 * 1024;
@@ -311,8 +311,8 @@
     CHECK(contains(first.readUntil("|Host=a"), "GET /4"));
 }
 
-/// The client goes away while its request is worked on. The handler hears of it once and can
-/// cancel what it started.
+/// The client disconnects while its request is handled. The handler is notified once and can cancel
+/// its work.
 TEST(HttpServer, NotifiesHandlerOfClientDisconnect)
 {
     std::atomic<int> calls = 0;
@@ -337,8 +337,8 @@
     CHECK_EQUAL(1, calls.load());
 }
 
-// Guards against requests that lay unread in a busy process and are passed on for clients that have
-// left meanwhile.
+// Guards against handling requests of clients that disconnected while their request was still
+// unread in a busy process.
 TEST(HttpServer, DetectsDisconnectBeforeRequestWasRead)
 {
     std::promise<bool> isKnownToBeGone;
@@ -358,8 +358,8 @@
     settle();
 }
 
-/// A pipelined request arrives while the first one is worked on. That is no disconnect; when the
-/// client then goes away, the handler still hears of it.
+/// A pipelined request that arrives while the first one is handled must not be reported as a
+/// disconnect.
 TEST(HttpServer, PipelinedRequestIsNotADisconnect)
 {
     std::atomic<int> calls = 0;
@@ -383,6 +383,8 @@
     CHECK_EQUAL(0, calls.load());
 }
 
+/// The client disconnects after a pipelined request; the handler of the first one is still
+/// notified.
 TEST(HttpServer, DisconnectAfterPipelinedRequestIsDetected)
 {
     std::promise<void> isHandling;
@@ -413,9 +415,9 @@
     CHECK(contains(responseTo(get("/")), "HTTP/1.1 500 "));
 }
 
-/// A planned stop while one request is worked on, one connection is idle and one has sent half a
-/// request. The request in work and the half one are answered whole with `Connection: close`; the
-/// idle connection ends; new connections are not accepted.
+/// A graceful shutdown while one request is being handled, one connection is idle and one has sent
+/// part of a request. Both requests get complete responses with `Connection: close`; the idle
+/// connection is closed; new connections are not accepted.
 TEST(HttpServer, DrainCompletesRequestsInProgress)
 {
     std::promise<void> isHandling;
@@ -466,7 +468,7 @@
     CHECK(contains(client.readToEnd(), "HTTP/1.1 200 OK"));
 }
 
-/// Many clients send random bytes while another one asks and gets its own answers.
+/// Many clients send random bytes while another client sends requests and gets its own responses.
 TEST(HttpServer, MalformedInputDoesNotAffectOtherClients)
 {
     listen();
--- a/src/transport/tests/peernetworktest.cpp
+++ b/src/transport/tests/peernetworktest.cpp
@@ -19,7 +19,7 @@
 
 const Endpoint ANY_PORT = ownLoopback();
 
-/// Records what happens on links, for the test's thread to wait for.
+/// Records the events of links and lets the test's thread wait for them.
 class RecordingHandler : public IPeerHandler
 {
 public:
@@ -58,7 +58,7 @@
     std::vector<LinkId> m_down;
 };
 
-/// A network on a thread of its own.
+/// A peer network with its event loop on its own thread.
 struct Node
 {
     explicit Node(const PeerLimits &limits = {})
@@ -83,7 +83,7 @@
         return link;
     }
 
-    /// The null id when it fails.
+    /// The null id if connecting fails.
     LinkId linkTo(const Endpoint &target) { return connectTo(target).value_or(LinkId()); }
 
     Ret send(LinkId link, const std::string &frame)
@@ -106,7 +106,7 @@
     Endpoint endpoint;
 };
 
-/// A link of a client that the test writes byte by byte.
+/// Opens a client link on a raw socket, so that the test controls every byte.
 RawSocket openRawLink(const Endpoint &endpoint)
 {
     RawSocket socket = RawSocket::connectTo(endpoint);
@@ -116,7 +116,7 @@
     return socket;
 }
 
-/// First byte of a message that is not compressed.
+/// First byte of an uncompressed message.
 const std::string PLAIN(1, '\0');
 
 /// A masked frame with an all-zero mask.
@@ -154,8 +154,8 @@
     STRCMP_EQUAL("answer", answers.front().second.c_str());
 }
 
-// Compression starts in the middle of a link, on one side only. The other side reads the plain
-// frames before it and the compressed ones after it.
+// Compression is enabled on an open link, on one side only. The other side reads the plain frames
+// before it and the compressed ones after it.
 TEST(PeerNetwork, CarriesPlainAndCompressedFramesInOrder)
 {
     constexpr int COUNT = 200;
@@ -226,8 +226,8 @@
     CHECK_EQUAL(3, failures);
 }
 
-/// The peer accepts the connection and never answers the handshake. The attempt ends at the
-/// timeout; nothing is left behind.
+/// The peer accepts the connection and never answers the handshake. The attempt fails at the
+/// timeout, without a link and without a call to the handler.
 TEST(PeerNetwork, ConnectTimesOutOnUnansweredHandshake)
 {
     RawSocket listener = RawSocket::listenOn(ANY_PORT);
@@ -241,8 +241,8 @@
     CHECK_EQUAL(0, a.handler.waitForDown(0).size());
 }
 
-/// The peer's process ends. This side is told once; the old id is dead, and the link to the
-/// peer's successor has a new one.
+/// The peer's process ends. The handler is notified once, the old id becomes invalid, and a new
+/// link gets a new id.
 TEST(PeerNetwork, LostLinkIsReportedOnceAndItsIdIsNotReused)
 {
     Node a;
@@ -261,8 +261,8 @@
     CHECK_EQUAL(1, a.handler.waitForDown(1).size());
 }
 
-/// This side closes a link. What was sent before arrives, both sides are told once, and nothing
-/// that arrives later is passed on.
+/// This side closes a link. The frames queued before arrive, both sides are notified once, and
+/// frames that arrive later are not delivered.
 TEST(PeerNetwork, CloseSendsQueuedFrames)
 {
     constexpr int COUNT = 100;
@@ -314,8 +314,8 @@
     CHECK_EQUAL(1000, b.handler.waitForFrames(1).front().second.size());
 }
 
-/// A peer with a larger limit sends a frame that is too large here. Its link ends at once, without
-/// the frame; another link goes on.
+/// A peer with a larger limit sends a frame over the limit of this side. Its link is closed without
+/// delivering the frame; another link is unaffected.
 TEST(PeerNetwork, OversizedFrameClosesOnlyItsLink)
 {
     PeerLimits small;
@@ -334,8 +334,8 @@
     STRCMP_EQUAL("still here", frames.front().second.c_str());
 }
 
-/// The peer does not read. The queue grows up to its bound; then `send` refuses, which proves that
-/// the frame was not sent.
+/// The peer does not read. The send buffer grows up to its limit; then `send` fails with
+/// `Throttled`, which proves that the frame was not sent.
 TEST(PeerNetwork, BoundsSendBufferOfLink)
 {
     PeerLimits limits;
@@ -355,8 +355,8 @@
     CHECK_EQUAL(1, b.linkCount());
 }
 
-/// The peer stops without closing its connection. It is probed with a ping, and when no answer
-/// comes the link is closed.
+/// The peer stops responding without closing its connection. It is probed with a ping, and the link
+/// is closed when no pong arrives.
 TEST(PeerNetwork, UnresponsivePeerIsPingedAndDisconnected)
 {
     PeerLimits limits;
@@ -369,7 +369,7 @@
     peer.readToEnd();
 }
 
-/// A link without frames stays: the peer answers each ping.
+/// A link without frames stays open as long as the peer answers each ping.
 TEST(PeerNetwork, PongsKeepIdleLinkOpen)
 {
     PeerLimits limits;
@@ -409,8 +409,8 @@
     CHECK_FALSE(b.connectTo(c.endpoint).has_value());
 }
 
-/// Bytes that are no handshake, plain HTTP, a text message, and random bytes after a handshake:
-/// each ends its own connection only. Meanwhile another link carries every frame.
+/// Bytes that are not a handshake, plain HTTP, a text message, and random bytes after a handshake:
+/// each closes only its own connection, while another link delivers every frame.
 TEST(PeerNetwork, MalformedInputClosesOnlyItsLink)
 {
     Node a;
@@ -447,8 +447,8 @@
     STRCMP_EQUAL("last", b.handler.waitForFrames(101).back().second.c_str());
 }
 
-/// Links are open and frames are under way when the network is destroyed; its handler is
-/// destroyed right after it and must not be called again.
+/// The network is destroyed with open links and frames in flight; its handler is destroyed right
+/// after it and must not be called again.
 TEST(PeerNetwork, NoCallbackAfterDestruction)
 {
     struct CountingHandler : IPeerHandler
--- a/src/transport/tests/timerqueuetest.cpp
+++ b/src/transport/tests/timerqueuetest.cpp
@@ -42,8 +42,8 @@
     CHECK(m_queue.nextTime() == TimePoint::max());
 }
 
-/// Most timeouts are cancelled long before they are due, so their places are used again while
-/// their old entries still wait. An old id must never reach a new task.
+/// Most timeouts are cancelled long before they are due, so their slots are reused while their heap
+/// entries are still queued. A stale id must never affect a new task.
 TEST(TimerQueue, CancelledTasksNeverRunAndStaleIdsCancelNothing)
 {
     constexpr int ROUNDS = 10000;
