--- a/src/transport/idatagramsocket.h
+++ b/src/transport/idatagramsocket.h
@@ -28,7 +28,7 @@
     virtual ~IDatagramSocket() = default;
 
     virtual void setHandler(IDatagramHandler *handler) = 0;
-    /// `Unavailable` if the address cannot be bound.
+    /// `InvalidArgument` for a non-IP address, `Unavailable` if it cannot be bound.
     virtual Ret listen(const Endpoint &endpoint) = 0;
     /// Does not suspend. `InvalidArgument` for a payload over `MAX_PAYLOAD_BYTES`; an error
     /// proves that nothing was sent.
--- a/src/transport/ihttpserver.h
+++ b/src/transport/ihttpserver.h
@@ -48,7 +48,7 @@
     virtual ~IHttpServer() = default;
 
     /// Starts accepting; port 0 selects a free port. Returns the endpoint that it listens on.
-    /// `Conflict` if the server is already listening, `Unavailable` if the address cannot be bound.
+    /// `Conflict` if already listening, `InvalidArgument` for a non-IP address, else `Unavailable`.
     virtual RetVal<Endpoint> listen(const Endpoint &endpoint, const HttpLimits &limits,
                                     HttpHandler handler) = 0;
     /// Applies to new connections and to further requests on existing ones.
--- a/src/transport/ipeernetwork.h
+++ b/src/transport/ipeernetwork.h
@@ -44,7 +44,7 @@
 
     virtual void setHandler(IPeerHandler *handler) = 0;
     /// Returns the endpoint that it listens on. `Conflict` if it is already listening or was shut
-    /// down, `Unavailable` if the address cannot be bound.
+    /// down, `InvalidArgument` for a non-IP address, `Unavailable` if it cannot be bound.
     virtual RetVal<Endpoint> listen(const Endpoint &endpoint, const PeerLimits &limits) = 0;
     /// Returns the open link that this side has to `endpoint`, or opens one. Suspends the calling
     /// fiber while connecting; concurrent calls share one attempt.
