--- a/src/app/internal/control/controlchannel.cpp
+++ b/src/app/internal/control/controlchannel.cpp
@@ -45,14 +45,14 @@
 /// Returns false if the payload has to go over a link.
 bool ControlChannel::sendDatagram(const Endpoint &endpoint, const std::string &payload)
 {
-    if (m_usesLinksOnly || payload.size() >= IDatagramSocket::MOST_BYTES) {
+    if (m_usesLinksOnly || payload.size() >= IDatagramSocket::MAX_PAYLOAD_BYTES) {
         return false;
     }
     ControlMessage message;
     message.from = m_self;
     message.payload = payload;
     const std::string datagram = DATAGRAM_VERSION + m_codec.encode(PeerMessage(message));
-    if (datagram.size() > IDatagramSocket::MOST_BYTES) {
+    if (datagram.size() > IDatagramSocket::MAX_PAYLOAD_BYTES) {
         return false;
     }
     // A failed send counts as a lost datagram: a link would not get through either.
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -28,7 +28,7 @@
     limits.echoHeader = dialect.echoHeader();
     // If the server echoes the request id in each response, a response without framing can be told
     // apart from the remains of another request's response.
-    limits.takesUnframedAnswers = !limits.echoHeader.empty();
+    limits.acceptsUnframedResponses = !limits.echoHeader.empty();
     limits.bodyBytes = settings.limits.bodyBytes;
     return limits;
 }
@@ -194,7 +194,7 @@
     ListeningEndpoints bound;
     PeerLimits peerLimits;
     peerLimits.connectTimeout = m_settings.peerConnectTimeout;
-    peerLimits.heartbeat = m_settings.peerHeartbeat;
+    peerLimits.heartbeatInterval = m_settings.peerHeartbeat;
     const auto peer = m_network->listen(m_settings.peerListen, peerLimits);
     if (!peer) {
         return tl::unexpected<Error>(peer.error());
@@ -272,7 +272,7 @@
 void TrafficNode::startLeaving(TimePoint end)
 {
     m_gates->startLeaving(end);
-    m_callerServer->startLeaving();
+    m_callerServer->disableKeepAlive();
 }
 
 void TrafficNode::refuseCallers()
--- a/src/app/tests/controlchanneltest.cpp
+++ b/src/app/tests/controlchanneltest.cpp
@@ -67,9 +67,9 @@
 // For example member tables and configurations.
 TEST(ControlChannel, SendsLongMessagesOverALink)
 {
-    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES, 'x'));
+    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MAX_PAYLOAD_BYTES, 'x'));
     // Fits into a datagram by itself, but not together with the sender's id.
-    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MOST_BYTES - 1, 'x'));
+    m_channel.send(DaemonId("b"), PEER, std::string(IDatagramSocket::MAX_PAYLOAD_BYTES - 1, 'x'));
     CHECK(m_socket.sent.empty());
     CHECK_EQUAL(2, m_byLink.size());
 }
--- a/src/transport/internal/eventloop.cpp
+++ b/src/transport/internal/eventloop.cpp
@@ -18,37 +18,38 @@
 
 namespace {
 
-/// Tells asio that one thread runs the loop; posting from others stays safe.
-constexpr int ONE_THREAD = 1;
-constexpr Duration LONGEST_DELAY = std::chrono::hours(24 * 365);
-constexpr int END_ROUNDS = 1000;
+/// Concurrency hint for asio: one thread runs the loop; posting from others remains safe.
+constexpr int SINGLE_THREAD_HINT = 1;
+constexpr Duration MAX_TIMER_DELAY = std::chrono::hours(24 * 365);
+constexpr int MAX_SHUTDOWN_ROUNDS = 1000;
 
-/// An exception that reached a task's end is a broken invariant of that task; the other fibers and
-/// connections of the thread go on.
+/// An exception that escapes a task is a bug in that task; the other fibers and connections of the
+/// thread continue.
 void runGuarded(const std::function<void()> &task)
 {
     try {
         task();
     } catch (const std::exception &error) {
-        std::fprintf(stderr, "ivyspar: a task ended by an exception: %s\n", error.what());
+        std::fprintf(stderr, "ivyspar: uncaught exception in a task: %s\n", error.what());
     }
 }
 
-/// Boost.Fiber waits at a thread's end until all its fibers have ended; with one that sleeps for an
-/// hour the join of that thread would hang as long. Boost.Fiber's own object of the thread exists
-/// before this one and is therefore destroyed after it.
-class ThreadEnd
+/// Ends the fibers of the loop at thread exit. Boost.Fiber waits there until all fibers of the
+/// thread have ended; a fiber that sleeps for an hour would block the join of the thread for as
+/// long. Boost.Fiber's own thread-local object is created before this one and so is destroyed after
+/// it.
+class ThreadExitHook
 {
 public:
-    ThreadEnd() = default;
-    ~ThreadEnd()
+    ThreadExitHook() = default;
+    ~ThreadExitHook()
     {
         if (m_loop != nullptr) {
             m_loop->endFibers();
         }
     }
-    ThreadEnd(const ThreadEnd &) = delete;
-    ThreadEnd &operator=(const ThreadEnd &) = delete;
+    ThreadExitHook(const ThreadExitHook &) = delete;
+    ThreadExitHook &operator=(const ThreadExitHook &) = delete;
 
     void bind(EventLoop *loop) { m_loop = loop; }
     void unbind(const EventLoop *loop)
@@ -64,12 +65,12 @@
 
 // NOLINTNEXTLINE(readability-identifier-naming): a variable, though clang-tidy takes it for a
 // constant.
-thread_local ThreadEnd threadEnd;
+thread_local ThreadExitHook threadExitHook;
 
 } // namespace
 
 EventLoop::EventLoop()
-    : m_io(ONE_THREAD)
+    : m_io(SINGLE_THREAD_HINT)
     , m_work(boost::asio::make_work_guard(m_io))
     , m_timer(m_io)
     , m_scheduler(new FiberScheduler(this))
@@ -81,24 +82,25 @@
 {
     if (m_thread == std::this_thread::get_id()) {
         endFibers();
-        threadEnd.unbind(this);
+        threadExitHook.unbind(this);
     }
     m_scheduler->detachLoop();
 }
 
-/// The algorithm is installed late, so that a loop may be made on one thread and run on another.
+/// Installs the scheduling algorithm on first use, so that a loop can be created on one thread and
+/// run on another.
 void EventLoop::bindToThread()
 {
     if (m_thread == std::this_thread::get_id()) {
         return;
     }
     if (m_thread != std::thread::id()) {
-        std::fputs("ivyspar: an event loop was used on two threads\n", stderr);
+        std::fputs("ivyspar: event loop used on more than one thread\n", stderr);
         std::abort();
     }
     m_thread = std::this_thread::get_id();
     boost::fibers::context::active()->get_scheduler()->set_algo(m_scheduler);
-    threadEnd.bind(this);
+    threadExitHook.bind(this);
 }
 
 void EventLoop::spawn(std::function<void()> task)
@@ -136,7 +138,7 @@
 
 TimerId EventLoop::callLater(Duration delay, std::function<void()> task)
 {
-    const Duration bounded = std::clamp(delay, Duration::zero(), LONGEST_DELAY);
+    const Duration bounded = std::clamp(delay, Duration::zero(), MAX_TIMER_DELAY);
     const TimerId id = m_timers.add(now() + bounded, std::move(task));
     armTimer();
     return id;
@@ -186,8 +188,8 @@
     boost::asio::post(m_io, [this] { m_isStopped = true; });
 }
 
-/// Runs every fiber that is ready now once, then one event. Events get their turn also while
-/// fibers keep each other ready.
+/// Runs each ready fiber once, then one event. Events are thus processed even while fibers keep
+/// making each other ready.
 void EventLoop::runOnce()
 {
     ++m_turnCount;
@@ -206,7 +208,7 @@
             m_io.poll_one();
         }
     } catch (const std::exception &error) {
-        std::fprintf(stderr, "ivyspar: a callback ended by an exception: %s\n", error.what());
+        std::fprintf(stderr, "ivyspar: uncaught exception in a callback: %s\n", error.what());
     }
 }
 
@@ -219,13 +221,13 @@
             m_io.run_one_until(time);
         }
     } catch (const std::exception &error) {
-        std::fprintf(stderr, "ivyspar: a callback ended by an exception: %s\n", error.what());
+        std::fprintf(stderr, "ivyspar: uncaught exception in a callback: %s\n", error.what());
     }
 }
 
 void EventLoop::endFibers()
 {
-    for (int round = 0; round < END_ROUNDS && m_fiberCount > 0; ++round) {
+    for (int round = 0; round < MAX_SHUTDOWN_ROUNDS && m_fiberCount > 0; ++round) {
         if (const auto task = m_timers.takeDue(TimePoint::max())) {
             runGuarded(task);
         }
--- a/src/transport/internal/httpfields.cpp
+++ b/src/transport/internal/httpfields.cpp
@@ -59,7 +59,7 @@
     return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-bool sendsLengthOfNothing(const std::string &method)
+bool sendsZeroContentLength(const std::string &method)
 {
     return method == "POST" || method == "PUT" || method == "PATCH";
 }
@@ -129,7 +129,7 @@
         appendField(head, "Host", host);
     }
     appendFields(head, request.headers);
-    if (!request.body.empty() || sendsLengthOfNothing(request.method)) {
+    if (!request.body.empty() || sendsZeroContentLength(request.method)) {
         appendField(head, "Content-Length", std::to_string(request.body.size()));
     }
     head += "\r\n";
@@ -150,8 +150,8 @@
     std::string head = "HTTP/1.1 " + std::to_string(status) + ' ';
     head.append(reason.data(), reason.size()).append("\r\n");
     appendFields(head, response.headers);
-    // The length in the answer to HEAD is that of the body which GET would get. When the handler
-    // gives no body it is not known, and 0 would be wrong.
+    // The length in a response to HEAD is that of the body of a GET response. If the handler
+    // provides no body, it is unknown, and 0 would be wrong.
     if (hasResponseBody(response, framing) || (framing.isHead && !response.body.empty())) {
         appendField(head, "Content-Length", std::to_string(response.body.size()));
     }
--- a/src/transport/internal/httpserver.h
+++ b/src/transport/internal/httpserver.h
@@ -12,8 +12,8 @@
 
 namespace ivyspar {
 
-/// What the connections of a server share. Lives until the last of their fibers has ended, which
-/// may be after the server was destroyed.
+/// State shared by the connections of a server. Lives until the last of their fibers has ended,
+/// which may be after the server was destroyed.
 class HttpServerCore
     : public boost::intrusive_ref_counter<HttpServerCore, boost::thread_unsafe_counter>
 {
@@ -23,19 +23,19 @@
     RetVal<Endpoint> listen(const Endpoint &endpoint, const HttpLimits &limits,
                             HttpHandler handler);
     void setLimits(const HttpLimits &limits) { m_limits = limits; }
-    void startLeaving() { m_isLeaving = true; }
+    void disableKeepAlive() { m_isKeepAliveDisabled = true; }
     void drain(Duration timeout);
-    /// Ends everything at once.
+    /// Stops accepting and closes all connections at once.
     void abort();
 
     EventLoop &loop() { return m_loop; }
     const HttpLimits &limits() const { return m_limits; }
     const HttpHandler &handler() const { return m_handler; }
-    bool endsConnections() const { return m_isLeaving || m_isDraining; }
+    bool closesConnections() const { return m_isKeepAliveDisabled || m_isDraining; }
     std::size_t connectionCount() const { return m_connectionCount; }
-    /// A connection has sent its last answer, or broke.
+    /// Called when a connection has sent its last response or was closed.
     void onConnectionDone();
-    /// Whether one more connection may wait for its client's end.
+    /// Counts one more lingering connection; false if the limit is reached.
     bool beginLinger();
     void endLinger() { --m_lingerCount; }
 
@@ -46,7 +46,7 @@
 
     void startAccept();
     void onAccept(const boost::system::error_code &error, boost::asio::ip::tcp::socket socket);
-    void acceptWaiting();
+    void acceptPending();
     void addConnection(boost::asio::ip::tcp::socket socket);
     void closeIdleConnections();
 
@@ -55,11 +55,11 @@
     HttpHandler m_handler;
     boost::asio::ip::tcp::acceptor m_acceptor;
     ConnectionList m_connections;
-    /// Connections that are served; the list also has those that only wait for their end.
+    /// Connections being served; the list also contains refused and lingering ones.
     std::size_t m_connectionCount = 0;
     std::size_t m_refusalCount = 0;
     std::size_t m_lingerCount = 0;
-    bool m_isLeaving = false;
+    bool m_isKeepAliveDisabled = false;
     bool m_isDraining = false;
     FiberWaiter m_drainWaiter;
 };
@@ -76,7 +76,7 @@
     RetVal<Endpoint> listen(const Endpoint &endpoint, const HttpLimits &limits,
                             HttpHandler handler) override;
     void setLimits(const HttpLimits &limits) override;
-    void startLeaving() override;
+    void disableKeepAlive() override;
     void drain(Duration timeout) override;
     std::size_t connectionCount() const override;
 
--- a/src/transport/tests/datagramsockettest.cpp
+++ b/src/transport/tests/datagramsockettest.cpp
@@ -17,7 +17,7 @@
     std::vector<std::string> payloads;
 };
 
-/// A port of this process' own loopback address that no TCP socket listens on.
+/// An endpoint on this process' own loopback address that no TCP socket listens on.
 Endpoint freeEndpoint(IEventLoop &loop)
 {
     const auto network = makePeerNetwork(loop);
@@ -63,27 +63,27 @@
     bool m_isListening = false;
 };
 
-TEST(DatagramSocket, CarriesPayloadsOfAllBytes)
+TEST(DatagramSocket, CarriesArbitraryBytes)
 {
     const std::string bytes("\0\n\xff", 3);
     CHECK(send(bytes).has_value());
-    CHECK(send(std::string(IDatagramSocket::MOST_BYTES, 'x')).has_value());
+    CHECK(send(std::string(IDatagramSocket::MAX_PAYLOAD_BYTES, 'x')).has_value());
     CHECK(m_runner.reaches([this] { return m_collector.payloads.size() == 2; }));
     CHECK(m_collector.payloads[0] == bytes);
-    CHECK_EQUAL(IDatagramSocket::MOST_BYTES, m_collector.payloads[1].size());
+    CHECK_EQUAL(IDatagramSocket::MAX_PAYLOAD_BYTES, m_collector.payloads[1].size());
 }
 
-TEST(DatagramSocket, RefusesWhatIsTooLong)
+TEST(DatagramSocket, RejectsOversizedPayload)
 {
-    const Ret sent = send(std::string(IDatagramSocket::MOST_BYTES + 1, 'x'));
+    const Ret sent = send(std::string(IDatagramSocket::MAX_PAYLOAD_BYTES + 1, 'x'));
     CHECK(!sent);
     CHECK(sent.error().code == ErrorCode::InvalidArgument);
 }
 
-// 1. A peer's process has ended, and nothing takes datagrams at its port any more.
-// 2. The kernel may say so to the sender, as an error of a later call.
-// 3. Other peers are heard and spoken to as before: one that is gone must not cut this daemon off.
-TEST(DatagramSocket, APeerThatIsGoneDisturbsNoOther)
+// A peer's process has ended and its port is closed. The kernel may report this to the sender as an
+// error of a later call on the same socket. Guards against such an error cutting the daemon off
+// from all other peers.
+TEST(DatagramSocket, UnreachablePeerDoesNotAffectOthers)
 {
     m_runner.run([this] {
         const Endpoint gone = freeEndpoint(m_runner.loop());
@@ -95,7 +95,7 @@
     CHECK(m_runner.reaches([this] { return m_collector.payloads.size() == 1; }));
 }
 
-TEST(DatagramSocket, ATakenPortIsAnError)
+TEST(DatagramSocket, ListenFailsOnPortInUse)
 {
     m_runner.run([this] {
         const auto second = makeDatagramSocket(m_runner.loop());
--- a/src/transport/tests/eventlooptest.cpp
+++ b/src/transport/tests/eventlooptest.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-TEST(EventLoop, TimersRunInOrderOfTime)
+TEST(EventLoop, TimersFireInTimeOrder)
 {
     std::string order;
     m_loop->callLater(milliseconds(3), [&] { order += 'c'; });
@@ -39,7 +39,7 @@
     STRCMP_EQUAL("abc", order.c_str());
 }
 
-TEST(EventLoop, AnIdOfATimerThatRanCancelsNoOther)
+TEST(EventLoop, IdOfFiredTimerCancelsNoOtherTimer)
 {
     bool hasRun = false;
     runTask([&] {
@@ -52,7 +52,7 @@
     CHECK(hasRun);
 }
 
-TEST(EventLoop, SleepingFibersTakeTurns)
+TEST(EventLoop, SleepingFibersInterleave)
 {
     std::string order;
     m_loop->spawn([&] {
@@ -81,7 +81,7 @@
     CHECK_EQUAL(7, received);
 }
 
-TEST(EventLoop, OneShotTimesOutAndStillTakesALaterValue)
+TEST(EventLoop, OneShotAcceptsValueAfterTimeout)
 {
     OneShot<int> value(*m_loop);
     bool isTimedOut = false;
@@ -96,11 +96,11 @@
     CHECK_EQUAL(3, received);
 }
 
-/// A fiber sleeps and nothing else happens. A loop that took Boost.Fiber's dispatcher for a ready
-/// fiber would turn as fast as it can, and an idle daemon would use a whole core.
-TEST(EventLoop, AnIdleLoopBlocks)
+/// Guards against busy waiting while all fibers sleep: a loop that counted Boost.Fiber's dispatcher
+/// as a ready fiber would never block, and an idle daemon would use a whole core.
+TEST(EventLoop, IdleLoopBlocks)
 {
-    constexpr std::uint64_t FEW = 10;
+    constexpr std::uint64_t MAX_IDLE_TURNS = 10;
     EventLoop loop;
     std::uint64_t turns = 0;
     loop.spawn([&] {
@@ -111,10 +111,10 @@
     });
     loop.run();
     CHECK(turns > 0);
-    CHECK(turns < FEW);
+    CHECK(turns < MAX_IDLE_TURNS);
 }
 
-TEST(EventLoop, AnExceptionEndsOnlyItsFiber)
+TEST(EventLoop, ExceptionEndsOnlyItsFiber)
 {
     bool hasRun = false;
     m_loop->spawn([] { throw std::runtime_error("expected by the test"); });
@@ -125,7 +125,7 @@
     CHECK(hasRun);
 }
 
-TEST(EventLoop, TheMainFiberMayWaitOutsideOfRun)
+TEST(EventLoop, MainFiberMayWaitOutsideRun)
 {
     OneShot<int> value(*m_loop);
     m_loop->spawn([&] {
@@ -135,8 +135,8 @@
     CHECK_EQUAL(5, value.wait(hours(1)).value_or(0));
 }
 
-/// A fiber sleeps for an hour when its loop is destroyed. Boost.Fiber joins all fibers when the
-/// thread ends, so without the early wake-up the thread would hang for that hour.
+/// A fiber sleeps for an hour when its loop is destroyed. Boost.Fiber joins all fibers at thread
+/// exit, so without the early wake-up the thread would hang for that hour.
 TEST(EventLoop, DestructionEndsSleepingFibers)
 {
     bool hasEnded = false;
@@ -153,8 +153,8 @@
     CHECK(hasEnded);
 }
 
-/// The same with a loop that another thread made and destroys.
-TEST(EventLoop, TheEndOfItsThreadEndsSleepingFibers)
+/// As above, with a loop that another thread creates and destroys.
+TEST(EventLoop, ThreadExitEndsSleepingFibers)
 {
     bool hasEnded = false;
     m_loop->post([&] {
--- a/src/transport/tests/mocks/mockhttpclient.h
+++ b/src/transport/tests/mocks/mockhttpclient.h
@@ -11,7 +11,7 @@
 
 namespace ivyspar {
 
-/// Gives prepared results and records what was asked. Never suspends by itself; `answer` may.
+/// Returns prepared results and records the calls. Never suspends by itself; `answer` may.
 class MockHttpClient : public IHttpClient
 {
 public:
@@ -23,15 +23,15 @@
         HttpCancellationPtr cancellation;
     };
 
-    /// Makes the result when set; otherwise `results` are given in order, then status 200.
+    /// Produces the result if set; otherwise `results` are returned in order, then status 200.
     std::function<HttpResult(const Call &)> answer;
     std::deque<HttpResult> results;
     std::vector<Call> calls;
-    /// What `isListening` says, and what it was asked.
+    /// What `isListening` returns, and the endpoints that it was called with.
     bool isUp = true;
     std::vector<Endpoint> probed;
     std::map<Endpoint, std::size_t> limits;
-    std::map<Endpoint, std::size_t> warmed;
+    std::map<Endpoint, std::size_t> preconnected;
 
     void failNext(HttpFailureStage stage, HttpFailureCause cause)
     {
@@ -65,9 +65,9 @@
         limits[endpoint] = connections;
     }
 
-    void warm(const Endpoint &endpoint, std::size_t connections) override
+    void preconnect(const Endpoint &endpoint, std::size_t connections) override
     {
-        warmed[endpoint] = connections;
+        preconnected[endpoint] = connections;
     }
 };
 
--- a/src/transport/tests/mockstest.cpp
+++ b/src/transport/tests/mockstest.cpp
@@ -10,12 +10,12 @@
 
 TEST_GROUP(TransportMocks){};
 
-TEST(TransportMocks, TheLogKeepsOrderAndForgets)
+TEST(TransportMocks, LogKeepsOrderAndTrims)
 {
     const StreamName stream("s");
     MockLogService log;
     CHECK(log.append(stream, "a").value() == LogOffset(0));
-    log.appendFault = MockLogService::Fault::AnswerLost;
+    log.appendFault = MockLogService::Fault::ResponseLost;
     CHECK(log.append(stream, "b").error().code == ErrorCode::Unknown);
     log.appendFault = MockLogService::Fault::RecordLost;
     CHECK(log.append(stream, "c").error().code == ErrorCode::Unknown);
@@ -31,7 +31,7 @@
     STRCMP_EQUAL("b", page.records.front().payload.c_str());
 }
 
-TEST(TransportMocks, TheNetworkReportsALostLinkOnce)
+TEST(TransportMocks, NetworkReportsLostLinkOnce)
 {
     struct Handler : IPeerHandler
     {
@@ -52,7 +52,7 @@
     CHECK_FALSE(network.send(link, "z").has_value());
 }
 
-TEST(TransportMocks, TheHttpClientGivesResultsInOrder)
+TEST(TransportMocks, HttpClientReturnsResultsInOrder)
 {
     MockHttpClient client;
     client.failNext(HttpFailureStage::NotSent, HttpFailureCause::Connect);
--- a/src/transport/tests/peernetworktest.cpp
+++ b/src/transport/tests/peernetworktest.cpp
@@ -19,7 +19,7 @@
 
 const Endpoint ANY_PORT = ownLoopback();
 
-/// Records what happens on links, for the test's thread to wait for.
+/// Records the events of links and lets the test's thread wait for them.
 class RecordingHandler : public IPeerHandler
 {
 public:
@@ -58,7 +58,7 @@
     std::vector<LinkId> m_down;
 };
 
-/// A network on a thread of its own.
+/// A peer network with its event loop on its own thread.
 struct Node
 {
     explicit Node(const PeerLimits &limits = {})
@@ -83,7 +83,7 @@
         return link;
     }
 
-    /// The null id when it fails.
+    /// The null id if connecting fails.
     LinkId linkTo(const Endpoint &target) { return connectTo(target).value_or(LinkId()); }
 
     Ret send(LinkId link, const std::string &frame)
@@ -106,7 +106,7 @@
     Endpoint endpoint;
 };
 
-/// A link of a client that the test writes byte by byte.
+/// Opens a client link on a raw socket, so that the test controls every byte.
 RawSocket openRawLink(const Endpoint &endpoint)
 {
     RawSocket socket = RawSocket::connectTo(endpoint);
@@ -116,7 +116,7 @@
     return socket;
 }
 
-/// First byte of a message that is not compressed.
+/// First byte of an uncompressed message.
 const std::string PLAIN(1, '\0');
 
 /// A masked frame with an all-zero mask.
@@ -154,8 +154,8 @@
     STRCMP_EQUAL("answer", answers.front().second.c_str());
 }
 
-// Compression starts in the middle of a link, on one side only. The other side reads the plain
-// frames before it and the compressed ones after it.
+// Compression is enabled on an open link, on one side only. The other side reads the plain frames
+// before it and the compressed ones after it.
 TEST(PeerNetwork, CarriesPlainAndCompressedFramesInOrder)
 {
     constexpr int COUNT = 200;
@@ -166,7 +166,7 @@
     a.runner.run([&] {
         for (int i = 0; i < COUNT; ++i) {
             if (i == COUNT / 2) {
-                a.network->compress(link);
+                a.network->enableCompression(link);
             }
             a.network->send(link, makeFrame(i));
         }
@@ -226,9 +226,9 @@
     CHECK_EQUAL(3, failures);
 }
 
-/// The peer accepts the connection and never answers the handshake. The attempt ends at the
-/// timeout; nothing is left behind.
-TEST(PeerNetwork, ASilentPeerFailsTheConnect)
+/// The peer accepts the connection and never answers the handshake. The attempt fails at the
+/// timeout, without a link and without a call to the handler.
+TEST(PeerNetwork, ConnectTimesOutOnUnansweredHandshake)
 {
     RawSocket listener = RawSocket::listenOn(ANY_PORT);
     PeerLimits limits;
@@ -241,9 +241,9 @@
     CHECK_EQUAL(0, a.handler.waitForDown(0).size());
 }
 
-/// The peer's process ends. This side is told once; the old id is dead, and the link to the
-/// peer's successor has a new one.
-TEST(PeerNetwork, ALostLinkIsReportedOnceAndItsIdIsNotReused)
+/// The peer's process ends. The handler is notified once, the old id becomes invalid, and a new
+/// link gets a new id.
+TEST(PeerNetwork, LostLinkIsReportedOnceAndItsIdIsNotReused)
 {
     Node a;
     auto b = std::make_unique<Node>();
@@ -261,9 +261,9 @@
     CHECK_EQUAL(1, a.handler.waitForDown(1).size());
 }
 
-/// This side closes a link. What was sent before arrives, both sides are told once, and nothing
-/// that arrives later is passed on.
-TEST(PeerNetwork, CloseSendsWhatIsQueued)
+/// This side closes a link. The frames queued before arrive, both sides are notified once, and
+/// frames that arrive later are not delivered.
+TEST(PeerNetwork, CloseSendsQueuedFrames)
 {
     constexpr int COUNT = 100;
     Node a;
@@ -284,7 +284,7 @@
     CHECK(a.linkTo(b.endpoint) != link);
 }
 
-TEST(PeerNetwork, ShutdownSendsWhatIsQueued)
+TEST(PeerNetwork, ShutdownSendsQueuedFrames)
 {
     constexpr int COUNT = 2000;
     Node a;
@@ -302,7 +302,7 @@
     CHECK_FALSE(b.connectTo(a.endpoint).has_value());
 }
 
-TEST(PeerNetwork, RefusesToSendAnOversizedFrame)
+TEST(PeerNetwork, SendRejectsOversizedFrame)
 {
     PeerLimits limits;
     limits.frameBytes = 1000;
@@ -314,9 +314,9 @@
     CHECK_EQUAL(1000, b.handler.waitForFrames(1).front().second.size());
 }
 
-/// A peer with a larger limit sends a frame that is too large here. Its link ends at once, without
-/// the frame; another link goes on.
-TEST(PeerNetwork, AnOversizedFrameEndsOnlyItsLink)
+/// A peer with a larger limit sends a frame over the limit of this side. Its link is closed without
+/// delivering the frame; another link is unaffected.
+TEST(PeerNetwork, OversizedFrameClosesOnlyItsLink)
 {
     PeerLimits small;
     small.frameBytes = 1000;
@@ -334,9 +334,9 @@
     STRCMP_EQUAL("still here", frames.front().second.c_str());
 }
 
-/// The peer does not read. The queue grows up to its bound; then `send` refuses, which proves that
-/// the frame was not sent.
-TEST(PeerNetwork, BoundsWhatWaitsOnALink)
+/// The peer does not read. The send buffer grows up to its limit; then `send` fails with
+/// `Throttled`, which proves that the frame was not sent.
+TEST(PeerNetwork, BoundsSendBufferOfLink)
 {
     PeerLimits limits;
     limits.sendBufferBytes = 1024 * 1024;
@@ -355,12 +355,12 @@
     CHECK_EQUAL(1, b.linkCount());
 }
 
-/// The peer stops without closing its connection. It is probed with a ping, and when no answer
-/// comes the link is closed.
-TEST(PeerNetwork, AnUnresponsivePeerIsProbedAndDropped)
+/// The peer stops responding without closing its connection. It is probed with a ping, and the link
+/// is closed when no pong arrives.
+TEST(PeerNetwork, UnresponsivePeerIsPingedAndDisconnected)
 {
     PeerLimits limits;
-    limits.heartbeat = milliseconds(20);
+    limits.heartbeatInterval = milliseconds(20);
     Node b(limits);
     RawSocket peer = openRawLink(b.endpoint);
     const std::string ping("\x89\x00", 2);
@@ -369,11 +369,11 @@
     peer.readToEnd();
 }
 
-/// A link without frames stays: the peer answers each ping.
-TEST(PeerNetwork, AQuietLinkIsKeptByAnswers)
+/// A link without frames stays open as long as the peer answers each ping.
+TEST(PeerNetwork, PongsKeepIdleLinkOpen)
 {
     PeerLimits limits;
-    limits.heartbeat = milliseconds(300);
+    limits.heartbeatInterval = milliseconds(300);
     Node b(limits);
     RawSocket peer = openRawLink(b.endpoint);
     const std::string ping("\x89\x00", 2);
@@ -385,10 +385,10 @@
     STRCMP_EQUAL("alive", b.handler.waitForFrames(1).front().second.c_str());
 }
 
-TEST(PeerNetwork, UnusedLinksAreClosedByTheSideThatOpenedThem)
+TEST(PeerNetwork, IdleLinksAreClosedByTheSideThatOpenedThem)
 {
     PeerLimits limits;
-    limits.heartbeat = milliseconds(10);
+    limits.heartbeatInterval = milliseconds(10);
     limits.idleTimeout = milliseconds(20);
     Node a(limits);
     Node b;
@@ -397,7 +397,7 @@
     CHECK_EQUAL(1, b.handler.waitForDown(1).size());
 }
 
-TEST(PeerNetwork, LinksPastTheLimitAreRefused)
+TEST(PeerNetwork, LinksOverLimitAreRejected)
 {
     PeerLimits limits;
     limits.links = 1;
@@ -409,9 +409,9 @@
     CHECK_FALSE(b.connectTo(c.endpoint).has_value());
 }
 
-/// Bytes that are no handshake, plain HTTP, a text message, and random bytes after a handshake:
-/// each ends its own connection only. Meanwhile another link carries every frame.
-TEST(PeerNetwork, GarbageEndsOnlyItsLink)
+/// Bytes that are not a handshake, plain HTTP, a text message, and random bytes after a handshake:
+/// each closes only its own connection, while another link delivers every frame.
+TEST(PeerNetwork, MalformedInputClosesOnlyItsLink)
 {
     Node a;
     Node b;
@@ -447,8 +447,8 @@
     STRCMP_EQUAL("last", b.handler.waitForFrames(101).back().second.c_str());
 }
 
-/// Links are open and frames are under way when the network is destroyed; its handler is
-/// destroyed right after it and must not be called again.
+/// The network is destroyed with open links and frames in flight; its handler is destroyed right
+/// after it and must not be called again.
 TEST(PeerNetwork, NoCallbackAfterDestruction)
 {
     struct CountingHandler : IPeerHandler
@@ -482,7 +482,7 @@
     b.handler.waitForDown(2);
 }
 
-TEST(PeerNetwork, DestructionEndsAConnectThatWaits)
+TEST(PeerNetwork, DestructionFailsPendingConnect)
 {
     RawSocket listener = RawSocket::listenOn(ANY_PORT);
     PeerLimits limits;
