--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -158,12 +158,12 @@
         incoming.budget = new CallBudget(incoming.rule.attempts);
     }
     if (isCallerRequest) {
-        if (const auto verdict = takeQuotaUnit(exchange, incoming)) {
+        if (const auto verdict = takeAccountToken(exchange, incoming)) {
             return Refusal(rejectAccount(incoming, *verdict));
         }
     }
     if (!admit(incoming)) {
-        returnQuotaUnit(incoming);
+        refundAccountToken(incoming);
         return Refusal(rejectBelowFloor(incoming));
     }
     return incoming;
@@ -261,7 +261,7 @@
 
 /// Called before root admission, as requests beyond an account's limit must not count as demand
 /// that displaces other requests.
-std::optional<Verdict> EntryService::takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming)
+std::optional<Verdict> EntryService::takeAccountToken(IHttpExchange &exchange, Incoming &incoming)
 {
     if (incoming.account.value().empty()) {
         return std::nullopt;
@@ -270,17 +270,17 @@
     exchange.onDisconnect([&isDisconnected] { isDisconnected = true; });
     std::optional<Verdict> verdict = m_accounts.take(incoming.account);
     exchange.onDisconnect({});
-    incoming.holdsQuotaUnit = !verdict;
+    incoming.holdsAccountToken = !verdict;
     if (isDisconnected) {
-        returnQuotaUnit(incoming);
+        refundAccountToken(incoming);
         return notRun(Reason::Cancelled);
     }
     return verdict;
 }
 
-void EntryService::returnQuotaUnit(Incoming &incoming)
+void EntryService::refundAccountToken(Incoming &incoming)
 {
-    if (std::exchange(incoming.holdsQuotaUnit, false)) {
+    if (std::exchange(incoming.holdsAccountToken, false)) {
         m_accounts.refund(incoming.account);
     }
 }
@@ -449,7 +449,7 @@
     active->verdict =
         verdict.value_or(Verdict{ Outcome::Unknown, Reason::Timeout, Duration::zero() });
     if (active->verdict.outcome == Outcome::NotRun) {
-        returnQuotaUnit(active->incoming);
+        refundAccountToken(active->incoming);
     }
     reportEnd(*active);
     m_recorder.recordEnd(factsOf(active->incoming), resultOf(*active));
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -98,8 +98,8 @@
         std::uint32_t callerAttempt = 1;
         /// Empty if the caller has no account or it is not known.
         AccountName account;
-        /// It has taken a unit of the account's limit.
-        bool holdsQuotaUnit = false;
+        /// It has taken a token of the account's limit.
+        bool holdsAccountToken = false;
         /// Empty until it is first needed.
         Fingerprint fingerprint;
     };
@@ -115,9 +115,9 @@
     void inferContext(ConnectionTally &tally, RequestSender sender, Incoming &incoming);
     /// Determines the account and priority of the caller. Returns a verdict if it is refused.
     std::optional<Verdict> identify(const std::optional<AccountKey> &key, Incoming &incoming);
-    /// Takes a unit of the account's limit. Returns a verdict if the request ends here.
-    std::optional<Verdict> takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming);
-    void returnQuotaUnit(Incoming &incoming);
+    /// Takes a token of the account's limit. Returns a verdict if the request ends here.
+    std::optional<Verdict> takeAccountToken(IHttpExchange &exchange, Incoming &incoming);
+    void refundAccountToken(Incoming &incoming);
     void inherit(const CallContext &context, Incoming &incoming);
     bool admit(Incoming &incoming);
     /// Returns after which time a refused caller is to retry.
