--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -239,7 +239,7 @@
     incoming.depth = Depth(static_cast<std::uint8_t>(std::min(context.depth.value() + 1, 255)));
     incoming.deadline = std::min(incoming.deadline, context.deadline);
     incoming.tree = context.tree;
-    incoming.letIn = context.letIn == DemandShare() ? WHOLE_DEMAND : context.letIn;
+    incoming.admittedShare = context.admittedShare == DemandShare() ? WHOLE_DEMAND : context.admittedShare;
     incoming.isRepeat = context.isRepeat;
     incoming.account = context.account;
 }
@@ -296,7 +296,7 @@
         return false;
     }
     incoming.isAdmitted = true;
-    incoming.letIn = m_admission->admittedShare(now, target);
+    incoming.admittedShare = m_admission->admittedShare(now, target);
     return true;
 }
 
@@ -486,7 +486,7 @@
     call.depth = incoming.depth;
     call.remaining = std::chrono::duration_cast<Duration>(incoming.deadline - m_loop.now());
     const bool isFirst = action.attempt == AttemptIndex(0);
-    call.letIn = isFirst ? incoming.letIn : DemandShare();
+    call.admittedShare = isFirst ? incoming.admittedShare : DemandShare();
     call.isRepeat = incoming.isRepeat || !isFirst;
     call.granted = action.granted;
     call.once = incoming.once;
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -88,7 +88,7 @@
         CallBudgetPtr budget;
         /// Receives the usage of this request; null at depth 0.
         CallTreePtr tree;
-        DemandShare letIn = WHOLE_DEMAND;
+        DemandShare admittedShare = WHOLE_DEMAND;
         /// The call during which it is made is a repeat.
         bool isRepeat = false;
         std::optional<OnceTerms> once;
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -186,7 +186,7 @@
         return Duration::zero();
     }
     const Duration lag = m_lag.now();
-    m_processor.onArrival(now, message.letIn, lag);
+    m_processor.onArrival(now, message.admittedShare, lag);
     if (source == CallSource::ThisDaemon) {
         return Duration::zero();
     }
@@ -213,7 +213,7 @@
     perform(
         service,
         upstream->gate->offer(
-            m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.letIn }));
+            m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.admittedShare }));
 }
 
 bool GateService::passesSuspectGate(CallId id, const Upstream &upstream)
@@ -313,7 +313,7 @@
     context.deadline = call.deadline;
     context.budget = call.budget;
     context.tree = call.tree;
-    context.letIn = call.message.letIn;
+    context.admittedShare = call.message.admittedShare;
     context.isRepeat = call.message.isRepeat;
     context.account = call.message.account;
     return context;
--- a/src/app/internal/gate/igateservice.h
+++ b/src/app/internal/gate/igateservice.h
@@ -21,7 +21,7 @@
     TimePoint deadline;
     CallBudgetPtr budget;
     CallTreePtr tree;
-    DemandShare letIn;
+    DemandShare admittedShare;
     bool isRepeat = false;
     /// The account whose request the call serves; empty if there is none or it is not known.
     AccountName account;
--- a/src/app/tests/refusedcallstest.cpp
+++ b/src/app/tests/refusedcallstest.cpp
@@ -100,7 +100,7 @@
         message.service = SERVICE;
         message.rank = makeRank(IMPORTANT, Depth(2), RootId(1));
         message.remaining = 700ms;
-        message.letIn = WHOLE_DEMAND;
+        message.admittedShare = WHOLE_DEMAND;
         m_gates->handle(std::move(message), CallSource::Link,
                         [this](AnswerMessage answer) { m_answer = std::move(answer); });
         return m_answer.verdict.outcome == Outcome::Answered;
--- a/src/protocol/internal/peercodec.cpp
+++ b/src/protocol/internal/peercodec.cpp
@@ -132,7 +132,7 @@
     writer.add(message.stream).add(message.root).add(message.service).add(message.rule);
     writer.add(message.rank).add(message.depth);
     addDuration(writer, message.remaining);
-    writer.add(message.letIn)
+    writer.add(message.admittedShare)
         .add(message.isRepeat)
         .add(message.granted)
         .add(message.request.method)
@@ -222,7 +222,7 @@
     reader.read(message.rank);
     reader.read(message.depth);
     readDuration(reader, message.remaining);
-    reader.read(message.letIn);
+    reader.read(message.admittedShare);
     reader.read(message.isRepeat);
     reader.read(message.granted);
     reader.read(message.request.method);
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -49,9 +49,9 @@
     Depth depth;
     /// Time left until the caller's deadline when this frame was sent.
     Duration remaining{ 0 };
-    /// Of requests like the caller's, which share its entry lets in. 0 in a repeated attempt: its
-    /// first one has been counted.
-    DemandShare letIn;
+    /// Share of requests like the caller's that its entry admits. 0 in a repeated attempt: its first
+    /// one has been counted.
+    DemandShare admittedShare;
     /// It repeats an attempt, or a repeat makes it: both draw on the bound on repeats.
     bool isRepeat = false;
     /// Attempts handed over for the calls below this one.
--- a/src/protocol/tests/peercodectest.cpp
+++ b/src/protocol/tests/peercodectest.cpp
@@ -18,7 +18,7 @@
     call.rank = Rank(0x5A010203);
     call.depth = Depth(3);
     call.remaining = std::chrono::milliseconds(250);
-    call.letIn = DemandShare(250);
+    call.admittedShare = DemandShare(250);
     call.isRepeat = true;
     call.granted = AttemptCount(12);
     call.once = OnceTerms{ IdempotencyKey("k-1"), std::chrono::hours(1), "ticket" };
@@ -64,7 +64,7 @@
     CHECK(call.rank == Rank(0x5A010203));
     CHECK(call.depth == Depth(3));
     CHECK(call.remaining == std::chrono::milliseconds(250));
-    CHECK(call.letIn == DemandShare(250));
+    CHECK(call.admittedShare == DemandShare(250));
     CHECK(call.isRepeat);
     CHECK(call.granted == AttemptCount(12));
     CHECK(call.once.has_value());
