--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -46,7 +46,7 @@
 
     EntryCallOptions withSuspectChecks(const EntryService &service, EntryCallOptions options)
     {
-        options.standing = [this, &service] { return service.standingOf(incoming); };
+        options.assess = [this, &service] { return service.assess(incoming); };
         options.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
         return options;
     }
@@ -147,9 +147,9 @@
             return Refusal(rejectAccount(incoming, *verdict));
         }
     }
-    const Assessment standing = standingOf(incoming);
-    if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
-        return Refusal(rejectSuspect(incoming, standing));
+    const Assessment assessment = assess(incoming);
+    if (assessment.suspicion == Suspicion::Held || assessment.suspicion == Suspicion::Quarantined) {
+        return Refusal(rejectSuspect(incoming, assessment));
     }
     if (isCallerRequest && !m_guard.admits(lag, incoming.rule.priority, m_highestPriority)) {
         return Refusal(rejectOverload(incoming, lag));
@@ -239,7 +239,8 @@
     incoming.depth = Depth(static_cast<std::uint8_t>(std::min(context.depth.value() + 1, 255)));
     incoming.deadline = std::min(incoming.deadline, context.deadline);
     incoming.tree = context.tree;
-    incoming.admittedShare = context.admittedShare == DemandShare() ? WHOLE_DEMAND : context.admittedShare;
+    incoming.admittedShare =
+        context.admittedShare == DemandShare() ? WHOLE_DEMAND : context.admittedShare;
     incoming.isRepeat = context.isRepeat;
     incoming.account = context.account;
 }
@@ -342,7 +343,7 @@
 }
 
 /// Computes no fingerprint while there are no suspects.
-Assessment EntryService::standingOf(Incoming &incoming) const
+Assessment EntryService::assess(Incoming &incoming) const
 {
     return m_quarantine.hasSuspects() ? m_quarantine.assess(fingerprintOf(incoming)) : Assessment();
 }
@@ -355,17 +356,17 @@
     return incoming.fingerprint;
 }
 
-/// For a quarantined request `standing.retryAfter` is zero, as a retry would not help.
-Rejection EntryService::rejectSuspect(const Incoming &incoming, const Assessment &standing) const
+/// For a quarantined request `assessment.retryAfter` is zero, as a retry would not help.
+Rejection EntryService::rejectSuspect(const Incoming &incoming, const Assessment &assessment) const
 {
-    const bool isFinal = standing.suspicion == Suspicion::Quarantined;
+    const bool isFinal = assessment.suspicion == Suspicion::Quarantined;
     const Verdict verdict{ Outcome::NotRun, isFinal ? Reason::Quarantined : Reason::Suspected,
-                           standing.retryAfter };
+                           assessment.retryAfter };
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = incoming.rule.service;
     rejection.rule = incoming.rule.name;
     rejection.fingerprint = incoming.fingerprint;
-    rejection.inputs = { { "crashes", static_cast<double>(standing.crashes) } };
+    rejection.inputs = { { "crashes", static_cast<double>(assessment.crashes) } };
     return rejection;
 }
 
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -128,9 +128,9 @@
     static Rejection reject(const EarlyRefusal &refusal);
     Rejection rejectBelowFloor(const Incoming &incoming);
     /// Returns whether the request may have crashed servers.
-    Assessment standingOf(Incoming &incoming) const;
+    Assessment assess(Incoming &incoming) const;
     const Fingerprint &fingerprintOf(Incoming &incoming) const;
-    Rejection rejectSuspect(const Incoming &incoming, const Assessment &standing) const;
+    Rejection rejectSuspect(const Incoming &incoming, const Assessment &assessment) const;
     void recordUsage(const ActiveRequest &active, const AttemptAnswer &answer);
     /// Reports the end of a request to root admission, if that had admitted it.
     void reportEnd(const ActiveRequest &active);
--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -210,10 +210,10 @@
     if (!passesSuspectGate(id, *upstream)) {
         return;
     }
-    perform(
-        service,
-        upstream->gate->offer(
-            m_loop.now(), GateRequest{ id, call.message.rank, call.deadline, call.message.admittedShare }));
+    perform(service,
+            upstream->gate->offer(
+                m_loop.now(),
+                GateRequest{ id, call.message.rank, call.deadline, call.message.admittedShare }));
 }
 
 bool GateService::passesSuspectGate(CallId id, const Upstream &upstream)
--- a/src/app/internal/gate/suspectgate.cpp
+++ b/src/app/internal/gate/suspectgate.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-SuspectDecision refuse(const Assessment &standing)
+SuspectDecision refuse(const Assessment &assessment)
 {
-    const bool isFinal = standing.suspicion == Suspicion::Quarantined;
+    const bool isFinal = assessment.suspicion == Suspicion::Quarantined;
     const Reason reason = isFinal ? Reason::Quarantined : Reason::Suspected;
-    return { SuspectAction::Refuse, Verdict{ Outcome::NotRun, reason, standing.retryAfter } };
+    return { SuspectAction::Refuse, Verdict{ Outcome::NotRun, reason, assessment.retryAfter } };
 }
 
 } // namespace
@@ -22,51 +22,51 @@
 
 SuspectDecision SuspectGate::admit(CallId call, CallMessage &message, const Announcement &server)
 {
-    const Assessment standing = standingOf(message, server);
-    if (standing.suspicion == Suspicion::None) {
+    const Assessment assessment = assess(message, server);
+    if (assessment.suspicion == Suspicion::None) {
         return {};
     }
-    if (standing.suspicion != Suspicion::Suspect) {
-        return refuse(standing);
+    if (assessment.suspicion != Suspicion::Suspect) {
+        return refuse(assessment);
     }
     Isolation &isolation = m_isolations[message.service];
     if (isolation.isFree()) {
-        return begin(call, message, standing);
+        return begin(call, message, assessment);
     }
     if (!isolation.hasRoom()) {
-        return refuse(standing);
+        return refuse(assessment);
     }
     isolation.wait(call, message.fingerprint);
-    m_suspects[call] = Suspect{ message.service, true, standing.isTrial };
+    m_suspects[call] = Suspect{ message.service, true, assessment.isTrial };
     return { SuspectAction::Wait, {} };
 }
 
 SuspectDecision SuspectGate::start(CallId call, CallMessage &message, const Announcement &server)
 {
-    const Assessment standing = standingOf(message, server);
-    if (standing.suspicion == Suspicion::None) {
+    const Assessment assessment = assess(message, server);
+    if (assessment.suspicion == Suspicion::None) {
         return {};
     }
-    if (standing.suspicion != Suspicion::Suspect) {
-        return refuse(standing);
+    if (assessment.suspicion != Suspicion::Suspect) {
+        return refuse(assessment);
     }
     if (m_suspects.count(call) > 0) {
         return {};
     }
-    return m_isolations[message.service].isFree() ? begin(call, message, standing)
-                                                  : refuse(standing);
+    return m_isolations[message.service].isFree() ? begin(call, message, assessment)
+                                                  : refuse(assessment);
 }
 
 SuspectDecision SuspectGate::begin(CallId call, const CallMessage &message,
-                                   const Assessment &standing)
+                                   const Assessment &assessment)
 {
     m_isolations[message.service].begin(call);
-    m_suspects[call] = Suspect{ message.service, false, standing.isTrial };
+    m_suspects[call] = Suspect{ message.service, false, assessment.isTrial };
     return {};
 }
 
 /// Computes no fingerprint while there are no suspects.
-Assessment SuspectGate::standingOf(CallMessage &message, const Announcement &server) const
+Assessment SuspectGate::assess(CallMessage &message, const Announcement &server) const
 {
     if (!m_quarantine.hasSuspects()) {
         return {};
--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -68,8 +68,8 @@
         bool isTrial = false;
     };
 
-    Assessment standingOf(CallMessage &message, const Announcement &server) const;
-    SuspectDecision begin(CallId call, const CallMessage &message, const Assessment &standing);
+    Assessment assess(CallMessage &message, const Announcement &server) const;
+    SuspectDecision begin(CallId call, const CallMessage &message, const Assessment &assessment);
 
     IQuarantine &m_quarantine;
     std::unordered_map<ServiceName, Isolation> m_isolations;
--- a/src/app/tests/gatesuspectstest.cpp
+++ b/src/app/tests/gatesuspectstest.cpp
@@ -163,7 +163,7 @@
     Assessment held;
     held.suspicion = Suspicion::Held;
     held.retryAfter = 1500ms;
-    m_quarantine.standings[fingerprintOfPath("/bad")] = held;
+    m_quarantine.assessments[fingerprintOfPath("/bad")] = held;
     call("/bad");
     CHECK(m_client.calls.empty());
     CHECK(m_verdicts.back().reason == Reason::Suspected);
@@ -272,7 +272,7 @@
     Assessment trial;
     trial.suspicion = Suspicion::Suspect;
     trial.isTrial = true;
-    m_quarantine.standings[fingerprintOfPath("/bad")] = trial;
+    m_quarantine.assessments[fingerprintOfPath("/bad")] = trial;
     cutNextAnswer(false);
     call("/bad");
     CHECK(m_quarantine.crashes.at(0).second.wasIsolated);
--- a/src/app/tests/mocks/fakequarantine.h
+++ b/src/app/tests/mocks/fakequarantine.h
@@ -12,23 +12,23 @@
 class FakeQuarantine : public IQuarantine
 {
 public:
-    std::map<Fingerprint, Assessment> standings;
+    std::map<Fingerprint, Assessment> assessments;
     std::vector<std::pair<Fingerprint, Crash>> crashes;
     std::vector<Fingerprint> completions;
 
     void set(const Fingerprint &fingerprint, Suspicion suspicion)
     {
-        standings[fingerprint].suspicion = suspicion;
+        assessments[fingerprint].suspicion = suspicion;
         if (m_listener != nullptr) {
             m_listener->onSuspectChanged(fingerprint);
         }
     }
 
-    bool hasSuspects() const override { return !standings.empty(); }
+    bool hasSuspects() const override { return !assessments.empty(); }
     Assessment assess(const Fingerprint &fingerprint) const override
     {
-        const auto found = standings.find(fingerprint);
-        return found == standings.end() ? Assessment() : found->second;
+        const auto found = assessments.find(fingerprint);
+        return found == assessments.end() ? Assessment() : found->second;
     }
     Assessment assess(const Fingerprint &fingerprint, const ServerKind & /*kind*/) const override
     {
--- a/src/coordination/calls/internal/entrycall.cpp
+++ b/src/coordination/calls/internal/entrycall.cpp
@@ -166,9 +166,10 @@
 {
     const Postponed postponed = *m_postponed;
     m_postponed.reset();
-    const Assessment current = standing();
-    const bool isCleared = current.suspicion == Suspicion::None;
-    if ((isCleared || current.crashes <= MAX_CRASHES) && mayRetry(now, postponed.result, false)) {
+    const Assessment assessment = assess();
+    const bool isCleared = assessment.suspicion == Suspicion::None;
+    if ((isCleared || assessment.crashes <= MAX_CRASHES)
+        && mayRetry(now, postponed.result, false)) {
         Verdict failure;
         if (auto action = sendNext(now, failure)) {
             return { *action };
@@ -177,9 +178,9 @@
     return finish(now, postponed.attempt, postponed.result.verdict);
 }
 
-Assessment EntryCall::standing() const
+Assessment EntryCall::assess() const
 {
-    return m_options.standing ? m_options.standing() : Assessment();
+    return m_options.assess ? m_options.assess() : Assessment();
 }
 
 EntryActions EntryCall::redirectTo(TimePoint now, const DaemonId &holder)
@@ -210,7 +211,7 @@
         return {};
     }
     m_hedgeAt.reset();
-    if (m_postponed || standing().suspicion != Suspicion::None) {
+    if (m_postponed || assess().suspicion != Suspicion::None) {
         return {};
     }
     if (!mayReachAnother() || !m_policies.retries.tryTakeHedgeToken(now, m_options.rule.service)) {
@@ -302,15 +303,15 @@
         }
         return sendTo(now, m_options.pinned, "ticket");
     }
-    const Assessment current = standing();
-    if (current.suspicion == Suspicion::Quarantined || current.suspicion == Suspicion::Held) {
-        const bool isFinal = current.suspicion == Suspicion::Quarantined;
+    const Assessment assessment = assess();
+    if (assessment.suspicion == Suspicion::Quarantined || assessment.suspicion == Suspicion::Held) {
+        const bool isFinal = assessment.suspicion == Suspicion::Quarantined;
         failure.reason = isFinal ? Reason::Quarantined : Reason::Suspected;
-        failure.retryAfter = current.retryAfter;
+        failure.retryAfter = assessment.retryAfter;
         return std::nullopt;
     }
     RouteRequest request{ m_options.rule.service, m_options.rank, m_tried };
-    if (current.suspicion == Suspicion::Suspect && m_options.fingerprint) {
+    if (assessment.suspicion == Suspicion::Suspect && m_options.fingerprint) {
         request.fingerprint = m_options.fingerprint();
     }
     const RouteChoice choice = m_policies.router.choose(now, request, m_policies.random);
--- a/src/coordination/calls/internal/entrycall.h
+++ b/src/coordination/calls/internal/entrycall.h
@@ -32,7 +32,7 @@
     DaemonId pinned;
     /// Returns whether the request may have crashed servers; called before each attempt. Empty for
     /// a request that is no suspect.
-    std::function<Assessment()> standing = {};
+    std::function<Assessment()> assess = {};
     /// Returns the fingerprint of the request while it is a suspect.
     std::function<Fingerprint()> fingerprint = {};
 };
@@ -69,7 +69,7 @@
     /// After a crash of the server, postpones the decision on a retry. False if none is possible.
     bool postponeRetry(TimePoint now, AttemptIndex attempt, const AttemptResult &result);
     EntryActions resumeRetry(TimePoint now);
-    Assessment standing() const;
+    Assessment assess() const;
     std::optional<EntryAction> sendTo(TimePoint now, const DaemonId &target, const char *why);
     /// `isUpstreamError`: the upstream answered with an error of its own or of an inner call.
     bool mayRetry(TimePoint now, const AttemptResult &result, bool isUpstreamError);
--- a/src/coordination/calls/tests/suspectcalltest.cpp
+++ b/src/coordination/calls/tests/suspectcalltest.cpp
@@ -39,7 +39,7 @@
     SeededRandom m_random{ 1 };
     AttemptBudget m_budget{ AttemptCount(9) };
     EntryCallOptions m_options;
-    Assessment m_standing;
+    Assessment m_assessment;
     TimePoint m_now{ 1000ms };
 
     void setup() override
@@ -49,7 +49,7 @@
         m_options.rule.attempts = AttemptCount(9);
         m_options.rule.repetition = Repetition::Idempotent;
         m_options.deadline = m_now + 2s;
-        m_options.standing = [this] { return m_standing; };
+        m_options.assess = [this] { return m_assessment; };
         m_options.fingerprint = [] { return Fingerprint("f00d"); };
     }
     EntryCall makeCall()
@@ -58,8 +58,8 @@
     }
     void markSuspect(std::size_t crashes)
     {
-        m_standing.suspicion = Suspicion::Suspect;
-        m_standing.crashes = crashes;
+        m_assessment.suspicion = Suspicion::Suspect;
+        m_assessment.crashes = crashes;
     }
 };
 
@@ -95,7 +95,7 @@
 {
     EntryCall call = makeCall();
     call.start(m_now);
-    m_standing.crashes = 4;
+    m_assessment.crashes = 4;
     call.onEnd(m_now, AttemptIndex(0), makeCrashResult());
     m_now += 100ms;
     CHECK(findAction(call.onTimer(m_now), EntryActionType::Send) != nullptr);
@@ -125,7 +125,7 @@
 
 TEST(SuspectCall, QuarantinedCallGetsNoRetryAfter)
 {
-    m_standing.suspicion = Suspicion::Quarantined;
+    m_assessment.suspicion = Suspicion::Quarantined;
     EntryCall call = makeCall();
     const EntryActions ended = call.start(m_now);
     const EntryAction *finish = findAction(ended, EntryActionType::Finish);
@@ -144,7 +144,7 @@
     refused.verdict = Verdict{ Outcome::NotRun, Reason::Quarantined, Duration::zero() };
     CHECK(findAction(call.onEnd(m_now, AttemptIndex(0), refused), EntryActionType::Send)
           != nullptr);
-    m_standing.suspicion = Suspicion::Quarantined;
+    m_assessment.suspicion = Suspicion::Quarantined;
     CHECK(findAction(call.onEnd(m_now, AttemptIndex(1), refused), EntryActionType::Send)
           == nullptr);
 }
--- a/src/protocol/messages.h
+++ b/src/protocol/messages.h
@@ -49,8 +49,8 @@
     Depth depth;
     /// Time left until the caller's deadline when this frame was sent.
     Duration remaining{ 0 };
-    /// Share of requests like the caller's that its entry admits. 0 in a repeated attempt: its first
-    /// one has been counted.
+    /// Share of requests like the caller's that its entry admits. 0 in a repeated attempt: its
+    /// first one has been counted.
     DemandShare admittedShare;
     /// It repeats an attempt, or a repeat makes it: both draw on the bound on repeats.
     bool isRepeat = false;
