--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -28,7 +28,7 @@
 /// Conditions under which a call runs that matter if its server crashes.
 struct SuspectRun
 {
-    /// No other suspect runs at the server.
+    /// It was already a suspect when it was sent, and no other suspect ran at the server.
     bool isAlone = false;
     /// It is in quarantine and runs as a trial, to find out whether that is still needed.
     bool isTrial = false;
