--- a/src/app/internal/gate/upstreammonitor.cpp
+++ b/src/app/internal/gate/upstreammonitor.cpp
@@ -34,11 +34,11 @@
     , m_dialect(dialect)
     , m_gates(gates)
     , m_observers(observers)
-    , m_register(makeUpstreamRegistry(UpstreamRegistryOptions()))
-    , m_timer(loop, [this] { perform(m_register->tick(m_loop.now())); })
+    , m_registry(makeUpstreamRegistry(UpstreamRegistryOptions()))
+    , m_timer(loop, [this] { perform(m_registry->tick(m_loop.now())); })
 {
     m_gates.setOnServerMissing([this](const UpstreamId &instance) {
-        perform(m_register->onContactFailure(m_loop.now(), instance));
+        perform(m_registry->onContactFailure(m_loop.now(), instance));
     });
 }
 
@@ -55,7 +55,7 @@
         announce(report);
         return;
     }
-    perform(m_register->onReport(m_loop.now(), report));
+    perform(m_registry->onReport(m_loop.now(), report));
 }
 
 void UpstreamMonitor::perform(const UpstreamActions &actions)
@@ -74,7 +74,7 @@
             break;
         }
     }
-    m_timer.wakeAt(m_register->nextTick());
+    m_timer.wakeAt(m_registry->nextTick());
 }
 
 void UpstreamMonitor::announce(const UpstreamReport &report)
@@ -94,7 +94,7 @@
 void UpstreamMonitor::check(const UpstreamReport &report)
 {
     const UpstreamHealth health = fetchHealth(report);
-    perform(m_register->onHealth(m_loop.now(), report.instance, health));
+    perform(m_registry->onHealth(m_loop.now(), report.instance, health));
 }
 
 UpstreamHealth UpstreamMonitor::fetchHealth(const UpstreamReport &report)
--- a/src/app/internal/gate/upstreammonitor.h
+++ b/src/app/internal/gate/upstreammonitor.h
@@ -38,7 +38,7 @@
     const IUpstreamDialect &m_dialect;
     GateService &m_gates;
     Observers m_observers;
-    std::unique_ptr<IUpstreamRegistry> m_register;
+    std::unique_ptr<IUpstreamRegistry> m_registry;
     WakeTimer m_timer;
     ConfigurationPtr m_configuration;
 };
