--- a/src/app/internal/gate/gateservice.cpp
+++ b/src/app/internal/gate/gateservice.cpp
@@ -542,8 +542,8 @@
         run.verdict.reason = Reason::ServerCrashed;
     }
     m_crashes.onEnd(server, account, request, run, m_suspects.runOf(id));
-    if (run.isServerMissing) {
-        reportServerMissing(server.instance);
+    if (run.isContactFailure) {
+        reportContactFailure(server.instance);
     }
     return run;
 }
@@ -554,10 +554,10 @@
     return !upstream || upstream->isEndPlanned;
 }
 
-void GateService::reportServerMissing(const UpstreamId &instance)
+void GateService::reportContactFailure(const UpstreamId &instance)
 {
-    if (m_onServerMissing && !instance.value().empty()) {
-        m_onServerMissing(instance);
+    if (m_onContactFailure && !instance.value().empty()) {
+        m_onContactFailure(instance);
     }
 }
 
--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -55,7 +55,7 @@
 public:
     using GateMaker = std::function<std::unique_ptr<IGate>(const UpstreamInfo &)>;
     using OnUpstreams = std::function<void(std::vector<UpstreamInfo>)>;
-    using OnServerMissing = std::function<void(const UpstreamId &)>;
+    using OnContactFailure = std::function<void(const UpstreamId &)>;
 
     GateService(IEventLoop &loop, IHttpClient &client, IRandom &random, IOnceService &once,
                 IQuarantine &quarantine, const IUpstreamDialect &dialect, GateMaker makeGate,
@@ -66,9 +66,9 @@
     void setOnUpstreams(OnUpstreams onUpstreams) { m_onUpstreams = std::move(onUpstreams); }
     /// Called when no connection to the server could be opened, or another run than the announced
     /// one answered.
-    void setOnServerMissing(OnServerMissing onServerMissing)
+    void setOnContactFailure(OnContactFailure onServerMissing)
     {
-        m_onServerMissing = std::move(onServerMissing);
+        m_onContactFailure = std::move(onServerMissing);
     }
     void announce(const Announcement &announcement);
     /// Stops sending calls to that run of the service's server: waiting calls are refused, running
@@ -140,7 +140,7 @@
     bool isEndPlanned(const ServiceName &service);
     void recordSend(const ServiceName &service, const RunResult &run);
     bool maySendAgain(const ServiceName &service, const Announcement &server, CallId id);
-    void reportServerMissing(const UpstreamId &instance);
+    void reportContactFailure(const UpstreamId &instance);
     void endCall(CallId id, AnswerMessage answer);
     void refuseCall(CallId id, const Verdict &verdict);
     GatedCall stateOf(const Call &call) const;
@@ -173,7 +173,7 @@
     SuspectGate m_suspects;
     ProcessorLoad m_processor;
     OnUpstreams m_onUpstreams;
-    OnServerMissing m_onServerMissing;
+    OnContactFailure m_onContactFailure;
     std::unordered_map<ServiceName, Upstream> m_upstreams;
     std::unordered_map<CallId, Call> m_calls;
     std::unique_ptr<IParentFinder> m_parents;
--- a/src/app/internal/gate/runresult.cpp
+++ b/src/app/internal/gate/runresult.cpp
@@ -56,7 +56,7 @@
     case UpstreamAnswer::OtherInstance:
         run = notRun(Reason::NoServer);
         run.result = CallResult::Failure;
-        run.isServerMissing = true;
+        run.isContactFailure = true;
         return run;
     case UpstreamAnswer::Broken:
         run.verdict = Verdict{ Outcome::Unknown, Reason::BrokenAnswer, Duration::zero() };
@@ -79,7 +79,7 @@
     run.verdict.outcome = isProven ? Outcome::NotRun : Outcome::Unknown;
     run.verdict.reason = reasonOf(failure.cause);
     run.result = resultOf(failure.cause);
-    run.isServerMissing = failure.cause == HttpFailureCause::Connect;
+    run.isContactFailure = failure.cause == HttpFailureCause::Connect;
     return run;
 }
 
--- a/src/app/internal/gate/runresult.h
+++ b/src/app/internal/gate/runresult.h
@@ -15,7 +15,7 @@
     CallResult result = CallResult::Success;
     HttpResponse response;
     /// No connection could be opened, or another run than the announced one answered.
-    bool isServerMissing = false;
+    bool isContactFailure = false;
 };
 
 /// Returns the result of a call that was not started, through no fault of the server.
--- a/src/app/internal/gate/upstreammonitor.cpp
+++ b/src/app/internal/gate/upstreammonitor.cpp
@@ -37,7 +37,7 @@
     , m_registry(makeUpstreamRegistry(UpstreamRegistryOptions()))
     , m_timer(loop, [this] { perform(m_registry->tick(m_loop.now())); })
 {
-    m_gates.setOnServerMissing([this](const UpstreamId &instance) {
+    m_gates.setOnContactFailure([this](const UpstreamId &instance) {
         perform(m_registry->onContactFailure(m_loop.now(), instance));
     });
 }
