--- a/src/coordination/calls/internal/parentfinder.cpp
+++ b/src/coordination/calls/internal/parentfinder.cpp
@@ -150,7 +150,7 @@
 bool ParentFinder::isServerConnection(const ConnectionTally &tally) const
 {
     const std::uint32_t requests = tally.unattributed + tally.matches + tally.mismatches;
-    return tally.unattributed <= m_options.maxImpossibleShare * requests;
+    return tally.unattributed <= m_options.maxUnattributedShare * requests;
 }
 
 bool ParentFinder::hasPossibleParent(TimePoint deadline) const
--- a/src/coordination/calls/iparentfinder.h
+++ b/src/coordination/calls/iparentfinder.h
@@ -39,7 +39,7 @@
     double minMatchShare = 0.4;
     /// A connection with a larger share of requests that no running call can have made belongs to a
     /// caller. A server's call is such a request if its parent was just given up.
-    double maxImpossibleShare = 0.05;
+    double maxUnattributedShare = 0.05;
     /// Weight of one request in a rule's share of inner calls.
     double learnWeight = 0.05;
     /// On a connection that is not classified yet, requests of rules with a larger share are taken
