--- a/src/app/internal/gate/onceservice.h
+++ b/src/app/internal/gate/onceservice.h
@@ -19,7 +19,7 @@
 constexpr char CLAIM_STREAM[] = "claims";
 
 /// Appends claims to the platform's log, reads them back, and runs the timers of the coordinator
-/// and the ticket office.
+/// and the ticket registry.
 class OnceService : public IOnceService
 {
 public:
--- a/src/coordination/routing/internal/server.cpp
+++ b/src/coordination/routing/internal/server.cpp
@@ -24,7 +24,8 @@
 constexpr double ERROR_PENALTY = 20;
 constexpr double MIN_LATENCY_RATIO = 0.5;
 constexpr double MAX_LATENCY_RATIO = 20;
-/// Caps the reported load, as a multiple of the capacity.
+/// Upper bound of the estimated utilization, which combines the calls of this entry with the
+/// reported load of others.
 constexpr double MAX_UTILIZATION = 4;
 constexpr std::uint32_t UNREACHABLE_ERROR_POINTS = 2;
 
--- a/src/state/internal/rank.cpp
+++ b/src/state/internal/rank.cpp
@@ -10,7 +10,7 @@
 constexpr unsigned PRIORITY_SHIFT = 24;
 constexpr unsigned DEPTH_SHIFT = 16;
 constexpr std::uint32_t HASH_MASK = 0xFFFF;
-/// Above the bits of the priority.
+/// Above the bits of the priority: the highest of the 100 priorities fits below this bit.
 constexpr std::uint32_t COMMITTED_BIT = 0x80000000;
 constexpr std::uint32_t PRIORITY_MASK = 0x7F;
 } // namespace
