--- a/src/app/internal/gate/crashreporter.cpp
+++ b/src/app/internal/gate/crashreporter.cpp
@@ -87,7 +87,7 @@
 {
     m_quarantine.recordCrash(
         fingerprint,
-        Crash{ m_detector.runOf(server), kindOf(server), m_loop.now(), run.isAlone, run.isTrial });
+        Crash{ m_detector.runOf(server), kindOf(server), m_loop.now(), run.wasIsolated, run.isTrial });
 }
 
 } // namespace ivyspar
--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -29,7 +29,7 @@
 struct SuspectRun
 {
     /// It was already a suspect when it was sent, and no other suspect ran at the server.
-    bool isAlone = false;
+    bool wasIsolated = false;
     /// It is in quarantine and runs as a trial, to find out whether that is still needed.
     bool isTrial = false;
 };
