--- a/src/app/internal/gate/gateservice.h
+++ b/src/app/internal/gate/gateservice.h
@@ -66,9 +66,9 @@
     void setOnUpstreams(OnUpstreams onUpstreams) { m_onUpstreams = std::move(onUpstreams); }
     /// Called when no connection to the server could be opened, or another run than the announced
     /// one answered.
-    void setOnContactFailure(OnContactFailure onServerMissing)
+    void setOnContactFailure(OnContactFailure onContactFailure)
     {
-        m_onContactFailure = std::move(onServerMissing);
+        m_onContactFailure = std::move(onContactFailure);
     }
     void announce(const Announcement &announcement);
     /// Stops sending calls to that run of the service's server: waiting calls are refused, running
