--- a/src/app/internal/gate/crashreporter.cpp
+++ b/src/app/internal/gate/crashreporter.cpp
@@ -85,9 +85,9 @@
 void CrashReporter::reportCrash(const Announcement &server, const Fingerprint &fingerprint,
                                 const SuspectRun &run)
 {
-    m_quarantine.recordCrash(
-        fingerprint,
-        Crash{ m_detector.runOf(server), kindOf(server), m_loop.now(), run.wasIsolated, run.isTrial });
+    m_quarantine.recordCrash(fingerprint,
+                             Crash{ m_detector.runOf(server), kindOf(server), m_loop.now(),
+                                    run.wasIsolated, run.isTrial });
 }
 
 } // namespace ivyspar
--- a/src/coordination/routing/internal/server.cpp
+++ b/src/coordination/routing/internal/server.cpp
@@ -25,7 +25,7 @@
 constexpr double MIN_LATENCY_RATIO = 0.5;
 constexpr double MAX_LATENCY_RATIO = 20;
 /// Upper bound of the estimated utilization, which combines the calls of this entry with the
-/// reported load of others.
+/// reported ones of others. Not applied if reports alone are used.
 constexpr double MAX_UTILIZATION = 4;
 constexpr std::uint32_t UNREACHABLE_ERROR_POINTS = 2;
 
