--- a/src/coordination/accounts/accountmessages.h
+++ b/src/coordination/accounts/accountmessages.h
@@ -34,7 +34,8 @@
     /// The entry's lease and its remaining validity; zero if it has expired.
     RateShare lease;
     Duration leaseLeft{ 0 };
-    /// Requests admitted without tokens from the home (by lease or from a deputy); a running total.
+    /// Requests admitted without tokens from the home (by lease or from a fallback); a running
+    /// total.
     std::uint32_t locallyAdmitted = 0;
 };
 
@@ -43,8 +44,8 @@
 {
     AccountName account;
     /// False if the receiver of the request does not consider itself the account's home (nor was
-    /// asked as its deputy), or knows no limit of the account. All other fields but `account` then
-    /// have their defaults.
+    /// asked as its fallback), or knows no limit of the account. All other fields but `account`
+    /// then have their defaults.
     bool isFromHome = true;
     std::uint32_t tokens = 0;
     /// For how long the entry should not request again; zero if all waiting requests got a token.
@@ -61,9 +62,9 @@
 {
     /// Matches the response to its request.
     std::uint32_t number = 0;
-    /// The home is unresponsive; the receiver acts as its deputy and grants no more than the pooled
-    /// leases of the entries that request from it.
-    bool isForDeputy = false;
+    /// The home is unresponsive; the receiver acts as its fallback and grants no more than the
+    /// pooled leases of the entries that request from it.
+    bool isForFallback = false;
     std::vector<TokenDemand> demands;
 };
 
--- a/src/coordination/accounts/iaccountlimits.h
+++ b/src/coordination/accounts/iaccountlimits.h
@@ -33,7 +33,7 @@
     /// Refused requests per second at this daemon.
     double refused = 0;
     bool isHome = false;
-    /// Neither the account's home nor its deputy responds; this daemon admits what its lease
+    /// Neither the account's home nor its fallback responds; this daemon admits what its lease
     /// allows.
     bool isOnLease = false;
 };
@@ -62,8 +62,9 @@
 /// admits requests within its lease, and the home reserves that share for unreachable entries until
 /// their leases expire. A new home starts with the sum of the leases of the entries that reach it.
 /// The shares therefore never add up to more than the limit under any network partition;
-/// docs/ACCOUNTS.md lists the exceptions. Until an unresponsive home is known to be gone, a deputy
-/// in the entry's failure domain pools the leases of the entries that contact it. Plain object.
+/// docs/ACCOUNTS.md lists the exceptions. Until an unresponsive home is known to be gone, its
+/// fallback, a daemon in the entry's failure domain, pools the leases of the entries that contact
+/// it. Plain object.
 class IAccountLimits
 {
 public:
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -34,11 +34,11 @@
 
 } // namespace
 
-AccountHome::AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
+AccountHome::AccountHome(TimePoint since, bool isFallback, const AccountLimitOptions &options,
                          const AccountPlacement &placement)
     : m_options(options)
     , m_placement(placement)
-    , m_isDeputy(isDeputy)
+    , m_isFallback(isFallback)
     , m_since(since)
     , m_refilledAt(since)
     , m_lastRequestAt(since)
@@ -65,7 +65,7 @@
     }
     grant.retryAfter = retryAfterFor(limit);
     grant.lease = lease(now, holder);
-    grant.leaseDuration = m_isDeputy ? demand.leaseLeft : m_options.leaseDuration;
+    grant.leaseDuration = m_isFallback ? demand.leaseLeft : m_options.leaseDuration;
     return grant;
 }
 
@@ -152,7 +152,7 @@
 /// A holder's lease grows only by shares that no other holder may still consider valid.
 RateShare AccountHome::lease(TimePoint now, Holder &holder)
 {
-    if (m_isDeputy) {
+    if (m_isFallback) {
         return shareOf(holder.lease);
     }
     const double all = longTermRate();
@@ -179,8 +179,8 @@
 
 double AccountHome::grantableShare(TimePoint now) const
 {
-    if (m_isDeputy) {
-        // Not all entries that use this deputy have contacted it yet.
+    if (m_isFallback) {
+        // Not all entries that use this fallback have contacted it yet.
         return std::min(std::max(reachableLeases(), m_placement.domainShare() / 2), 1.0);
     }
     const double reachable = m_placement.reachableShare(now);
--- a/src/coordination/accounts/internal/accounthome.h
+++ b/src/coordination/accounts/internal/accounthome.h
@@ -8,15 +8,15 @@
 
 namespace ivyspar {
 
-/// Token bucket of one account at its home, with the tokens and leases that entries hold.
-/// Plain object.
+/// Token bucket of one account at its home or fallback, with the tokens and leases that entries
+/// hold. Plain object.
 class AccountHome
 {
 public:
-    /// `since`: the time from which no other daemon has been the account's home. `isDeputy`: this
+    /// `since`: the time from which no other daemon has been the account's home. `isFallback`: this
     /// daemon stands in for a home that may still be running. `options` and `placement` outlive
     /// the object.
-    AccountHome(TimePoint since, bool isDeputy, const AccountLimitOptions &options,
+    AccountHome(TimePoint since, bool isFallback, const AccountLimitOptions &options,
                 const AccountPlacement &placement);
 
     TokenGrant grantTokens(TimePoint now, const AccountLimit &limit, const DaemonId &entry,
@@ -64,7 +64,7 @@
 
     const AccountLimitOptions &m_options;
     const AccountPlacement &m_placement;
-    bool m_isDeputy;
+    bool m_isFallback;
     bool m_isInitialized = false;
     TimePoint m_since;
     TimePoint m_refilledAt;
--- a/src/coordination/accounts/internal/accountplacement.cpp
+++ b/src/coordination/accounts/internal/accountplacement.cpp
@@ -90,13 +90,13 @@
     return home ? home->daemon : m_self;
 }
 
-const DaemonId &AccountPlacement::deputyOf(const AccountName &account) const
+const DaemonId &AccountPlacement::fallbackOf(const AccountName &account) const
 {
     const DaemonId &home = homeOf(account);
-    const Candidate *deputy = highestWeight(account, [this, &home](const Candidate &each) {
+    const Candidate *fallback = highestWeight(account, [this, &home](const Candidate &each) {
         return each.domain == m_domain && each.daemon != home;
     });
-    return deputy ? deputy->daemon : m_self;
+    return fallback ? fallback->daemon : m_self;
 }
 
 double AccountPlacement::reachableShare(TimePoint now) const
--- a/src/coordination/accounts/internal/accountplacement.h
+++ b/src/coordination/accounts/internal/accountplacement.h
@@ -21,7 +21,7 @@
     const DaemonId &homeOf(const AccountName &account) const;
     /// The daemon that stands in for an unresponsive home: another daemon of this failure domain,
     /// or this daemon itself if there is none.
-    const DaemonId &deputyOf(const AccountName &account) const;
+    const DaemonId &fallbackOf(const AccountName &account) const;
     bool isMember(const DaemonId &daemon) const
     {
         return m_known.count(daemon) > 0 && isPresent(daemon);
--- a/src/coordination/accounts/internal/accounttokencache.cpp
+++ b/src/coordination/accounts/internal/accounttokencache.cpp
@@ -113,13 +113,13 @@
 bool AccountTokenCache::receive(TimePoint now, const TokenGrant &grant)
 {
     const TimePoint sentAt = m_pendingRequest->sentAt;
-    const bool isFromDeputy = m_pendingRequest->isForDeputy;
+    const bool isFromFallback = m_pendingRequest->isForFallback;
     m_pendingRequest.reset();
     if (now - sentAt > m_options.grantLifetime) {
         return false;
     }
     m_tokens += grant.tokens;
-    m_locallyAdmitted += isFromDeputy ? grant.tokens : 0;
+    m_locallyAdmitted += isFromFallback ? grant.tokens : 0;
     m_grantedAt = now;
     m_lease = grant.lease;
     // Counted from when the request was sent: the home starts its own count no earlier.
@@ -146,7 +146,7 @@
         : 0;
 }
 
-/// Accumulates tokens for at most `unresponsiveTime`: before that, home or deputy could still be
+/// Accumulates tokens for at most `unresponsiveTime`: before that, home or fallback could still be
 /// reached.
 void AccountTokenCache::refillLease(TimePoint now, const AccountLimit &limit)
 {
--- a/src/coordination/accounts/internal/accounttokencache.h
+++ b/src/coordination/accounts/internal/accounttokencache.h
@@ -26,7 +26,7 @@
     /// Takes a cached token. False if there is none.
     bool take(TimePoint now);
     void refund(TimePoint now);
-    /// Takes a token out of the lease, while home and deputy are unresponsive. False if there is
+    /// Takes a token out of the lease, while home and fallback are unresponsive. False if there is
     /// none.
     bool takeFromLease(TimePoint now, const AccountLimit &limit);
     /// Time until the lease yields a token; unset without a valid lease.
@@ -44,7 +44,7 @@
     {
         std::uint32_t number = 0;
         DaemonId target;
-        bool isForDeputy = false;
+        bool isForFallback = false;
         TimePoint sentAt;
     };
     const std::optional<PendingRequest> &pendingRequest() const { return m_pendingRequest; }
--- a/src/coordination/accounts/internal/sharedaccountlimits.cpp
+++ b/src/coordination/accounts/internal/sharedaccountlimits.cpp
@@ -92,7 +92,7 @@
                                 cache.pendingRequest()->sentAt + m_options.requestTimeout,
                                 {} };
     }
-    // This daemon answered the request itself, as home or deputy, and the bucket is empty.
+    // This daemon answered the request itself, as home or fallback, and the bucket is empty.
     return waitOrRefuse(now, cache, since);
 }
 
@@ -136,14 +136,14 @@
     if (cache.pendingRequest() || !target) {
         return;
     }
-    const bool isForDeputy = *target != m_placement.homeOf(account);
-    cache.recordRequest({ ++m_lastNumber, *target, isForDeputy, now });
+    const bool isForFallback = *target != m_placement.homeOf(account);
+    cache.recordRequest({ ++m_lastNumber, *target, isForFallback, now });
     const TokenDemand demand = cache.demand(now, account, limit, waiting);
     if (*target == m_placement.self()) {
-        cache.receive(now, answer(now, *target, isForDeputy, demand));
+        cache.receive(now, answer(now, *target, isForFallback, demand));
         return;
     }
-    m_outgoing.push_back({ *target, TokenRequest{ m_lastNumber, isForDeputy, { demand } } });
+    m_outgoing.push_back({ *target, TokenRequest{ m_lastNumber, isForFallback, { demand } } });
 }
 
 std::optional<DaemonId> SharedAccountLimits::requestTarget(TimePoint now,
@@ -153,8 +153,8 @@
     if (!isUnresponsive(now, home)) {
         return home;
     }
-    const DaemonId &deputy = m_placement.deputyOf(account);
-    return isUnresponsive(now, deputy) ? std::nullopt : std::optional(deputy);
+    const DaemonId &fallback = m_placement.fallbackOf(account);
+    return isUnresponsive(now, fallback) ? std::nullopt : std::optional(fallback);
 }
 
 bool SharedAccountLimits::isUnresponsive(TimePoint now, const DaemonId &daemon) const
@@ -171,18 +171,18 @@
     }
 }
 
-TokenGrant SharedAccountLimits::answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
+TokenGrant SharedAccountLimits::answer(TimePoint now, const DaemonId &entry, bool isForFallback,
                                        const TokenDemand &demand)
 {
     const AccountLimit *limit = limitOf(demand.account);
     const bool isHome = m_placement.homeOf(demand.account) == m_placement.self();
-    if (!limit || (!isHome && !isForDeputy)) {
+    if (!limit || (!isHome && !isForFallback)) {
         TokenGrant grant;
         grant.account = demand.account;
         grant.isFromHome = false;
         return grant;
     }
-    auto &homes = isHome ? m_homes : m_deputies;
+    auto &homes = isHome ? m_homes : m_fallbacks;
     const TimePoint since = isHome ? m_placement.changedAt() : now;
     const auto home = homes
                           .emplace(std::piecewise_construct, std::forward_as_tuple(demand.account),
@@ -202,7 +202,7 @@
     TokenResponse response;
     response.number = request.number;
     for (const TokenDemand &demand : request.demands) {
-        response.grants.push_back(answer(now, from, request.isForDeputy, demand));
+        response.grants.push_back(answer(now, from, request.isForFallback, demand));
     }
     m_outgoing.push_back({ from, std::move(response) });
 }
@@ -291,7 +291,7 @@
         }
     };
     removeIdleHomes(m_homes, 2 * m_options.leaseDuration);
-    removeIdleHomes(m_deputies, m_options.leaseDuration);
+    removeIdleHomes(m_fallbacks, m_options.leaseDuration);
 }
 
 } // namespace ivyspar
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -42,12 +42,12 @@
     AccountDecision refuse(TimePoint now, AccountTokenCache &cache, Duration retryAfter);
     void requestTokens(TimePoint now, const AccountName &account, const AccountLimit &limit,
                        AccountTokenCache &cache, std::uint32_t waiting);
-    /// The daemon to request tokens from: the home, the deputy while the home is unresponsive, or
+    /// The daemon to request tokens from: the home, the fallback while the home is unresponsive, or
     /// none.
     std::optional<DaemonId> requestTarget(TimePoint now, const AccountName &account) const;
     bool isUnresponsive(TimePoint now, const DaemonId &daemon) const;
     void recordUnanswered(TimePoint now, const DaemonId &daemon);
-    TokenGrant answer(TimePoint now, const DaemonId &entry, bool isForDeputy,
+    TokenGrant answer(TimePoint now, const DaemonId &entry, bool isForFallback,
                       const TokenDemand &demand);
     void receiveResponse(TimePoint now, const DaemonId &from, const TokenResponse &response,
                          std::vector<AccountName> &granted);
@@ -58,9 +58,9 @@
     AccountPlacement m_placement;
     AccountLimits m_limits;
     std::unordered_map<AccountName, AccountTokenCache> m_tokenCaches;
-    /// Accounts whose home is this daemon, and accounts for whose home it is the deputy.
+    /// Accounts whose home is this daemon, and accounts for whose home it is the fallback.
     std::unordered_map<AccountName, AccountHome> m_homes;
-    std::unordered_map<AccountName, AccountHome> m_deputies;
+    std::unordered_map<AccountName, AccountHome> m_fallbacks;
     std::unordered_map<DaemonId, PeerState> m_peerStates;
     OutgoingAccountMessages m_outgoing;
     std::uint32_t m_lastNumber = 0;
--- a/src/protocol/internal/accountexchange.cpp
+++ b/src/protocol/internal/accountexchange.cpp
@@ -65,7 +65,7 @@
 std::string encodeOne(const TokenRequest &ask)
 {
     FieldWriter writer = startMessage(MessageKind::Ask, ask.number);
-    writer.add(ask.isForDeputy);
+    writer.add(ask.isForFallback);
     for (const TokenDemand &demand : ask.demands) {
         writer.add(writeDemand(demand));
     }
@@ -164,7 +164,7 @@
     if (kind == MessageKind::Ask) {
         TokenRequest ask;
         reader.read(ask.number);
-        reader.read(ask.isForDeputy);
+        reader.read(ask.isForFallback);
         readItems(reader, ask.demands, readDemand);
         return ask;
     }
--- a/src/protocol/tests/accountexchangetest.cpp
+++ b/src/protocol/tests/accountexchangetest.cpp
@@ -18,7 +18,7 @@
         encodeAccountMessage(TokenRequest{ 41, true, { m_demand, TokenDemand() } }));
     const auto &ask = std::get<TokenRequest>(*read);
     CHECK_EQUAL(41, ask.number);
-    CHECK(ask.isForDeputy);
+    CHECK(ask.isForFallback);
     CHECK_EQUAL(2, ask.demands.size());
     const TokenDemand &demand = ask.demands.front();
     CHECK(demand.account == m_demand.account);
