--- a/src/app/internal/gate/upstreammonitor.h
+++ b/src/app/internal/gate/upstreammonitor.h
@@ -13,7 +13,7 @@
 
 namespace ivyspar {
 
-/// Receives the reports of the servers on this host, checks their health when the register requests
+/// Receives the reports of the servers on this host, checks their health when the registry requests
 /// it, and tells the gate service which of them accept calls. Traffic thread only.
 class UpstreamMonitor
 {
