--- a/src/app/internal/entry/entryservice.cpp
+++ b/src/app/internal/entry/entryservice.cpp
@@ -46,7 +46,7 @@
 
     EntryCallOptions withSuspectChecks(const EntryService &service, EntryCallOptions options)
     {
-        options.standing = [this, &service] { return service.standingOf(incoming); };
+        options.assess = [this, &service] { return service.assess(incoming); };
         options.fingerprint = [this, &service] { return service.fingerprintOf(incoming); };
         return options;
     }
@@ -147,9 +147,9 @@
             return Refusal(rejectAccount(incoming, *verdict));
         }
     }
-    const Assessment standing = standingOf(incoming);
-    if (standing.suspicion == Suspicion::Held || standing.suspicion == Suspicion::Quarantined) {
-        return Refusal(rejectSuspect(incoming, standing));
+    const Assessment assessment = assess(incoming);
+    if (assessment.suspicion == Suspicion::Held || assessment.suspicion == Suspicion::Quarantined) {
+        return Refusal(rejectSuspect(incoming, assessment));
     }
     if (isCallerRequest && !m_guard.admits(lag, incoming.rule.priority, m_highestPriority)) {
         return Refusal(rejectOverload(incoming, lag));
@@ -158,12 +158,12 @@
         incoming.budget = new CallBudget(incoming.rule.attempts);
     }
     if (isCallerRequest) {
-        if (const auto verdict = takeQuotaUnit(exchange, incoming)) {
+        if (const auto verdict = takeAccountToken(exchange, incoming)) {
             return Refusal(rejectAccount(incoming, *verdict));
         }
     }
     if (!admit(incoming)) {
-        returnQuotaUnit(incoming);
+        refundAccountToken(incoming);
         return Refusal(rejectBelowFloor(incoming));
     }
     return incoming;
@@ -239,7 +239,8 @@
     incoming.depth = Depth(static_cast<std::uint8_t>(std::min(context.depth.value() + 1, 255)));
     incoming.deadline = std::min(incoming.deadline, context.deadline);
     incoming.tree = context.tree;
-    incoming.letIn = context.letIn == DemandShare() ? WHOLE_DEMAND : context.letIn;
+    incoming.admittedShare =
+        context.admittedShare == DemandShare() ? WHOLE_DEMAND : context.admittedShare;
     incoming.isRepeat = context.isRepeat;
     incoming.account = context.account;
 }
@@ -261,7 +262,7 @@
 
 /// Called before root admission, as requests beyond an account's limit must not count as demand
 /// that displaces other requests.
-std::optional<Verdict> EntryService::takeQuotaUnit(IHttpExchange &exchange, Incoming &incoming)
+std::optional<Verdict> EntryService::takeAccountToken(IHttpExchange &exchange, Incoming &incoming)
 {
     if (incoming.account.value().empty()) {
         return std::nullopt;
@@ -270,17 +271,17 @@
     exchange.onDisconnect([&isDisconnected] { isDisconnected = true; });
     std::optional<Verdict> verdict = m_accounts.take(incoming.account);
     exchange.onDisconnect({});
-    incoming.holdsQuotaUnit = !verdict;
+    incoming.holdsAccountToken = !verdict;
     if (isDisconnected) {
-        returnQuotaUnit(incoming);
+        refundAccountToken(incoming);
         return notRun(Reason::Cancelled);
     }
     return verdict;
 }
 
-void EntryService::returnQuotaUnit(Incoming &incoming)
+void EntryService::refundAccountToken(Incoming &incoming)
 {
-    if (std::exchange(incoming.holdsQuotaUnit, false)) {
+    if (std::exchange(incoming.holdsAccountToken, false)) {
         m_accounts.refund(incoming.account);
     }
 }
@@ -296,7 +297,7 @@
         return false;
     }
     incoming.isAdmitted = true;
-    incoming.letIn = m_admission->admittedShare(now, target);
+    incoming.admittedShare = m_admission->admittedShare(now, target);
     return true;
 }
 
@@ -342,7 +343,7 @@
 }
 
 /// Computes no fingerprint while there are no suspects.
-Assessment EntryService::standingOf(Incoming &incoming) const
+Assessment EntryService::assess(Incoming &incoming) const
 {
     return m_quarantine.hasSuspects() ? m_quarantine.assess(fingerprintOf(incoming)) : Assessment();
 }
@@ -355,17 +356,17 @@
     return incoming.fingerprint;
 }
 
-/// For a quarantined request `standing.retryAfter` is zero, as a retry would not help.
-Rejection EntryService::rejectSuspect(const Incoming &incoming, const Assessment &standing) const
+/// For a quarantined request `assessment.retryAfter` is zero, as a retry would not help.
+Rejection EntryService::rejectSuspect(const Incoming &incoming, const Assessment &assessment) const
 {
-    const bool isFinal = standing.suspicion == Suspicion::Quarantined;
+    const bool isFinal = assessment.suspicion == Suspicion::Quarantined;
     const Verdict verdict{ Outcome::NotRun, isFinal ? Reason::Quarantined : Reason::Suspected,
-                           standing.retryAfter };
+                           assessment.retryAfter };
     Rejection rejection = reject(EarlyRefusal{ incoming.root, verdict });
     rejection.service = incoming.rule.service;
     rejection.rule = incoming.rule.name;
     rejection.fingerprint = incoming.fingerprint;
-    rejection.inputs = { { "crashes", static_cast<double>(standing.crashes) } };
+    rejection.inputs = { { "crashes", static_cast<double>(assessment.crashes) } };
     return rejection;
 }
 
@@ -449,7 +450,7 @@
     active->verdict =
         verdict.value_or(Verdict{ Outcome::Unknown, Reason::Timeout, Duration::zero() });
     if (active->verdict.outcome == Outcome::NotRun) {
-        returnQuotaUnit(active->incoming);
+        refundAccountToken(active->incoming);
     }
     reportEnd(*active);
     m_recorder.recordEnd(factsOf(active->incoming), resultOf(*active));
@@ -486,7 +487,7 @@
     call.depth = incoming.depth;
     call.remaining = std::chrono::duration_cast<Duration>(incoming.deadline - m_loop.now());
     const bool isFirst = action.attempt == AttemptIndex(0);
-    call.admittedShare = isFirst ? incoming.letIn : DemandShare();
+    call.admittedShare = isFirst ? incoming.admittedShare : DemandShare();
     call.isRepeat = incoming.isRepeat || !isFirst;
     call.granted = action.granted;
     call.once = incoming.once;
--- a/src/app/internal/gate/suspectgate.h
+++ b/src/app/internal/gate/suspectgate.h
@@ -28,8 +28,8 @@
 /// Conditions under which a call runs that matter if its server crashes.
 struct SuspectRun
 {
-    /// No other suspect runs at the server.
-    bool isAlone = false;
+    /// It was already a suspect when it was sent, and no other suspect ran at the server.
+    bool wasIsolated = false;
     /// It is in quarantine and runs as a trial, to find out whether that is still needed.
     bool isTrial = false;
 };
@@ -68,8 +68,8 @@
         bool isTrial = false;
     };
 
-    Assessment standingOf(CallMessage &message, const Announcement &server) const;
-    SuspectDecision begin(CallId call, const CallMessage &message, const Assessment &standing);
+    Assessment assess(CallMessage &message, const Announcement &server) const;
+    SuspectDecision begin(CallId call, const CallMessage &message, const Assessment &assessment);
 
     IQuarantine &m_quarantine;
     std::unordered_map<ServiceName, Isolation> m_isolations;
--- a/src/app/internal/gate/upstreammonitor.h
+++ b/src/app/internal/gate/upstreammonitor.h
@@ -13,7 +13,7 @@
 
 namespace ivyspar {
 
-/// Receives the reports of the servers on this host, checks their health when the register requests
+/// Receives the reports of the servers on this host, checks their health when the registry requests
 /// it, and tells the gate service which of them accept calls. Traffic thread only.
 class UpstreamMonitor
 {
@@ -38,7 +38,7 @@
     const IUpstreamDialect &m_dialect;
     GateService &m_gates;
     Observers m_observers;
-    std::unique_ptr<IUpstreamRegistry> m_register;
+    std::unique_ptr<IUpstreamRegistry> m_registry;
     WakeTimer m_timer;
     ConfigurationPtr m_configuration;
 };
--- a/src/protocol/internal/accountexchange.cpp
+++ b/src/protocol/internal/accountexchange.cpp
@@ -65,7 +65,7 @@
 std::string encodeOne(const TokenRequest &request)
 {
     FieldWriter writer = startMessage(MessageKind::Request, request.number);
-    writer.add(request.isForDeputy);
+    writer.add(request.isForFallback);
     for (const TokenDemand &demand : request.demands) {
         writer.add(writeDemand(demand));
     }
@@ -164,7 +164,7 @@
     if (kind == MessageKind::Request) {
         TokenRequest request;
         reader.read(request.number);
-        reader.read(request.isForDeputy);
+        reader.read(request.isForFallback);
         readItems(reader, request.demands, readDemand);
         return request;
     }
--- a/src/protocol/tests/accountexchangetest.cpp
+++ b/src/protocol/tests/accountexchangetest.cpp
@@ -18,7 +18,7 @@
         encodeAccountMessage(TokenRequest{ 41, true, { m_demand, TokenDemand() } }));
     const auto &request = std::get<TokenRequest>(*read);
     CHECK_EQUAL(41, request.number);
-    CHECK(request.isForDeputy);
+    CHECK(request.isForFallback);
     CHECK_EQUAL(2, request.demands.size());
     const TokenDemand &demand = request.demands.front();
     CHECK(demand.account == m_demand.account);
