--- a/tests/process/acceptedconfigurationtest.cpp
+++ b/tests/process/acceptedconfigurationtest.cpp
@@ -61,7 +61,7 @@
 
 // Two operators publish on the same base at once, five times. Exactly one wins each time and the
 // other is told so; every daemon of every domain has the winner's version, and none goes back.
-TEST(AcceptedConfiguration, OneOfTwoRacingOperatorsWins)
+TEST(AcceptedConfiguration, OneOfTwoConcurrentPublishersWins)
 {
     startTrial(makeTrialGraph());
     for (std::uint64_t version = 1; version <= 5; ++version) {
@@ -79,7 +79,7 @@
 
 // All daemons are killed, one after another, and then all at once: hosts keep nothing, and what was
 // accepted is in the platform's log.
-TEST(AcceptedConfiguration, SurvivesTheDeathOfEveryDaemon)
+TEST(AcceptedConfiguration, SurvivesKillingEveryDaemon)
 {
     startTrial(makeTrialGraph());
     CHECK_EQUAL(0, publishAndWait("0"));
--- a/tests/process/atmostoncetest.cpp
+++ b/tests/process/atmostoncetest.cpp
@@ -83,7 +83,7 @@
 }
 
 // Counter-check: without the key the same callers make the same bookings run several times.
-TEST(AtMostOnce, WithoutTheKeyTheCheckFails)
+TEST(AtMostOnce, BookingsWithoutAKeyRunMoreThanOnce)
 {
     startTrial(makeTrialGraph());
     for (std::size_t entry = 0; entry < 3; ++entry) {
@@ -96,7 +96,7 @@
 
 // A daemon that holds claims is killed while its server works. Callers come back elsewhere; what it
 // may have sent is never sent again, what it had not sent may run after it is known to be gone.
-TEST(AtMostOnce, HoldsWhenTheHolderIsKilled)
+TEST(AtMostOnce, HoldsWhenTheClaimHolderIsKilled)
 {
     sendUntilTheVictimWorks(20);
     m_trial->host(VICTIM).process.signal(SIGKILL);
@@ -108,7 +108,7 @@
 
 // A daemon that holds claims is frozen until every caller has given up or was served, then wakes
 // and still believes that it holds them. It may not start what others could have run meanwhile.
-TEST(AtMostOnce, HoldsWhenTheHolderIsFrozenPastEveryTimeout)
+TEST(AtMostOnce, HoldsWhenTheClaimHolderIsSuspendedPastEveryTimeout)
 {
     // Each attempt may take the whole of its three seconds while the holder is frozen.
     constexpr std::uint32_t ATTEMPTS = 2;
@@ -122,7 +122,7 @@
 
 // Answers of the log are lost, of five appends after the effect and of five before it. A claim
 // whose answer is lost is read back; nobody concludes from silence that it was not made.
-TEST(AtMostOnce, HoldsWhenAnswersOfTheLogAreLost)
+TEST(AtMostOnce, HoldsWhenLogAnswersAreLost)
 {
     startTrial(makeTrialGraph());
     setFaults(R"({"lost_after":5,"lost_before":5})");
@@ -134,7 +134,7 @@
 
 // The log goes down while bookings arrive, and is slow when it comes back. Bookings with keys are
 // refused meanwhile, with proof that they did not run; afterwards all of them are served.
-TEST(AtMostOnce, HoldsWhenTheLogIsDownThenSlow)
+TEST(AtMostOnce, HoldsWhenTheLogIsUnavailableThenSlow)
 {
     startTrial(makeTrialGraph());
     setFaults(R"({"down":true})");
@@ -147,7 +147,7 @@
 }
 
 // Two faults at once: the log goes silent and the holder of claims is killed, then both come back.
-TEST(AtMostOnce, HoldsWhenTheHolderIsKilledWhileTheLogIsSilent)
+TEST(AtMostOnce, HoldsWhenTheClaimHolderIsKilledWhileTheLogIsUnresponsive)
 {
     sendUntilTheVictimWorks(20);
     setFaults(R"({"silent":true})");
@@ -161,7 +161,7 @@
 
 // Tickets were fetched with the page; then the log goes down. The booking with a ticket needs no
 // log: it runs at the daemon named in it, once, however many daemons get it.
-TEST(AtMostOnce, TicketsWorkWhileTheLogIsDown)
+TEST(AtMostOnce, TicketsWorkWhileTheLogIsUnavailable)
 {
     startTrial(makeTrialGraph());
     std::vector<std::string> tickets;
--- a/tests/process/binarytest.cpp
+++ b/tests/process/binarytest.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(Binary){};
 
-TEST(Binary, WrongUsageExitsWith2)
+TEST(Binary, InvalidUsageExitsWith2)
 {
     const int status = std::system(IVYSPAR_BINARY " no-such-command >/dev/null 2>&1");
     CHECK(WIFEXITED(status));
--- a/tests/process/boundedattemptstest.cpp
+++ b/tests/process/boundedattemptstest.cpp
@@ -37,7 +37,7 @@
 // A chain of 25 calls, the last of which always fails; callers come back twenty times, whatever
 // they are told. The budget goes with the request and callers' attempts are counted, so one tap
 // starts no more than its rule allows, although each of 25 hops and the caller could repeat.
-TEST(BoundedAttempts, AFailingLeafCostsNoMoreThanTheBudget)
+TEST(BoundedAttempts, AFailingLeafStaysWithinTheAttemptBudget)
 {
     startChain({});
     sendHard(4);
@@ -48,7 +48,7 @@
 }
 
 // Counter-check: without the budget the same callers start more, and the check sees it.
-TEST(BoundedAttempts, WithoutTheBudgetTheCheckFails)
+TEST(BoundedAttempts, AttemptsExceedTheBoundWithoutABudget)
 {
     startChain({ "--ablate=budget" });
     sendHard(1);
@@ -57,7 +57,7 @@
 
 // The same, and each hop drops the header that ties its calls to the request. Such a call gets a
 // single attempt; with a budget of its own at each hop attempts would multiply with depth.
-TEST(BoundedAttempts, HopsThatDropTheContextCannotMultiply)
+TEST(BoundedAttempts, HopsThatDropTheContextDoNotMultiplyAttempts)
 {
     startChain({});
     CHECK(m_trial->setBehaviour("", R"({"contextDropped":true})"));
@@ -69,7 +69,7 @@
 
 // Counter-check: when every hop repeats what failed below it, with a budget of its own, one single
 // attempt of the caller starts more than the whole action may. The deadline alone ends it.
-TEST(BoundedAttempts, RetriesAtEveryHopMultiply)
+TEST(BoundedAttempts, RetriesAtEveryHopMultiplyWithoutABudget)
 {
     startChain({ "--ablate=budget,retry-tokens" });
     CallerPlan plan = m_trial->plan({ "chain", "GET", chainPath(0) }, "tap");
--- a/tests/process/commandlinetest.cpp
+++ b/tests/process/commandlinetest.cpp
@@ -57,7 +57,7 @@
 
 TEST_GROUP(CommandLine){};
 
-TEST(CommandLine, HelpIsThereForEveryCommand)
+TEST(CommandLine, EveryCommandHasHelp)
 {
     checkRun(runBinary("--help"), 0, "Usage: ivyspar COMMAND");
     checkRun(runBinary("help"), 0, "Usage: ivyspar COMMAND");
@@ -76,7 +76,7 @@
     CHECK(runBinary("status --help").output.find("log_endpoints") == std::string::npos);
 }
 
-TEST(CommandLine, WrongCommandsAreUsageErrors)
+TEST(CommandLine, InvalidCommandsAreUsageErrors)
 {
     checkRun(runBinary(""), 2, "Usage: ivyspar COMMAND");
     checkRun(runBinary("deamon"), 2, "unknown command \"deamon\"");
@@ -102,7 +102,7 @@
              0, "bottega: 3 failure domains, 4 services, 14 servers");
 }
 
-TEST(CommandLine, CheckPrintsEveryProblemWithItsPlace)
+TEST(CommandLine, CheckReportsEveryProblemWithItsLocation)
 {
     // The rules of one deployment do not fit the services of the other.
     const Run result = runBinary("check " + EXAMPLES + "bottega/inventory.toml " + EXAMPLES
@@ -115,7 +115,7 @@
     STRCMP_CONTAINS("ivyspar check: 10 errors", result.output.c_str());
 }
 
-TEST(CommandLine, CheckSaysWhatItCannotRead)
+TEST(CommandLine, CheckReportsUnreadableFiles)
 {
     checkRun(runBinary("check"), 2, "expected two files: INVENTORY RULES");
     checkRun(runBinary("check /none/a.toml /none/b.toml"), 2,
@@ -124,7 +124,7 @@
     checkRun(runBinary("check /dev/zero /dev/zero"), 2, "has more than 1048576 bytes");
 }
 
-TEST(CommandLine, DaemonRefusesWrongSettingsBeforeItStarts)
+TEST(CommandLine, DaemonRejectsInvalidSettingsBeforeItStarts)
 {
     const Run result = runBinary("daemon --typo --seeds=host:1 --max_in_flight=0");
     checkRun(result, 2, "unknown flag --typo");
@@ -134,7 +134,7 @@
     STRCMP_CONTAINS("ivyspar daemon: 5 errors", result.output.c_str());
 }
 
-TEST(CommandLine, VariablesSetFlags)
+TEST(CommandLine, EnvironmentVariablesSetFlags)
 {
     checkRun(runBinary("daemon --domain=d --daemon_id=d1", "IVYSPAR_SEEDS=host:1"), 2,
              "--seeds (IVYSPAR_SEEDS): \"host\" is not an IP address");
@@ -144,7 +144,7 @@
     CHECK(result.output.find("host") == std::string::npos);
 }
 
-TEST(CommandLine, DaemonRefusesFilesThatContradictItsSettings)
+TEST(CommandLine, DaemonRejectsFilesThatContradictItsSettings)
 {
     const std::string files = " --inventory=" + EXAMPLES
         + "bottega/inventory.toml --rules=" + EXAMPLES + "bottega/rules.toml";
@@ -154,7 +154,7 @@
              "where the domain is in \"milano\"");
 }
 
-TEST(CommandLine, PublishRefusesWrongFilesBeforeItConnects)
+TEST(CommandLine, PublishRejectsInvalidInputBeforeItConnects)
 {
     checkRun(runBinary("publish --log_endpoints=127.0.0.1:1 /none/a.toml /none/b.toml"), 2,
              "/none/a.toml: No such file");
--- a/tests/process/configurationtest.cpp
+++ b/tests/process/configurationtest.cpp
@@ -162,7 +162,7 @@
 
 // The answer to the append is lost after it took effect. The operator must be told "accepted", and
 // the change must not be made a second time.
-TEST(ConfigurationProcess, ALostAnswerMakesNoSecondChange)
+TEST(ConfigurationProcess, ALostAnswerCausesNoDuplicateChange)
 {
     startDaemon("a", DOMAINS[0]);
     setFaults(R"({"lost_after":1})");
@@ -173,7 +173,7 @@
 
 // 1. The log goes down. A new host is started; it must take its configuration from its peers.
 // 2. A change cannot be published meanwhile, and its operator is told that nothing was.
-TEST(ConfigurationProcess, AnOutageOfTheLogStopsChangesOnly)
+TEST(ConfigurationProcess, ALogOutageBlocksOnlyChanges)
 {
     startDaemons();
     CHECK_EQUAL(0, publish({}));
@@ -189,7 +189,7 @@
 }
 
 // A failure domain is cut from the platform but not from its peers: it follows them.
-TEST(ConfigurationProcess, ADomainCutFromThePlatformFollows)
+TEST(ConfigurationProcess, ADomainCutOffFromThePlatformFollowsItsPeers)
 {
     startDaemons();
     setFaults(R"({"cut_clients":["eagle-farm-1"]})");
--- a/tests/process/crashingrequesttest.cpp
+++ b/tests/process/crashingrequesttest.cpp
@@ -155,20 +155,20 @@
 TEST_GROUP_BASE(CrashingRequest, CrashingRequestFixture){};
 
 // Guards against a request that is sent to server after server because each repetition is new.
-TEST(CrashingRequest, IsKeptFromServersAfterThreeCrashes)
+TEST(CrashingRequest, IsQuarantinedAfterThreeCrashes)
 {
     startServers(CRASHER);
     checkContained(play({ "desk", "GET", "/wait/4" }, seconds(9)));
 }
 
-TEST(CrashingRequest, IsKeptFromServersThoughItMayNotBeRepeated)
+TEST(CrashingRequest, IsQuarantinedAlthoughNotRepeatable)
 {
     startServers(CRASHER);
     checkContained(play(m_record, seconds(9)));
 }
 
 // Guards against a quarantine that nobody can see, or lift when its cause is mended.
-TEST(CrashingRequest, IsListedAndLiftedByHand)
+TEST(CrashingRequest, IsListedAndReleasedByTheOperator)
 {
     startServers(CRASHER);
     checkContained(play({ "desk", "GET", "/wait/4" }, seconds(9)));
@@ -194,7 +194,7 @@
 }
 
 // Guards against requests that are held responsible for crashes which no request caused.
-TEST(CrashingRequest, CrashesWithoutACauseAccuseNobody)
+TEST(CrashingRequest, CrashesWithoutACauseImplicateNoRequest)
 {
     startServers("");
     const auto startedAt = steady_clock::now();
--- a/tests/process/historiestest.cpp
+++ b/tests/process/historiestest.cpp
@@ -21,7 +21,7 @@
 /// Faults at random times, several at once, from fixed seeds. `ivyspar-lab histories` runs more.
 TEST_GROUP(Histories){};
 
-TEST(Histories, AreCleanForAFewSeeds)
+TEST(Histories, HaveNoViolationsForFixedSeeds)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         STRCMP_EQUAL("", violationsOf(seed, false).c_str());
@@ -30,7 +30,7 @@
 
 // Counter-check: without their keys bookings run twice under the same faults, and the check sees
 // it.
-TEST(Histories, AreViolatedWithoutKeys)
+TEST(Histories, ViolateAtMostOnceWithoutKeys)
 {
     STRCMP_CONTAINS("must run at most once", violationsOf(1, true).c_str());
 }
--- a/tests/process/notruntest.cpp
+++ b/tests/process/notruntest.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 /// Records may not be repeated, so what callers are told decides whether they send them again.
-struct NotRunTruthFixture : FailureTest
+struct NotRunOutcomeFixture : FailureTest
 {
 
     /// Requests through all daemons; returns when the victim's server works on some of them.
@@ -27,12 +27,12 @@
     }
 };
 
-TEST_GROUP_BASE(NotRunTruth, NotRunTruthFixture){};
+TEST_GROUP_BASE(NotRunOutcome, NotRunOutcomeFixture){};
 
 // 1. Sixty records are sent through three daemons; the second daemon's server works on some.
 // 2. That daemon is killed. Its callers and the other entries lose their connections.
 // 3. What may have started is "unknown"; whoever hears "not run" can send again safely.
-TEST(NotRunTruth, HoldsWhenADaemonIsKilled)
+TEST(NotRunOutcome, IsCorrectWhenADaemonIsKilled)
 {
     sendUntilTheVictimWorks();
     m_trial->host(VICTIM).process.signal(SIGKILL);
@@ -44,7 +44,7 @@
 
 // 1. As above, but the daemon is frozen until every caller has been told something.
 // 2. It wakes and may start what it still finds in its sockets: nobody was told "not run" of that.
-TEST(NotRunTruth, HoldsWhenADaemonIsFrozenAndWakes)
+TEST(NotRunOutcome, IsCorrectWhenADaemonIsSuspendedAndResumed)
 {
     sendUntilTheVictimWorks();
     m_trial->host(VICTIM).process.signal(SIGSTOP);
--- a/tests/process/operatortest.cpp
+++ b/tests/process/operatortest.cpp
@@ -91,7 +91,7 @@
     }
 };
 
-TEST(OperatorProcess, StatusIsPrintedForPeople)
+TEST(OperatorProcess, StatusIsPrintedAsText)
 {
     int exitCode = -1;
     const std::string output =
@@ -109,7 +109,7 @@
 }
 
 // The age tells an operator when a change did not arrive. It has to grow without any event.
-TEST(OperatorProcess, AgeOfTheConfigurationGrows)
+TEST(OperatorProcess, ConfigurationAgeIncreases)
 {
     const std::string young = "\nivyspar_configuration_age_seconds 0\n";
     const auto deadline = std::chrono::steady_clock::now() + PATIENCE;
--- a/tests/process/partitiontest.cpp
+++ b/tests/process/partitiontest.cpp
@@ -89,7 +89,7 @@
 
 // Two faults at once: the domain is cut off from its peers and from the platform. It goes on with
 // pages, and refuses bookings with a key, with proof that they did not run.
-TEST(Partition, ADomainCutOffFromEverythingStillServesPages)
+TEST(Partition, AnIsolatedDomainStillServesPages)
 {
     startPartitioned({ "hall-a" });
     CHECK(m_trial->setLogFaults(R"({"cut_clients":["desk-1"]})"));
--- a/tests/process/plannedstoptest.cpp
+++ b/tests/process/plannedstoptest.cpp
@@ -43,7 +43,7 @@
 
 // 1. A server works on requests and announces that it drains.
 // 2. What it has ends normally. From then on it gets nothing, whichever daemon is asked.
-TEST(PlannedStop, ADrainingServerFinishesAndGetsNothingNew)
+TEST(PlannedStop, ADrainingServerCompletesItsRequestsAndReceivesNoNewOnes)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":10})"));
@@ -62,7 +62,7 @@
 
 // A daemon is stopped by SIGTERM with requests in flight: those that callers sent to it, and those
 // that others sent to its server. None is cut, and it ends with 0.
-TEST(PlannedStop, ADaemonThatIsStoppedCutsNothing)
+TEST(PlannedStop, SigtermInterruptsNoRequest)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
@@ -77,7 +77,7 @@
 }
 
 // Two faults at once: the daemon is stopped while the platform's log is silent.
-TEST(PlannedStop, AStopWhileTheLogIsSilentCutsNothing)
+TEST(PlannedStop, SigtermWhileTheLogIsUnresponsiveInterruptsNoRequest)
 {
     startTrial(makeTrialGraph());
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
@@ -92,7 +92,7 @@
 }
 
 // Counter-check: killed in place of stopped, requests are cut and the check sees it.
-TEST(PlannedStop, ADaemonThatIsKilledCutsRequests)
+TEST(PlannedStop, SigkillInterruptsRequests)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
@@ -105,7 +105,7 @@
 // 1. Requests whose chain of eight calls goes back and forth between two daemons are in flight.
 // 2. One daemon is stopped. The calls that its server still has to make for them go through it, so
 //    it must go on taking those until the requests have ended.
-TEST(PlannedStop, AStopInTheMiddleOfChainsCutsNothing)
+TEST(PlannedStop, SigtermDuringCallChainsInterruptsNoRequest)
 {
     constexpr std::uint32_t DEPTH = 8;
     // Each holds up to eight slots of the same service; a cold gate lets a hundred be taken.
--- a/tests/process/refusalordertest.cpp
+++ b/tests/process/refusalordertest.cpp
@@ -44,7 +44,7 @@
 // Three servers, 60 slots, 200 people who look through pages and come back when refused. Records
 // that arrive on top must all be taken, while pages are refused: the queue is ordered by rank, and
 // what is less important leaves it first.
-TEST(RefusalOrder, RecordsAreTakenWhilePagesAreRefused)
+TEST(RefusalOrder, RecordsAreAdmittedWhilePagesAreRefused)
 {
     // Once: the check evaluates its argument again to print it, and that would be another run.
     const std::size_t refused = refusedRecords({});
@@ -52,7 +52,7 @@
 }
 
 // Counter-check: in the order of arrival, without ranks and floor, records are refused as well.
-TEST(RefusalOrder, WithoutRanksRecordsAreRefusedToo)
+TEST(RefusalOrder, RecordsAreAlsoRefusedWithoutRanks)
 {
     CHECK(refusedRecords({ "--ablate=rank,floor" }) > 0);
 }
--- a/tests/process/triggerstest.cpp
+++ b/tests/process/triggerstest.cpp
@@ -41,7 +41,7 @@
 // All at once: every call of a chain takes sixty times as long, more callers than slots arrive, and
 // they come back whatever they are told. Attempts stay bounded; when the slowness is gone a new
 // request is served whole.
-TEST(Triggers, SlownessASurgeAndHardRetriesStayBoundedAndEnd)
+TEST(Triggers, SlownessSurgeAndRetriesStayBoundedAndServiceRecovers)
 {
     startTrial(makeChainGraph(DEPTH), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":60})"));
@@ -59,7 +59,7 @@
 
 // A server is as slow as after a cold start, many times slower than the others, and announces slots
 // that it does not have. Requests are refused or served whole; none is told "not run" that ran.
-TEST(Triggers, AColdServerWithAMisleadingAnnouncementIsSurvived)
+TEST(Triggers, AColdServerThatOverstatesItsSlotsIsTolerated)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("desk-1", R"({"slowdown":40,"announcedSlots":400})"));
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -115,7 +115,7 @@
 // Requests take about as long as their callers wait, so that about half of the answers come after
 // their caller was told "unknown". A late answer goes nowhere; above all not to the next request on
 // the same connections, for which the same callers then wait long enough.
-TEST(WholeAnswers, LateAnswersReachNobodyElse)
+TEST(WholeAnswers, LateAnswersAreNotDeliveredToOtherRequests)
 {
     startTrial(makeTrialGraph(), {}, false);
     constexpr std::uint32_t REQUESTS = 100;
@@ -138,7 +138,7 @@
 
 // The server dies in the middle of its answer. It did start the request, so the caller hears
 // "unknown": neither a short answer nor "not run".
-TEST(WholeAnswers, AnAnswerThatIsCutOffIsUnknown)
+TEST(WholeAnswers, ATruncatedAnswerIsUnknown)
 {
     startTrial(makeTrialGraph(1), {}, false);
     checkUnknown("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it");
