--- a/tests/knownred.cpp
+++ b/tests/knownred.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::set<std::string> readList(const std::string &path)
+std::set<std::string> readTestNames(const std::string &path)
 {
     std::set<std::string> tests;
     std::ifstream file(path);
@@ -33,9 +33,9 @@
 } // namespace
 
 /// The runner's own filters cannot exclude more than one test.
-void leaveOutKnownRed(const std::string &path)
+void excludeKnownRedTests(const std::string &path)
 {
-    const std::set<std::string> red = readList(path);
+    const std::set<std::string> red = readTestNames(path);
     if (red.empty()) {
         return;
     }
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -17,7 +17,7 @@
     constexpr int KEEP_EXISTING = 0;
     setenv("RC_PARAMS", "seed=20261202", KEEP_EXISTING);
     if (const char *list = std::getenv("IVYSPAR_KNOWN_RED")) {
-        ivyspar::leaveOutKnownRed(list);
+        ivyspar::excludeKnownRedTests(list);
     }
     return CommandLineTestRunner::RunAllTests(argc, argv);
 }
--- a/tests/process/acceptedconfigurationtest.cpp
+++ b/tests/process/acceptedconfigurationtest.cpp
@@ -74,7 +74,7 @@
         CHECK(firstCode == 0 || secondCode == 0);
         checkInForce(version);
     }
-    checkClean(checkVersions(m_seen));
+    checkNoViolations(checkVersions(m_seen));
 }
 
 // All daemons are killed, one after another, and then all at once: hosts keep nothing, and what was
@@ -120,5 +120,5 @@
     restart(victim);
     checkInForce(3);
     m_seen.versions.erase(victim.name);
-    checkClean(checkVersions(m_seen));
+    checkNoViolations(checkVersions(m_seen));
 }
--- a/tests/process/atmostoncetest.cpp
+++ b/tests/process/atmostoncetest.cpp
@@ -41,7 +41,7 @@
         }
     }
     /// Which daemon wins a claim is left to chance, so bookings are sent until the victim has one.
-    void sendUntilTheVictimWorks(std::uint32_t attempts)
+    void sendUntilVictimIsBusy(std::uint32_t attempts)
     {
         m_attempts = attempts;
         startTrial(makeTrialGraph());
@@ -50,17 +50,17 @@
         std::uint32_t next = BOOKINGS;
         CHECK(waitUntil([&] {
             sendBooking(next++);
-            return startsAt(m_trial->host(VICTIM).name) > 0;
+            return startCountAt(m_trial->host(VICTIM).name) > 0;
         }));
     }
     History checkedHistory()
     {
         History history = m_trial->history();
-        checkClean(checkAll(history, m_trial->graph()));
+        checkNoViolations(checkAll(history, m_trial->graph()));
         return history;
     }
     void setFaults(const std::string &faults) { CHECK(m_trial->setLogFaults(faults)); }
-    void checkLive() { CHECK(m_trial->isServingAgain("after")); }
+    void checkServing() { CHECK(m_trial->isServingAgain("after")); }
     std::string fetchTicket(std::size_t entry)
     {
         const auto answer = exchangeBlocking(m_trial->host(entry).caller,
@@ -98,12 +98,12 @@
 // may have sent is never sent again, what it had not sent may run after it is known to be gone.
 TEST(AtMostOnce, HoldsWhenTheClaimHolderIsKilled)
 {
-    sendUntilTheVictimWorks(20);
+    sendUntilVictimIsBusy(20);
     m_trial->host(VICTIM).process.signal(SIGKILL);
     checkedHistory();
     std::string error;
     CHECK_TRUE_TEXT(m_trial->deployment().restartHost(m_trial->host(VICTIM), error), error.c_str());
-    checkLive();
+    checkServing();
 }
 
 // A daemon that holds claims is frozen until every caller has given up or was served, then wakes
@@ -112,11 +112,11 @@
 {
     // Each attempt may take the whole of its three seconds while the holder is frozen.
     constexpr std::uint32_t ATTEMPTS = 2;
-    sendUntilTheVictimWorks(ATTEMPTS);
+    sendUntilVictimIsBusy(ATTEMPTS);
     m_trial->host(VICTIM).process.signal(SIGSTOP);
     m_trial->callers().waitForAll();
     m_trial->host(VICTIM).process.signal(SIGCONT);
-    checkLive();
+    checkServing();
     checkedHistory();
 }
 
@@ -128,7 +128,7 @@
     setFaults(R"({"lost_after":5,"lost_before":5})");
     sendBookings();
     checkedHistory();
-    checkLive();
+    checkServing();
     checkedHistory();
 }
 
@@ -149,14 +149,14 @@
 // Two faults at once: the log goes silent and the holder of claims is killed, then both come back.
 TEST(AtMostOnce, HoldsWhenTheClaimHolderIsKilledWhileTheLogIsUnresponsive)
 {
-    sendUntilTheVictimWorks(20);
+    sendUntilVictimIsBusy(20);
     setFaults(R"({"silent":true})");
     m_trial->host(VICTIM).process.signal(SIGKILL);
     std::string error;
     CHECK_TRUE_TEXT(m_trial->deployment().restartHost(m_trial->host(VICTIM), error), error.c_str());
     setFaults(R"({"silent":false})");
     checkedHistory();
-    checkLive();
+    checkServing();
 }
 
 // Tickets were fetched with the page; then the log goes down. The booking with a ticket needs no
--- a/tests/process/boundedattemptstest.cpp
+++ b/tests/process/boundedattemptstest.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 constexpr std::uint32_t DEPTH = 25;
-constexpr std::uint32_t BOUND = chainAttempts(DEPTH) * CHAIN_CALLER_ATTEMPTS;
-constexpr std::uint32_t HARD_RETRIES = 20;
+constexpr std::uint32_t ATTEMPT_BUDGET = chainAttempts(DEPTH) * CHAIN_CALLER_ATTEMPTS;
+constexpr std::uint32_t CALLER_ATTEMPTS = 20;
 
 } // namespace
 
@@ -18,15 +18,15 @@
         CHECK(m_trial->setBehaviour("", R"({"failPath":")" + chainPath(DEPTH - 1) + R"("})"));
     }
     /// Callers that come back whatever they are told.
-    void sendHard(std::uint32_t actions)
+    void sendRetryingCallers(std::uint32_t actions)
     {
         for (std::uint32_t i = 0; i < actions; ++i) {
             CallerPlan plan =
                 m_trial->plan({ "chain", "GET", chainPath(0) }, "tap-" + std::to_string(i), i);
-            plan.attempts = HARD_RETRIES;
+            plan.attempts = CALLER_ATTEMPTS;
             plan.isRepeatingErrors = true;
             plan.isRepeatingUnknown = true;
-            plan.budget = BOUND;
+            plan.budget = ATTEMPT_BUDGET;
             m_trial->callers().send(plan);
         }
     }
@@ -40,10 +40,10 @@
 TEST(BoundedAttempts, AFailingLeafStaysWithinTheAttemptBudget)
 {
     startChain({});
-    sendHard(4);
+    sendRetryingCallers(4);
     const History history = m_trial->history();
-    checkClean(checkBudget(history));
-    checkClean(checkNotRun(history));
+    checkNoViolations(checkBudget(history));
+    checkNoViolations(checkNotRun(history));
     CHECK(countStarts(history, "tap-0") >= DEPTH);
 }
 
@@ -51,7 +51,7 @@
 TEST(BoundedAttempts, AttemptsExceedTheBoundWithoutABudget)
 {
     startChain({ "--ablate=budget" });
-    sendHard(1);
+    sendRetryingCallers(1);
     CHECK_EQUAL(1, checkBudget(m_trial->history()).size());
 }
 
@@ -61,9 +61,9 @@
 {
     startChain({});
     CHECK(m_trial->setBehaviour("", R"({"contextDropped":true})"));
-    sendHard(4);
+    sendRetryingCallers(4);
     const History history = m_trial->history();
-    checkClean(checkBudget(history));
+    checkNoViolations(checkBudget(history));
     CHECK(countStarts(history, "tap-0") >= DEPTH);
 }
 
@@ -73,7 +73,7 @@
 {
     startChain({ "--ablate=budget,retry-tokens" });
     CallerPlan plan = m_trial->plan({ "chain", "GET", chainPath(0) }, "tap");
-    plan.budget = BOUND;
+    plan.budget = ATTEMPT_BUDGET;
     m_trial->callers().send(plan);
     CHECK_EQUAL(1, checkBudget(m_trial->history()).size());
 }
--- a/tests/process/configurationtest.cpp
+++ b/tests/process/configurationtest.cpp
@@ -24,11 +24,11 @@
 constexpr char INVENTORY[] = IVYSPAR_SOURCE_DIR "/examples/tallowood/inventory.toml";
 constexpr char RULES[] = IVYSPAR_SOURCE_DIR "/examples/tallowood/rules.toml";
 const char *const DOMAINS[] = { "fortitude-hall", "southbank-hall", "coorparoo-dc", "eagle-farm" };
-constexpr Duration PATIENCE = seconds(30);
+constexpr Duration TIMEOUT = seconds(30);
 
 bool waitUntil(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + PATIENCE;
+    const auto end = std::chrono::steady_clock::now() + TIMEOUT;
     while (!condition() && std::chrono::steady_clock::now() < end) {
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
@@ -69,7 +69,7 @@
         const std::string ready = m_folder + "/log.ready";
         m_log = ChildProcess(IVYSPAR_LAB_BINARY, { "log", "--ready_file", ready },
                              m_folder + "/log.out");
-        const json document = json::parse(waitForFile(ready, PATIENCE), nullptr, false);
+        const json document = json::parse(waitForFile(ready, TIMEOUT), nullptr, false);
         CHECK(document.is_object());
         m_logEndpoint = Endpoint::parse(document["endpoint"].get<std::string>()).value();
     }
@@ -103,7 +103,7 @@
             flags.push_back("--seeds=" + m_daemons.front()->peer.text());
         }
         daemon->process = ChildProcess(IVYSPAR_BINARY, flags, m_folder + "/" + name + ".out");
-        const json document = json::parse(waitForFile(ready, PATIENCE), nullptr, false);
+        const json document = json::parse(waitForFile(ready, TIMEOUT), nullptr, false);
         CHECK(document.is_object());
         daemon->peer = Endpoint::parse(document["peer"].get<std::string>()).value();
         daemon->operators = Endpoint::parse(document["operator"].get<std::string>()).value();
@@ -129,7 +129,7 @@
         arguments.insert(arguments.end(), flags.begin(), flags.end());
         arguments.insert(arguments.end(), { INVENTORY, RULES });
         ChildProcess process(IVYSPAR_BINARY, arguments, m_folder + "/publish.out");
-        return process.wait(PATIENCE);
+        return process.wait(TIMEOUT);
     }
     std::string publishOutput() const
     {
--- a/tests/process/crashingrequesttest.cpp
+++ b/tests/process/crashingrequesttest.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-constexpr std::uint32_t SERVERS = 6;
+constexpr std::uint32_t SERVER_COUNT = 6;
 /// Servers that a request may crash before it is kept from all others.
-constexpr std::uint32_t CRASHES = 3;
+constexpr std::uint32_t MAX_CRASHES = 3;
 /// What is known of a crash by then has reached all daemons.
-constexpr seconds CONTACT{ 3 };
+constexpr seconds PROPAGATION_TIME{ 3 };
 /// Sends to servers that are still allowed after that.
-constexpr std::uint32_t LATE_SENDS = 3;
+constexpr std::uint32_t MAX_LATE_SENDS = 3;
 constexpr milliseconds CRASHER_INTERVAL{ 150 };
 constexpr milliseconds OTHERS_INTERVAL{ 25 };
 /// Of the other requests.
-constexpr double SERVED_SHARE = 0.95;
+constexpr double MIN_SERVED_SHARE = 0.95;
 const std::string CRASHER = "crasher";
 const std::string IN_DEMAND = "in-demand";
 
@@ -36,7 +36,7 @@
 {
     double m_inDemandCallers = 0;
 
-    struct Course
+    struct TrafficResult
     {
         std::uint32_t sends = 0;
         std::uint32_t lateSends = 0;
@@ -44,7 +44,7 @@
 
     void startServers(const std::string &crasher)
     {
-        startTrial(makeTrialGraph(SERVERS), {}, false);
+        startTrial(makeTrialGraph(SERVER_COUNT), {}, false);
         CHECK(m_trial->setBehaviour("", "{\"crashToken\":\"" + crasher + "\"}"));
     }
 
@@ -59,24 +59,27 @@
     }
 
     /// Sends for `length`, and counts what reaches servers.
-    Course play(const GraphCall &call, seconds length)
+    TrafficResult runTraffic(const GraphCall &call, seconds length)
     {
-        Course course;
+        TrafficResult result;
         const auto startedAt = steady_clock::now();
-        auto crashedAt = steady_clock::time_point::max();
+        auto limitReachedAt = steady_clock::time_point::max();
         auto nextCrasher = startedAt;
         auto nextOther = startedAt;
         std::uint32_t sent = 0;
-        std::uint32_t before = 0;
+        std::uint32_t sendsAtLimit = 0;
         while (steady_clock::now() < startedAt + length) {
             const auto now = steady_clock::now();
             if (now >= nextCrasher) {
                 m_trial->callers().send(m_trial->plan(call, CRASHER, ++sent));
                 nextCrasher += CRASHER_INTERVAL;
-                course.sends = m_trial->startCount(CRASHER);
-                const bool isThird = course.sends >= CRASHES && m_trial->crashCount() >= CRASHES;
-                crashedAt = isThird ? std::min(crashedAt, now) : crashedAt;
-                before = now < crashedAt + CONTACT || !isThird ? course.sends : before;
+                result.sends = m_trial->startCount(CRASHER);
+                const bool isLimitReached =
+                    result.sends >= MAX_CRASHES && m_trial->crashCount() >= MAX_CRASHES;
+                limitReachedAt = isLimitReached ? std::min(limitReachedAt, now) : limitReachedAt;
+                sendsAtLimit = now < limitReachedAt + PROPAGATION_TIME || !isLimitReached
+                    ? result.sends
+                    : sendsAtLimit;
             }
             if (now >= nextOther) {
                 const std::string number = std::to_string(++sent);
@@ -87,9 +90,9 @@
             std::this_thread::sleep_for(milliseconds(5));
         }
         m_trial->callers().waitForAll();
-        course.sends = m_trial->startCount(CRASHER);
-        course.lateSends = course.sends - before;
-        return course;
+        result.sends = m_trial->startCount(CRASHER);
+        result.lateSends = result.sends - sendsAtLimit;
+        return result;
     }
 
     /// The share of the others that ended with a whole answer.
@@ -131,24 +134,24 @@
         return "";
     }
 
-    std::uint32_t countQuarantining()
+    std::uint32_t quarantiningDaemonCount()
     {
         std::uint32_t count = 0;
-        for (std::uint32_t host = 0; host < SERVERS; ++host) {
+        for (std::uint32_t host = 0; host < SERVER_COUNT; ++host) {
             count += quarantinedAt(m_trial->host(host).operators).empty() ? 0 : 1;
         }
         return count;
     }
 
-    void checkContained(const Course &course)
+    void checkContained(const TrafficResult &result)
     {
-        CHECK_COMPARE(course.sends, >=, CRASHES);
-        CHECK_COMPARE(course.lateSends, <=, LATE_SENDS);
+        CHECK_COMPARE(result.sends, >=, MAX_CRASHES);
+        CHECK_COMPARE(result.lateSends, <=, MAX_LATE_SENDS);
         const History history = m_trial->history();
-        checkClean(checkNotRun(history));
-        checkClean(checkAccused(history, CRASHER));
-        CHECK_COMPARE(shareServed(history), >=, SERVED_SHARE);
-        CHECK_COMPARE(shareServedInDemand(history), >=, SERVED_SHARE);
+        checkNoViolations(checkNotRun(history));
+        checkNoViolations(checkAccused(history, CRASHER));
+        CHECK_COMPARE(shareServed(history), >=, MIN_SERVED_SHARE);
+        CHECK_COMPARE(shareServedInDemand(history), >=, MIN_SERVED_SHARE);
     }
 };
 
@@ -158,20 +161,20 @@
 TEST(CrashingRequest, IsQuarantinedAfterThreeCrashes)
 {
     startServers(CRASHER);
-    checkContained(play({ "desk", "GET", "/wait/4" }, seconds(9)));
+    checkContained(runTraffic({ "desk", "GET", "/wait/4" }, seconds(9)));
 }
 
 TEST(CrashingRequest, IsQuarantinedAlthoughNotRepeatable)
 {
     startServers(CRASHER);
-    checkContained(play(m_record, seconds(9)));
+    checkContained(runTraffic(m_record, seconds(9)));
 }
 
 // Guards against a quarantine that nobody can see, or lift when its cause is mended.
 TEST(CrashingRequest, IsListedAndReleasedByTheOperator)
 {
     startServers(CRASHER);
-    checkContained(play({ "desk", "GET", "/wait/4" }, seconds(9)));
+    checkContained(runTraffic({ "desk", "GET", "/wait/4" }, seconds(9)));
     const ivyspar::Endpoint &operators = m_trial->host(2).operators;
     const std::string fingerprint = quarantinedAt(operators);
     LONGS_EQUAL(32, fingerprint.size());
@@ -179,8 +182,8 @@
     const auto lifted = exchangeBlocking(
         operators, { "POST", "/quarantine/lift/" + fingerprint, {}, {} }, seconds(5));
     CHECK(lifted && lifted->status == 200);
-    CHECK(waitUntil([this] { return countQuarantining() == 0; }));
-    for (std::uint32_t entry = 0; entry < SERVERS; ++entry) {
+    CHECK(waitUntil([this] { return quarantiningDaemonCount() == 0; }));
+    for (std::uint32_t entry = 0; entry < SERVER_COUNT; ++entry) {
         sendOther({ "desk", "GET", "/wait/4" }, CRASHER, entry);
     }
     const History history = m_trial->history();
@@ -190,7 +193,7 @@
             served += action.token == CRASHER && attempt.status == 200 ? 1 : 0;
         }
     }
-    LONGS_EQUAL(SERVERS, served);
+    LONGS_EQUAL(SERVER_COUNT, served);
 }
 
 // Guards against requests that are held responsible for crashes which no request caused.
@@ -200,7 +203,7 @@
     const auto startedAt = steady_clock::now();
     std::uint32_t sent = 0;
     for (std::uint32_t crash = 0; crash < 10; ++crash) {
-        CHECK(m_trial->crash(m_trial->host(crash % SERVERS).name));
+        CHECK(m_trial->crash(m_trial->host(crash % SERVER_COUNT).name));
         while (steady_clock::now() < startedAt + (crash + 1) * milliseconds(700)) {
             sendOther(m_page, IN_DEMAND, ++sent);
             sendOther({ "desk", "GET", "/wait/3" }, "once-" + std::to_string(sent), sent);
@@ -208,8 +211,8 @@
         }
     }
     const History history = m_trial->history();
-    checkClean(checkNotRun(history));
-    CHECK_COMPARE(shareServed(history), >=, SERVED_SHARE);
-    CHECK_COMPARE(shareServedInDemand(history), >=, SERVED_SHARE);
-    checkClean(checkAccused(history, ""));
+    checkNoViolations(checkNotRun(history));
+    CHECK_COMPARE(shareServed(history), >=, MIN_SERVED_SHARE);
+    CHECK_COMPARE(shareServedInDemand(history), >=, MIN_SERVED_SHARE);
+    checkNoViolations(checkAccused(history, ""));
 }
--- a/tests/process/failuretest.h
+++ b/tests/process/failuretest.h
@@ -33,7 +33,10 @@
         CHECK_TRUE_TEXT(isStarted, error.c_str());
     }
 
-    void checkClean(const Violations &violations) { STRCMP_EQUAL("", join(violations).c_str()); }
+    void checkNoViolations(const Violations &violations)
+    {
+        STRCMP_EQUAL("", join(violations).c_str());
+    }
 
     /// Attempts that were told this, over all actions.
     static std::size_t countTold(const History &history, Told told)
@@ -73,7 +76,7 @@
         return count;
     }
 
-    std::size_t startsAt(const std::string &server)
+    std::size_t startCountAt(const std::string &server)
     {
         std::size_t count = 0;
         for (const StartedWork &start : m_trial->starts()) {
--- a/tests/process/historiestest.cpp
+++ b/tests/process/historiestest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string violationsOf(std::uint64_t seed, bool isWithoutKeys)
+std::string historyViolations(std::uint64_t seed, bool isWithoutKeys)
 {
     HistoryRunOptions options;
     options.binary = IVYSPAR_BINARY;
@@ -24,7 +24,7 @@
 TEST(Histories, HaveNoViolationsForFixedSeeds)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        STRCMP_EQUAL("", violationsOf(seed, false).c_str());
+        STRCMP_EQUAL("", historyViolations(seed, false).c_str());
     }
 }
 
@@ -32,5 +32,5 @@
 // it.
 TEST(Histories, ViolateAtMostOnceWithoutKeys)
 {
-    STRCMP_CONTAINS("must run at most once", violationsOf(1, true).c_str());
+    STRCMP_CONTAINS("must run at most once", historyViolations(1, true).c_str());
 }
--- a/tests/process/notruntest.cpp
+++ b/tests/process/notruntest.cpp
@@ -16,14 +16,14 @@
 {
 
     /// Requests through all daemons; returns when the victim's server works on some of them.
-    void sendUntilTheVictimWorks()
+    void sendUntilVictimIsBusy()
     {
         startTrial(makeTrialGraph());
         CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
         for (std::uint32_t i = 0; i < REQUESTS; ++i) {
             m_trial->callers().send(m_trial->plan(m_record, "record-" + std::to_string(i), i));
         }
-        CHECK(waitUntil([this] { return startsAt(m_trial->host(VICTIM).name) > 0; }));
+        CHECK(waitUntil([this] { return startCountAt(m_trial->host(VICTIM).name) > 0; }));
     }
 };
 
@@ -34,10 +34,10 @@
 // 3. What may have started is "unknown"; whoever hears "not run" can send again safely.
 TEST(NotRunOutcome, IsCorrectWhenADaemonIsKilled)
 {
-    sendUntilTheVictimWorks();
+    sendUntilVictimIsBusy();
     m_trial->host(VICTIM).process.signal(SIGKILL);
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     CHECK(countTold(history, Told::Unknown) > 0);
     CHECK(countTold(history, Told::Answered) > 0);
 }
@@ -46,12 +46,12 @@
 // 2. It wakes and may start what it still finds in its sockets: nobody was told "not run" of that.
 TEST(NotRunOutcome, IsCorrectWhenADaemonIsSuspendedAndResumed)
 {
-    sendUntilTheVictimWorks();
+    sendUntilVictimIsBusy();
     m_trial->host(VICTIM).process.signal(SIGSTOP);
     m_trial->callers().waitForAll();
     m_trial->host(VICTIM).process.signal(SIGCONT);
     CHECK(m_trial->isServingAgain("after"));
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     CHECK(countTold(history, Told::Unknown) > 0);
 }
--- a/tests/process/operatortest.cpp
+++ b/tests/process/operatortest.cpp
@@ -23,8 +23,8 @@
 
 namespace {
 
-constexpr Duration PATIENCE = seconds(30);
-constexpr Duration POLL = std::chrono::milliseconds(20);
+constexpr Duration TIMEOUT = seconds(30);
+constexpr Duration POLL_INTERVAL = std::chrono::milliseconds(20);
 
 std::string readFile(const std::string &path)
 {
@@ -48,7 +48,7 @@
 
 std::string bodyOf(const Endpoint &endpoint, const std::string &target, std::uint16_t status)
 {
-    const auto answer = exchangeBlocking(endpoint, { "GET", target, {}, {} }, PATIENCE);
+    const auto answer = exchangeBlocking(endpoint, { "GET", target, {}, {} }, TIMEOUT);
     CHECK_TRUE_TEXT(answer.has_value(), target.c_str());
     CHECK_EQUAL_TEXT(status, answer->status, target.c_str());
     return answer->body;
@@ -78,7 +78,7 @@
                                   "--rules=" + examples + "rules.toml", "--ready_file=" + ready,
                                   "--decision_log=" + m_folder + "/decisions.log" },
                                 m_folder + "/daemon.out");
-        const auto document = nlohmann::json::parse(waitForFile(ready, PATIENCE), nullptr, false);
+        const auto document = nlohmann::json::parse(waitForFile(ready, TIMEOUT), nullptr, false);
         CHECK_TRUE_TEXT(document.is_object(), readFile(m_folder + "/daemon.out").c_str());
         m_operators = Endpoint::parse(document["operator"].get<std::string>()).value();
         m_callers = Endpoint::parse(document["caller"].get<std::string>()).value();
@@ -86,7 +86,7 @@
 
     void teardown() override
     {
-        m_daemon.stop(PATIENCE);
+        m_daemon.stop(TIMEOUT);
         std::filesystem::remove_all(m_folder);
     }
 };
@@ -111,12 +111,12 @@
 // The age tells an operator when a change did not arrive. It has to grow without any event.
 TEST(OperatorProcess, ConfigurationAgeIncreases)
 {
-    const std::string young = "\nivyspar_configuration_age_seconds 0\n";
-    const auto deadline = std::chrono::steady_clock::now() + PATIENCE;
+    const std::string zeroAge = "\nivyspar_configuration_age_seconds 0\n";
+    const auto deadline = std::chrono::steady_clock::now() + TIMEOUT;
     bool isOlder = false;
     while (!isOlder && std::chrono::steady_clock::now() < deadline) {
-        isOlder = bodyOf(m_operators, "/metrics", 200).find(young) == std::string::npos;
-        std::this_thread::sleep_for(POLL);
+        isOlder = bodyOf(m_operators, "/metrics", 200).find(zeroAge) == std::string::npos;
+        std::this_thread::sleep_for(POLL_INTERVAL);
     }
     CHECK_TRUE(isOlder);
 }
@@ -127,13 +127,13 @@
 {
     const auto answer = exchangeBlocking(
         m_callers, { "GET", "/cassa/prices", { { "Ivyspar-Request-Id", "00000000000000ab" } }, {} },
-        PATIENCE);
+        TIMEOUT);
     CHECK_EQUAL(503, answer->status);
     STRCMP_EQUAL("not-run", findHeader(answer->headers, "Ivyspar-Outcome")->c_str());
     STRCMP_EQUAL("no-server", findHeader(answer->headers, "Ivyspar-Reason")->c_str());
     STRCMP_CONTAINS("ivyspar_request_reasons_total{outcome=\"not-run\",reason=\"no-server\"} 1",
                     bodyOf(m_operators, "/metrics", 200).c_str());
-    CHECK_EQUAL(0, m_daemon.stop(PATIENCE));
+    CHECK_EQUAL(0, m_daemon.stop(TIMEOUT));
     const std::string decisions = readFile(m_folder + "/decisions.log");
     STRCMP_CONTAINS("\"request\":\"00000000000000ab\"", decisions.c_str());
     STRCMP_CONTAINS("\"reason\":\"no-server\"", decisions.c_str());
--- a/tests/process/partitiontest.cpp
+++ b/tests/process/partitiontest.cpp
@@ -84,7 +84,7 @@
     checkMerged();
     sendBookings(BOOKINGS);
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
 }
 
 // Two faults at once: the domain is cut off from its peers and from the platform. It goes on with
@@ -98,5 +98,5 @@
     CHECK(m_trial->setLogFaults(R"({"cut_clients":[]})"));
     checkMerged();
     CHECK(m_trial->isServingAgain("after"));
-    checkClean(checkAll(m_trial->history(), m_trial->graph()));
+    checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
--- a/tests/process/plannedstoptest.cpp
+++ b/tests/process/plannedstoptest.cpp
@@ -48,16 +48,16 @@
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":10})"));
     sendRecords("before-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     CHECK(m_trial->setBehaviour("desk-1", R"({"draining":true})"));
     CHECK(waitUntil([this] { return isGateIdleAndDraining(0); }));
-    const std::size_t startsBefore = startsAt("desk-1");
+    const std::size_t startsBefore = startCountAt("desk-1");
     sendRecords("after-");
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     CHECK_EQUAL(2 * REQUESTS, countServed(history));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
-    CHECK_EQUAL(startsBefore, startsAt("desk-1"));
+    CHECK_EQUAL(startsBefore, startCountAt("desk-1"));
 }
 
 // A daemon is stopped by SIGTERM with requests in flight: those that callers sent to it, and those
@@ -67,11 +67,11 @@
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
     sendRecords("record-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     m_trial->host(0).process.signal(SIGTERM);
     CHECK_EQUAL(0, m_trial->host(0).process.wait(seconds(30)));
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
     CHECK_EQUAL(REQUESTS, countServed(history));
 }
@@ -83,11 +83,11 @@
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
     CHECK(m_trial->setLogFaults(R"({"silent":true})"));
     sendRecords("record-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     m_trial->host(0).process.signal(SIGTERM);
     CHECK_EQUAL(0, m_trial->host(0).process.wait(seconds(30)));
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
 }
 
@@ -97,7 +97,7 @@
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
     sendRecords("record-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     m_trial->host(0).process.signal(SIGKILL);
     CHECK(countTold(m_trial->history(), Told::Unknown) > 0);
 }
@@ -118,11 +118,11 @@
         plan.attempts = 20;
         m_trial->callers().send(plan);
     }
-    CHECK(waitUntil([this] { return startsAt("chain-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("chain-1") > 0; }));
     m_trial->host(0).process.signal(SIGTERM);
     CHECK_EQUAL(0, m_trial->host(0).process.wait(seconds(30)));
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
     CHECK_EQUAL(CHAINS, countServed(history));
 }
--- a/tests/process/triggerstest.cpp
+++ b/tests/process/triggerstest.cpp
@@ -5,14 +5,14 @@
 namespace {
 
 constexpr std::uint32_t DEPTH = 8;
-constexpr std::uint32_t BOUND = chainAttempts(DEPTH) * CHAIN_CALLER_ATTEMPTS;
+constexpr std::uint32_t ATTEMPT_BUDGET = chainAttempts(DEPTH) * CHAIN_CALLER_ATTEMPTS;
 constexpr std::uint32_t CALLERS = 150;
 
 } // namespace
 
 struct TriggersFixture : FailureTest
 {
-    void sendHard(const std::string &prefix, std::uint32_t callers)
+    void sendRetryingCallers(const std::string &prefix, std::uint32_t callers)
     {
         for (std::uint32_t i = 0; i < callers; ++i) {
             CallerPlan plan =
@@ -20,7 +20,7 @@
             plan.attempts = 10;
             plan.isRepeatingErrors = true;
             plan.isRepeatingUnknown = true;
-            plan.budget = BOUND;
+            plan.budget = ATTEMPT_BUDGET;
             m_trial->callers().send(plan);
         }
     }
@@ -45,16 +45,16 @@
 {
     startTrial(makeChainGraph(DEPTH), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":60})"));
-    sendHard("surge-", CALLERS);
+    sendRetryingCallers("surge-", CALLERS);
     CHECK(waitUntil([this] { return m_trial->callers().attemptCount() >= CALLERS; }));
     CHECK(m_trial->setBehaviour("", R"({"slowdown":1})"));
     std::uint32_t tries = 0;
     CHECK(waitUntil([&] {
         const std::string token = "later-" + std::to_string(++tries) + '-';
-        sendHard(token, 1);
+        sendRetryingCallers(token, 1);
         return countServedWith(m_trial->history(), token) == 1;
     }));
-    checkClean(checkAll(m_trial->history(), m_trial->graph()));
+    checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
 
 // A server is as slow as after a cold start, many times slower than the others, and announces slots
@@ -70,6 +70,6 @@
         m_trial->callers().send(plan);
     }
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     CHECK(countServed(history) > CALLERS / 2);
 }
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -108,7 +108,7 @@
         m_trial->callers().send(plan);
     }
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     CHECK_EQUAL(REQUESTS, countServed(history));
 }
 
@@ -133,7 +133,7 @@
     m_trial->callers().waitForAll();
     CHECK(countTold(m_trial->history(), Told::Unknown) > 0);
     sendAll("next-", std::chrono::milliseconds(3000));
-    checkClean(checkAll(m_trial->history(), m_trial->graph()));
+    checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
 
 // The server dies in the middle of its answer. It did start the request, so the caller hears
