--- a/tests/knownred.cpp
+++ b/tests/knownred.cpp
@@ -35,14 +35,14 @@
 /// The runner's own filters cannot exclude more than one test.
 void excludeKnownRedTests(const std::string &path)
 {
-    const std::set<std::string> red = readTestNames(path);
-    if (red.empty()) {
+    const std::set<std::string> excluded = readTestNames(path);
+    if (excluded.empty()) {
         return;
     }
     std::vector<UtestShell *> kept;
-    TestRegistry *all = TestRegistry::getCurrentRegistry();
-    for (UtestShell *test = all->getFirstTest(); test != nullptr; test = test->getNext()) {
-        if (red.count(nameOf(*test)) == 0) {
+    TestRegistry *current = TestRegistry::getCurrentRegistry();
+    for (UtestShell *test = current->getFirstTest(); test != nullptr; test = test->getNext()) {
+        if (excluded.count(nameOf(*test)) == 0) {
             kept.push_back(test);
         } else {
             std::printf("known red, not run: %s\n", nameOf(*test).c_str());
--- a/tests/process/acceptedconfigurationtest.cpp
+++ b/tests/process/acceptedconfigurationtest.cpp
@@ -13,7 +13,7 @@
 struct AcceptedConfigurationFixture : FailureTest
 {
 
-    History m_seen;
+    History m_observed;
 
     ChildProcess publish(const std::string &name, const std::string &base)
     {
@@ -29,26 +29,26 @@
         return publish("publish", base).wait(seconds(30));
     }
     /// Looks at every daemon that answers and notes its version.
-    bool isInForce(std::uint64_t version)
+    bool recordVersions(std::uint64_t version)
     {
-        bool isEverywhere = true;
+        bool isInForceEverywhere = true;
         for (const DeployedHost &host : m_trial->deployment().hosts()) {
             const auto answer =
                 exchangeBlocking(host.operators, { "GET", "/status", {}, {} }, seconds(5));
             const auto status = nlohmann::json::parse(answer ? answer->body : "", nullptr, false);
             if (!status.is_object()) {
-                isEverywhere = false;
+                isInForceEverywhere = false;
                 continue;
             }
-            const std::uint64_t seen = status.value("configuration_version", std::uint64_t(0));
-            m_seen.versions[host.name].push_back(seen);
-            isEverywhere = isEverywhere && seen == version;
+            const std::uint64_t observed = status.value("configuration_version", std::uint64_t(0));
+            m_observed.versions[host.name].push_back(observed);
+            isInForceEverywhere = isInForceEverywhere && observed == version;
         }
-        return isEverywhere;
+        return isInForceEverywhere;
     }
     void checkInForce(std::uint64_t version)
     {
-        CHECK(waitUntil([this, version] { return isInForce(version); }));
+        CHECK(waitUntil([this, version] { return recordVersions(version); }));
     }
     void restart(DeployedHost &host)
     {
@@ -74,7 +74,7 @@
         CHECK(firstCode == 0 || secondCode == 0);
         checkInForce(version);
     }
-    checkNoViolations(checkVersions(m_seen));
+    checkNoViolations(checkVersions(m_observed));
 }
 
 // All daemons are killed, one after another, and then all at once: hosts keep nothing, and what was
@@ -119,6 +119,6 @@
     CHECK(m_trial->setLogFaults(R"({"stale_ms":0})"));
     restart(victim);
     checkInForce(3);
-    m_seen.versions.erase(victim.name);
-    checkNoViolations(checkVersions(m_seen));
+    m_observed.versions.erase(victim.name);
+    checkNoViolations(checkVersions(m_observed));
 }
--- a/tests/process/commandlinetest.cpp
+++ b/tests/process/commandlinetest.cpp
@@ -13,17 +13,18 @@
 const std::string TALLOWOOD =
     EXAMPLES + "tallowood/inventory.toml " + EXAMPLES + "tallowood/rules.toml";
 
-struct Run
+struct CommandResult
 {
     int exitCode = -1;
     /// Standard output and standard error.
     std::string output;
 };
 
-Run runBinary(const std::string &arguments, const std::string &variables = "")
+CommandResult runBinary(const std::string &arguments, const std::string &environment = "")
 {
-    const std::string command = variables + " " IVYSPAR_BINARY " " + arguments + " 2>&1 </dev/null";
-    Run result;
+    const std::string command =
+        environment + " " IVYSPAR_BINARY " " + arguments + " 2>&1 </dev/null";
+    CommandResult result;
     std::FILE *pipe = popen(command.c_str(), "r");
     std::array<char, 4096> buffer{};
     std::size_t size = 0;
@@ -36,7 +37,7 @@
 }
 
 /// Number of the first line with that text in an example file.
-std::string lineOf(const std::string &file, const std::string &text)
+std::string lineNumberOf(const std::string &file, const std::string &text)
 {
     std::ifstream stream(EXAMPLES + file);
     std::string line;
@@ -47,7 +48,7 @@
     return std::to_string(number);
 }
 
-void checkRun(const Run &result, int exitCode, const std::string &expected)
+void checkResult(const CommandResult &result, int exitCode, const std::string &expected)
 {
     CHECK_EQUAL_TEXT(exitCode, result.exitCode, result.output.c_str());
     STRCMP_CONTAINS(expected.c_str(), result.output.c_str());
@@ -59,12 +60,12 @@
 
 TEST(CommandLine, EveryCommandHasHelp)
 {
-    checkRun(runBinary("--help"), 0, "Usage: ivyspar COMMAND");
-    checkRun(runBinary("help"), 0, "Usage: ivyspar COMMAND");
+    checkResult(runBinary("--help"), 0, "Usage: ivyspar COMMAND");
+    checkResult(runBinary("help"), 0, "Usage: ivyspar COMMAND");
     for (const std::string command :
          { "daemon", "check", "publish", "status", "explain", "lift", "version" }) {
-        checkRun(runBinary(command + " --help"), 0, "Usage: ivyspar " + command);
-        checkRun(runBinary("help " + command), 0, "Usage: ivyspar " + command);
+        checkResult(runBinary(command + " --help"), 0, "Usage: ivyspar " + command);
+        checkResult(runBinary("help " + command), 0, "Usage: ivyspar " + command);
     }
 }
 
@@ -78,56 +79,57 @@
 
 TEST(CommandLine, InvalidCommandsAreUsageErrors)
 {
-    checkRun(runBinary(""), 2, "Usage: ivyspar COMMAND");
-    checkRun(runBinary("deamon"), 2, "unknown command \"deamon\"");
-    checkRun(runBinary("help deamon"), 2, "unknown command");
-    checkRun(runBinary("help ''"), 2, "unknown command");
-    checkRun(runBinary("version now"), 2, "unexpected argument \"now\"");
-    checkRun(runBinary("version"), 0, "ivyspar 0.");
+    checkResult(runBinary(""), 2, "Usage: ivyspar COMMAND");
+    checkResult(runBinary("deamon"), 2, "unknown command \"deamon\"");
+    checkResult(runBinary("help deamon"), 2, "unknown command");
+    checkResult(runBinary("help ''"), 2, "unknown command");
+    checkResult(runBinary("version now"), 2, "unexpected argument \"now\"");
+    checkResult(runBinary("version"), 0, "ivyspar 0.");
 }
 
 TEST(CommandLine, LiftTakesOneFingerprint)
 {
-    checkRun(runBinary("lift"), 2, "one fingerprint of 32 hexadecimal digits is needed");
-    checkRun(runBinary("lift 4F00"), 2, "one fingerprint of 32 hexadecimal digits is needed");
+    checkResult(runBinary("lift"), 2, "one fingerprint of 32 hexadecimal digits is needed");
+    checkResult(runBinary("lift 4F00"), 2, "one fingerprint of 32 hexadecimal digits is needed");
 }
 
 TEST(CommandLine, CheckPrintsASummary)
 {
-    checkRun(runBinary("check " + TALLOWOOD), 0,
-             "tallowood: 4 failure domains, 4 services, 16 servers, 6 classes, 10 rules: no "
-             "problems");
-    checkRun(runBinary("check " + EXAMPLES + "bottega/inventory.toml " + EXAMPLES
-                       + "bottega/rules.toml"),
-             0, "bottega: 3 failure domains, 4 services, 14 servers");
+    checkResult(runBinary("check " + TALLOWOOD), 0,
+                "tallowood: 4 failure domains, 4 services, 16 servers, 6 classes, 10 rules: no "
+                "problems");
+    checkResult(runBinary("check " + EXAMPLES + "bottega/inventory.toml " + EXAMPLES
+                          + "bottega/rules.toml"),
+                0, "bottega: 3 failure domains, 4 services, 14 servers");
 }
 
 TEST(CommandLine, CheckReportsEveryProblemWithItsLocation)
 {
     // The rules of one deployment do not fit the services of the other.
-    const Run result = runBinary("check " + EXAMPLES + "bottega/inventory.toml " + EXAMPLES
-                                 + "tallowood/rules.toml");
-    checkRun(result, 2,
-             "tallowood/rules.toml:" + lineOf("tallowood/rules.toml", "service = \"spoilage-book\"")
-                 + ": rule[1].service: \"spoilage-book\" is not a service of the "
-                   "inventory; expected one of cassa catalogo magazzino scheda");
+    const CommandResult result = runBinary("check " + EXAMPLES + "bottega/inventory.toml "
+                                           + EXAMPLES + "tallowood/rules.toml");
+    checkResult(result, 2,
+                "tallowood/rules.toml:"
+                    + lineNumberOf("tallowood/rules.toml", "service = \"spoilage-book\"")
+                    + ": rule[1].service: \"spoilage-book\" is not a service of the "
+                      "inventory; expected one of cassa catalogo magazzino scheda");
     STRCMP_CONTAINS("rule[10].service: \"prep-planner\"", result.output.c_str());
     STRCMP_CONTAINS("ivyspar check: 10 errors", result.output.c_str());
 }
 
 TEST(CommandLine, CheckReportsUnreadableFiles)
 {
-    checkRun(runBinary("check"), 2, "expected two files: INVENTORY RULES");
-    checkRun(runBinary("check /none/a.toml /none/b.toml"), 2,
-             "/none/b.toml: No such file or directory");
-    checkRun(runBinary("check / /"), 2, "/: Is a directory");
-    checkRun(runBinary("check /dev/zero /dev/zero"), 2, "has more than 1048576 bytes");
+    checkResult(runBinary("check"), 2, "expected two files: INVENTORY RULES");
+    checkResult(runBinary("check /none/a.toml /none/b.toml"), 2,
+                "/none/b.toml: No such file or directory");
+    checkResult(runBinary("check / /"), 2, "/: Is a directory");
+    checkResult(runBinary("check /dev/zero /dev/zero"), 2, "has more than 1048576 bytes");
 }
 
 TEST(CommandLine, DaemonRejectsInvalidSettingsBeforeItStarts)
 {
-    const Run result = runBinary("daemon --typo --seeds=host:1 --max_in_flight=0");
-    checkRun(result, 2, "unknown flag --typo");
+    const CommandResult result = runBinary("daemon --typo --seeds=host:1 --max_in_flight=0");
+    checkResult(result, 2, "unknown flag --typo");
     STRCMP_CONTAINS("--daemon_id (IVYSPAR_DAEMON_ID): must be set", result.output.c_str());
     STRCMP_CONTAINS("\"host\" is not an IP address", result.output.c_str());
     STRCMP_CONTAINS("--max_in_flight (IVYSPAR_MAX_IN_FLIGHT): 0 is not", result.output.c_str());
@@ -136,11 +138,11 @@
 
 TEST(CommandLine, EnvironmentVariablesSetFlags)
 {
-    checkRun(runBinary("daemon --domain=d --daemon_id=d1", "IVYSPAR_SEEDS=host:1"), 2,
-             "--seeds (IVYSPAR_SEEDS): \"host\" is not an IP address");
-    const Run result =
+    checkResult(runBinary("daemon --domain=d --daemon_id=d1", "IVYSPAR_SEEDS=host:1"), 2,
+                "--seeds (IVYSPAR_SEEDS): \"host\" is not an IP address");
+    const CommandResult result =
         runBinary("daemon --domain=d --daemon_id=d1 --seeds=10.0.0.1:0", "IVYSPAR_SEEDS=host:1");
-    checkRun(result, 2, "port 0 in \"10.0.0.1:0\"");
+    checkResult(result, 2, "port 0 in \"10.0.0.1:0\"");
     CHECK(result.output.find("host") == std::string::npos);
 }
 
@@ -148,25 +150,26 @@
 {
     const std::string files = " --inventory=" + EXAMPLES
         + "bottega/inventory.toml --rules=" + EXAMPLES + "bottega/rules.toml";
-    checkRun(runBinary("daemon --daemon_id=d1 --domain=fortitude-hall" + files), 2,
-             "\"fortitude-hall\" is not a failure domain of ");
-    checkRun(runBinary("daemon --daemon_id=d1 --domain=sala-a --region=qld-south" + files), 2,
-             "where the domain is in \"milano\"");
+    checkResult(runBinary("daemon --daemon_id=d1 --domain=fortitude-hall" + files), 2,
+                "\"fortitude-hall\" is not a failure domain of ");
+    checkResult(runBinary("daemon --daemon_id=d1 --domain=sala-a --region=qld-south" + files), 2,
+                "where the domain is in \"milano\"");
 }
 
 TEST(CommandLine, PublishRejectsInvalidInputBeforeItConnects)
 {
-    checkRun(runBinary("publish --log_endpoints=127.0.0.1:1 /none/a.toml /none/b.toml"), 2,
-             "/none/a.toml: No such file");
-    checkRun(runBinary("publish " + TALLOWOOD), 2,
-             "--log_endpoints (IVYSPAR_LOG_ENDPOINTS): must be");
-    checkRun(runBinary("publish --log_endpoints=127.0.0.1:1 --base=latest " + TALLOWOOD), 2,
-             "\"latest\" is neither \"current\" nor the number of a version");
+    checkResult(runBinary("publish --log_endpoints=127.0.0.1:1 /none/a.toml /none/b.toml"), 2,
+                "/none/a.toml: No such file");
+    checkResult(runBinary("publish " + TALLOWOOD), 2,
+                "--log_endpoints (IVYSPAR_LOG_ENDPOINTS): must be");
+    checkResult(runBinary("publish --log_endpoints=127.0.0.1:1 --base=latest " + TALLOWOOD), 2,
+                "\"latest\" is neither \"current\" nor the number of a version");
 }
 
 TEST(CommandLine, StatusFailsWhenNoDaemonAnswers)
 {
     // Port 1 is privileged and not served on a test machine.
-    checkRun(runBinary("status --operator=127.0.0.1:1"), 1, "127.0.0.1:1: Connection refused");
-    checkRun(runBinary("status --operator=localhost:1"), 2, "\"localhost\" is not an IP address");
+    checkResult(runBinary("status --operator=127.0.0.1:1"), 1, "127.0.0.1:1: Connection refused");
+    checkResult(runBinary("status --operator=localhost:1"), 2,
+                "\"localhost\" is not an IP address");
 }
--- a/tests/process/crashingrequesttest.cpp
+++ b/tests/process/crashingrequesttest.cpp
@@ -67,7 +67,7 @@
         auto nextCrasher = startedAt;
         auto nextOther = startedAt;
         std::uint32_t sent = 0;
-        std::uint32_t sendsAtLimit = 0;
+        std::uint32_t earlySends = 0;
         while (steady_clock::now() < startedAt + length) {
             const auto now = steady_clock::now();
             if (now >= nextCrasher) {
@@ -77,9 +77,9 @@
                 const bool isLimitReached =
                     result.sends >= MAX_CRASHES && m_trial->crashCount() >= MAX_CRASHES;
                 limitReachedAt = isLimitReached ? std::min(limitReachedAt, now) : limitReachedAt;
-                sendsAtLimit = now < limitReachedAt + PROPAGATION_TIME || !isLimitReached
+                earlySends = now < limitReachedAt + PROPAGATION_TIME || !isLimitReached
                     ? result.sends
-                    : sendsAtLimit;
+                    : earlySends;
             }
             if (now >= nextOther) {
                 const std::string number = std::to_string(++sent);
@@ -91,7 +91,7 @@
         }
         m_trial->callers().waitForAll();
         result.sends = m_trial->startCount(CRASHER);
-        result.lateSends = result.sends - sendsAtLimit;
+        result.lateSends = result.sends - earlySends;
         return result;
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// The fingerprint that the daemon lists as quarantined; empty if there is none.
-    static std::string quarantinedAt(const ivyspar::Endpoint &operators)
+    static std::string quarantinedFingerprintAt(const ivyspar::Endpoint &operators)
     {
         const auto answer = exchangeBlocking(operators, { "GET", "/status", {}, {} }, seconds(5));
         const auto status =
@@ -138,7 +138,7 @@
     {
         std::uint32_t count = 0;
         for (std::uint32_t host = 0; host < SERVER_COUNT; ++host) {
-            count += quarantinedAt(m_trial->host(host).operators).empty() ? 0 : 1;
+            count += quarantinedFingerprintAt(m_trial->host(host).operators).empty() ? 0 : 1;
         }
         return count;
     }
@@ -176,7 +176,7 @@
     startServers(CRASHER);
     checkContained(runTraffic({ "desk", "GET", "/wait/4" }, seconds(9)));
     const ivyspar::Endpoint &operators = m_trial->host(2).operators;
-    const std::string fingerprint = quarantinedAt(operators);
+    const std::string fingerprint = quarantinedFingerprintAt(operators);
     LONGS_EQUAL(32, fingerprint.size());
     CHECK(m_trial->setBehaviour("", R"({"crashToken":""})"));
     const auto lifted = exchangeBlocking(
--- a/tests/process/partitiontest.cpp
+++ b/tests/process/partitiontest.cpp
@@ -17,7 +17,7 @@
 struct PartitionFixture : FailureTest
 {
 
-    std::uint32_t m_pages = 0;
+    std::uint32_t m_pageCount = 0;
 
     void startPartitioned(const std::set<std::string> &domains)
     {
@@ -25,10 +25,10 @@
         startTrial(makeTrialGraph(), {}, true, hasLinks);
         CHECK(m_trial->setBehaviour("", R"({"slowdown":5})"));
         m_trial->deployment().separate(domains);
-        CHECK(waitUntil([this] { return aliveMembers(0) == 1 && aliveMembers(1) == 2; }));
+        CHECK(waitUntil([this] { return aliveMemberCount(0) == 1 && aliveMemberCount(1) == 2; }));
     }
     /// Daemons that this one takes for alive, itself included.
-    std::size_t aliveMembers(std::size_t host)
+    std::size_t aliveMemberCount(std::size_t host)
     {
         const auto answer = exchangeBlocking(m_trial->host(host).operators,
                                              { "GET", "/status", {}, {} }, std::chrono::seconds(5));
@@ -49,20 +49,20 @@
             }
         }
     }
-    bool isPageServed()
+    bool sendPage()
     {
-        const std::string token = "page-" + std::to_string(++m_pages);
+        const std::string token = "page-" + std::to_string(++m_pageCount);
         CallerPlan plan = m_trial->plan(m_page, token);
         plan.entries = { m_trial->host(0).caller };
         m_trial->callers().send(plan);
-        const auto isTold = [&](const CallerAction &action) { return action.token == token; };
-        const bool isEnded = waitUntil([&] {
+        const auto isForToken = [&](const CallerAction &action) { return action.token == token; };
+        const bool isCompleted = waitUntil([&] {
             const auto actions = m_trial->callers().actions();
-            return std::any_of(actions.begin(), actions.end(), isTold);
+            return std::any_of(actions.begin(), actions.end(), isForToken);
         });
-        return isEnded && m_trial->startCount(token) == 1;
+        return isCompleted && m_trial->startCount(token) == 1;
     }
-    void checkMerged()
+    void healPartition()
     {
         std::string error;
         m_trial->deployment().separate({});
@@ -81,7 +81,7 @@
     startPartitioned({ "hall-a" });
     sendBookings(0);
     CHECK(m_trial->isServingAgain("during"));
-    checkMerged();
+    healPartition();
     sendBookings(BOOKINGS);
     const History history = m_trial->history();
     checkNoViolations(checkAll(history, m_trial->graph()));
@@ -94,9 +94,9 @@
     startPartitioned({ "hall-a" });
     CHECK(m_trial->setLogFaults(R"({"cut_clients":["desk-1"]})"));
     sendBookings(0);
-    CHECK(waitUntil([this] { return isPageServed(); }));
+    CHECK(waitUntil([this] { return sendPage(); }));
     CHECK(m_trial->setLogFaults(R"({"cut_clients":[]})"));
-    checkMerged();
+    healPartition();
     CHECK(m_trial->isServingAgain("after"));
     checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
--- a/tests/process/refusalordertest.cpp
+++ b/tests/process/refusalordertest.cpp
@@ -15,7 +15,7 @@
 {
 
     /// Pages far beyond the capacity, then records on top. Returns the records that were refused.
-    std::size_t refusedRecords(const std::vector<std::string> &flags)
+    std::size_t refusedRecordCount(const std::vector<std::string> &flags)
     {
         startTrial(makeTrialGraph(), flags, false);
         CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
@@ -47,12 +47,12 @@
 TEST(RefusalOrder, RecordsAreAdmittedWhilePagesAreRefused)
 {
     // Once: the check evaluates its argument again to print it, and that would be another run.
-    const std::size_t refused = refusedRecords({});
+    const std::size_t refused = refusedRecordCount({});
     CHECK_EQUAL(0, refused);
 }
 
 // Counter-check: in the order of arrival, without ranks and floor, records are refused as well.
 TEST(RefusalOrder, RecordsAreAlsoRefusedWithoutRanks)
 {
-    CHECK(refusedRecords({ "--ablate=rank,floor" }) > 0);
+    CHECK(refusedRecordCount({ "--ablate=rank,floor" }) > 0);
 }
--- a/tests/process/triggerstest.cpp
+++ b/tests/process/triggerstest.cpp
@@ -24,15 +24,15 @@
             m_trial->callers().send(plan);
         }
     }
-    std::size_t countServedWith(const History &history, const std::string &prefix)
+    std::size_t countServedWithPrefix(const History &history, const std::string &prefix)
     {
-        History part;
+        History matching;
         for (const CallerAction &action : history.actions) {
             if (action.token.rfind(prefix, 0) == 0) {
-                part.actions.push_back(action);
+                matching.actions.push_back(action);
             }
         }
-        return countServed(part);
+        return countServed(matching);
     }
 };
 
@@ -48,11 +48,11 @@
     sendRetryingCallers("surge-", CALLERS);
     CHECK(waitUntil([this] { return m_trial->callers().attemptCount() >= CALLERS; }));
     CHECK(m_trial->setBehaviour("", R"({"slowdown":1})"));
-    std::uint32_t tries = 0;
+    std::uint32_t requestNumber = 0;
     CHECK(waitUntil([&] {
-        const std::string token = "later-" + std::to_string(++tries) + '-';
+        const std::string token = "later-" + std::to_string(++requestNumber) + '-';
         sendRetryingCallers(token, 1);
-        return countServedWith(m_trial->history(), token) == 1;
+        return countServedWithPrefix(m_trial->history(), token) == 1;
     }));
     checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -65,7 +65,7 @@
 {
 
     /// The only server goes silent and another takes its place at the daemon.
-    void announce(const Endpoint &endpoint)
+    void announceReplacement(const Endpoint &endpoint)
     {
         CHECK(m_trial->setBehaviour("", R"({"silent":true})"));
         const nlohmann::json document{ { "service", "desk" },
@@ -80,7 +80,7 @@
     void checkUnknown(const std::string &rawAnswer)
     {
         const RawUpstream upstream(rawAnswer);
-        announce(upstream.endpoint());
+        announceReplacement(upstream.endpoint());
         CallerPlan plan = m_trial->plan(m_record, "record");
         m_trial->callers().send(plan);
         m_trial->callers().waitForAll();
