--- a/tests/knownred.cpp
+++ b/tests/knownred.cpp
@@ -32,7 +32,8 @@
 
 } // namespace
 
-/// The runner's own filters cannot exclude more than one test.
+/// Replaces the test registry because the filters of the test runner cannot exclude more than one
+/// test.
 void excludeKnownRedTests(const std::string &path)
 {
     const std::set<std::string> excluded = readTestNames(path);
--- a/tests/knownred.h
+++ b/tests/knownred.h
@@ -4,8 +4,8 @@
 
 namespace ivyspar {
 
-/// Leaves out the tests that the file lists, each at the start of a line as `Group.Name:`, and
-/// prints them. A file that is not there lists none.
+/// Removes the tests listed in the file from the current test registry and prints their names.
+/// A test is listed as `Group.Name:` at the start of a line. A missing file lists no tests.
 void excludeKnownRedTests(const std::string &path);
 
 } // namespace ivyspar
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -7,13 +7,14 @@
 
 int main(int argc, char **argv)
 {
-    // Statics of the libraries would be reported as leaks; AddressSanitizer finds the real ones.
+    // CppUTest would report static objects of the libraries as leaks. AddressSanitizer detects the
+    // real leaks.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
-    // The detector has noted what statics took before `main`, inside the memory itself. Once one of
-    // them gives it back, its list leads into memory of others, and the run ends with a crash at
-    // the end of some test.
+    // The detector keeps its records of allocations made before `main` inside the allocated blocks.
+    // When a static object frees such a block, the list of records points into reused memory and
+    // the run crashes at the end of a test.
     MemoryLeakWarningPlugin::destroyGlobalDetector();
-    // RapidCheck draws a seed of its own otherwise: the same verdict every time needs a fixed one.
+    // RapidCheck uses a random seed by default. A fixed seed makes the results reproducible.
     constexpr int KEEP_EXISTING = 0;
     setenv("RC_PARAMS", "seed=20261202", KEEP_EXISTING);
     if (const char *list = std::getenv("IVYSPAR_KNOWN_RED")) {
--- a/tests/process/acceptedconfigurationtest.cpp
+++ b/tests/process/acceptedconfigurationtest.cpp
@@ -28,7 +28,8 @@
     {
         return publish("publish", base).wait(seconds(30));
     }
-    /// Looks at every daemon that answers and notes its version.
+    /// Records the version in force at every daemon that answers. Returns whether all daemons
+    /// answered and have this version in force.
     bool recordVersions(std::uint64_t version)
     {
         bool isInForceEverywhere = true;
@@ -59,8 +60,9 @@
 
 TEST_GROUP_BASE(AcceptedConfiguration, AcceptedConfigurationFixture){};
 
-// Two operators publish on the same base at once, five times. Exactly one wins each time and the
-// other is told so; every daemon of every domain has the winner's version, and none goes back.
+// Two operators publish concurrently on the same base version, five times. Each time exactly one
+// succeeds and the other is told that it failed. Every daemon of every failure domain applies the
+// accepted version, and none reverts to an older one.
 TEST(AcceptedConfiguration, OneOfTwoConcurrentPublishersWins)
 {
     startTrial(makeTrialGraph());
@@ -77,8 +79,8 @@
     checkNoViolations(checkVersions(m_observed));
 }
 
-// All daemons are killed, one after another, and then all at once: hosts keep nothing, and what was
-// accepted is in the platform's log.
+// All daemons are killed, first one after another and then all at once. Hosts store no state, so
+// the accepted configuration is recovered from the platform's log.
 TEST(AcceptedConfiguration, SurvivesKillingEveryDaemon)
 {
     startTrial(makeTrialGraph());
@@ -102,8 +104,8 @@
     CHECK_EQUAL(3, publishAndWait("1"));
 }
 
-// Reads of the log are stale and its answers lost while daemons are killed and changes accepted: a
-// daemon that knows a version never takes an older one for the current.
+// Log reads are stale and log answers are lost while a daemon is killed and changes are accepted. A
+// daemon that knows a version never treats an older one as current.
 TEST(AcceptedConfiguration, NeverRevertsUnderStaleReads)
 {
     startTrial(makeTrialGraph());
--- a/tests/process/atmostoncetest.cpp
+++ b/tests/process/atmostoncetest.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-/// Bookings with an idempotency key, each sent through all three daemons at once by callers that
-/// come back until they have an answer.
+/// Sends each booking, with its idempotency key, through all three daemons concurrently. Callers
+/// retry until they get an answer.
 struct AtMostOnceFixture : FailureTest
 {
     std::uint32_t m_attempts = 60;
@@ -40,7 +40,7 @@
             sendBooking(i);
         }
     }
-    /// Which daemon wins a claim is left to chance, so bookings are sent until the victim has one.
+    /// Any daemon may win a claim, so bookings are sent until the server of the victim runs one.
     void sendUntilVictimIsBusy(std::uint32_t attempts)
     {
         m_attempts = attempts;
@@ -72,8 +72,8 @@
 
 TEST_GROUP_BASE(AtMostOnce, AtMostOnceFixture){};
 
-// The same key arrives at three daemons at once. The first claim in the log wins; the others wait
-// for it or are told that the key is busy, and then get the stored answer.
+// The same key arrives at three daemons concurrently. The first claim in the log wins. The other
+// requests wait for it or are told that the key is busy, and then get the stored answer.
 TEST(AtMostOnce, OneKeyThroughAllDaemonsRunsOnce)
 {
     startTrial(makeTrialGraph());
@@ -82,7 +82,7 @@
     CHECK_EQUAL(BOOKINGS, countServed(history));
 }
 
-// Counter-check: without the key the same callers make the same bookings run several times.
+// Counter-check: without the key the same booking runs several times, and the check detects it.
 TEST(AtMostOnce, BookingsWithoutAKeyRunMoreThanOnce)
 {
     startTrial(makeTrialGraph());
@@ -94,8 +94,9 @@
     CHECK_EQUAL(1, checkOnce(m_trial->history()).size());
 }
 
-// A daemon that holds claims is killed while its server works. Callers come back elsewhere; what it
-// may have sent is never sent again, what it had not sent may run after it is known to be gone.
+// A daemon that holds claims is killed while its server runs requests, and callers retry at other
+// daemons. A request that it may have sent is never sent again. A request that it had not sent may
+// run once the daemon is known to be gone.
 TEST(AtMostOnce, HoldsWhenTheClaimHolderIsKilled)
 {
     sendUntilVictimIsBusy(20);
@@ -106,11 +107,12 @@
     checkServing();
 }
 
-// A daemon that holds claims is frozen until every caller has given up or was served, then wakes
-// and still believes that it holds them. It may not start what others could have run meanwhile.
+// A daemon that holds claims is suspended until every caller has given up or was served. When
+// resumed it still assumes that it holds the claims, but it must not start requests that other
+// daemons may have run in the meantime.
 TEST(AtMostOnce, HoldsWhenTheClaimHolderIsSuspendedPastEveryTimeout)
 {
-    // Each attempt may take the whole of its three seconds while the holder is frozen.
+    // While the holder is suspended, each attempt may use its full timeout of three seconds.
     constexpr std::uint32_t ATTEMPTS = 2;
     sendUntilVictimIsBusy(ATTEMPTS);
     m_trial->host(VICTIM).process.signal(SIGSTOP);
@@ -120,8 +122,8 @@
     checkedHistory();
 }
 
-// Answers of the log are lost, of five appends after the effect and of five before it. A claim
-// whose answer is lost is read back; nobody concludes from silence that it was not made.
+// The log loses the answers to ten appends: five after the append took effect and five before. A
+// claim whose answer is lost is read back; a missing answer does not count as a failed append.
 TEST(AtMostOnce, HoldsWhenLogAnswersAreLost)
 {
     startTrial(makeTrialGraph());
@@ -132,8 +134,8 @@
     checkedHistory();
 }
 
-// The log goes down while bookings arrive, and is slow when it comes back. Bookings with keys are
-// refused meanwhile, with proof that they did not run; afterwards all of them are served.
+// The log is unavailable while bookings arrive, and slow after it recovers. During the outage
+// bookings with keys are refused as "not run"; afterwards all of them are served.
 TEST(AtMostOnce, HoldsWhenTheLogIsUnavailableThenSlow)
 {
     startTrial(makeTrialGraph());
@@ -146,7 +148,7 @@
     CHECK_EQUAL(BOOKINGS, countServed(history));
 }
 
-// Two faults at once: the log goes silent and the holder of claims is killed, then both come back.
+// Two concurrent faults: the log stops responding and the claim holder is killed. Both recover.
 TEST(AtMostOnce, HoldsWhenTheClaimHolderIsKilledWhileTheLogIsUnresponsive)
 {
     sendUntilVictimIsBusy(20);
@@ -159,8 +161,8 @@
     checkServing();
 }
 
-// Tickets were fetched with the page; then the log goes down. The booking with a ticket needs no
-// log: it runs at the daemon named in it, once, however many daemons get it.
+// Tickets are fetched before the log becomes unavailable. A booking with a ticket does not need the
+// log: it runs once, at the daemon named in the ticket, however many daemons receive it.
 TEST(AtMostOnce, TicketsWorkWhileTheLogIsUnavailable)
 {
     startTrial(makeTrialGraph());
--- a/tests/process/boundedattemptstest.cpp
+++ b/tests/process/boundedattemptstest.cpp
@@ -17,7 +17,7 @@
         startTrial(makeChainGraph(DEPTH), flags, false);
         CHECK(m_trial->setBehaviour("", R"({"failPath":")" + chainPath(DEPTH - 1) + R"("})"));
     }
-    /// Callers that come back whatever they are told.
+    /// Sends actions whose callers retry whatever the outcome.
     void sendRetryingCallers(std::uint32_t actions)
     {
         for (std::uint32_t i = 0; i < actions; ++i) {
@@ -34,9 +34,10 @@
 
 TEST_GROUP_BASE(BoundedAttempts, BoundedAttemptsFixture){};
 
-// A chain of 25 calls, the last of which always fails; callers come back twenty times, whatever
-// they are told. The budget goes with the request and callers' attempts are counted, so one tap
-// starts no more than its rule allows, although each of 25 hops and the caller could repeat.
+// The last call of a chain of 25 always fails, and callers make twenty attempts whatever the
+// outcome. The budget is propagated with the request and the caller's attempts are counted, so one
+// action starts no more calls than its rule allows, although each of the 25 hops and the caller
+// could retry.
 TEST(BoundedAttempts, AFailingLeafStaysWithinTheAttemptBudget)
 {
     startChain({});
@@ -47,7 +48,7 @@
     CHECK(countStarts(history, "tap-0") >= DEPTH);
 }
 
-// Counter-check: without the budget the same callers start more, and the check sees it.
+// Counter-check: without the budget the same callers exceed the bound, and the check detects it.
 TEST(BoundedAttempts, AttemptsExceedTheBoundWithoutABudget)
 {
     startChain({ "--ablate=budget" });
@@ -55,8 +56,8 @@
     CHECK_EQUAL(1, checkBudget(m_trial->history()).size());
 }
 
-// The same, and each hop drops the header that ties its calls to the request. Such a call gets a
-// single attempt; with a budget of its own at each hop attempts would multiply with depth.
+// As above, but each hop drops the header that associates its calls with the request. Such a call
+// gets a single attempt: with a separate budget at each hop, attempts would multiply with depth.
 TEST(BoundedAttempts, HopsThatDropTheContextDoNotMultiplyAttempts)
 {
     startChain({});
@@ -67,8 +68,8 @@
     CHECK(countStarts(history, "tap-0") >= DEPTH);
 }
 
-// Counter-check: when every hop repeats what failed below it, with a budget of its own, one single
-// attempt of the caller starts more than the whole action may. The deadline alone ends it.
+// Counter-check: when every hop retries failed calls on a budget of its own, a single attempt of
+// the caller exceeds the bound of the whole action. Only the deadline ends the retries.
 TEST(BoundedAttempts, RetriesAtEveryHopMultiplyWithoutABudget)
 {
     startChain({ "--ablate=budget,retry-tokens" });
--- a/tests/process/commandlinetest.cpp
+++ b/tests/process/commandlinetest.cpp
@@ -36,7 +36,7 @@
     return result;
 }
 
-/// Number of the first line with that text in an example file.
+/// Number, from 1, of the first line of the example file that equals `text`.
 std::string lineNumberOf(const std::string &file, const std::string &text)
 {
     std::ifstream stream(EXAMPLES + file);
@@ -105,7 +105,7 @@
 
 TEST(CommandLine, CheckReportsEveryProblemWithItsLocation)
 {
-    // The rules of one deployment do not fit the services of the other.
+    // The rules of one deployment refer to services that the inventory of the other does not have.
     const CommandResult result = runBinary("check " + EXAMPLES + "bottega/inventory.toml "
                                            + EXAMPLES + "tallowood/rules.toml");
     checkResult(result, 2,
@@ -168,7 +168,7 @@
 
 TEST(CommandLine, StatusFailsWhenNoDaemonAnswers)
 {
-    // Port 1 is privileged and not served on a test machine.
+    // Port 1 is privileged, so nothing is expected to listen there on a test machine.
     checkResult(runBinary("status --operator=127.0.0.1:1"), 1, "127.0.0.1:1: Connection refused");
     checkResult(runBinary("status --operator=localhost:1"), 2,
                 "\"localhost\" is not an IP address");
--- a/tests/process/configurationtest.cpp
+++ b/tests/process/configurationtest.cpp
@@ -54,7 +54,7 @@
 
 } // namespace
 
-/// Daemons, the log stand-in and the operators' program as processes.
+/// Runs daemons, the log stand-in and `ivyspar publish` as processes.
 TEST_GROUP(ConfigurationProcess)
 {
     std::string m_folder;
@@ -122,7 +122,7 @@
             exchangeBlocking(m_logEndpoint, { "POST", "/faults", {}, faults }, seconds(5));
         CHECK(answer && answer->status == 200);
     }
-    /// Exit code of `ivyspar publish`.
+    /// Runs `ivyspar publish` and returns its exit code.
     int publish(const std::vector<std::string> &flags)
     {
         std::vector<std::string> arguments{ "publish", "--log_endpoints=" + m_logEndpoint.text() };
@@ -160,8 +160,8 @@
     CHECK(waitForVersion(2));
 }
 
-// The answer to the append is lost after it took effect. The operator must be told "accepted", and
-// the change must not be made a second time.
+// The answer to the append is lost after the append took effect. The operator must be told
+// "accepted", and the change must not be applied twice.
 TEST(ConfigurationProcess, ALostAnswerCausesNoDuplicateChange)
 {
     startDaemon("a", DOMAINS[0]);
@@ -171,8 +171,8 @@
     CHECK(waitForVersion(1));
 }
 
-// 1. The log goes down. A new host is started; it must take its configuration from its peers.
-// 2. A change cannot be published meanwhile, and its operator is told that nothing was.
+// 1. The log becomes unavailable. A newly started daemon must get its configuration from its peers.
+// 2. During the outage a change cannot be published, and the operator is told so.
 TEST(ConfigurationProcess, ALogOutageBlocksOnlyChanges)
 {
     startDaemons();
@@ -188,7 +188,7 @@
     CHECK(waitForVersion(2));
 }
 
-// A failure domain is cut from the platform but not from its peers: it follows them.
+// A failure domain that loses the platform, but not its peers, gets the configuration from them.
 TEST(ConfigurationProcess, ADomainCutOffFromThePlatformFollowsItsPeers)
 {
     startDaemons();
--- a/tests/process/crashingrequesttest.cpp
+++ b/tests/process/crashingrequesttest.cpp
@@ -15,23 +15,23 @@
 namespace {
 
 constexpr std::uint32_t SERVER_COUNT = 6;
-/// Servers that a request may crash before it is kept from all others.
+/// Number of servers that a request may crash before it is quarantined.
 constexpr std::uint32_t MAX_CRASHES = 3;
-/// What is known of a crash by then has reached all daemons.
+/// Time within which information about a crash reaches all daemons.
 constexpr seconds PROPAGATION_TIME{ 3 };
-/// Sends to servers that are still allowed after that.
+/// Number of times that the request may still reach a server after that.
 constexpr std::uint32_t MAX_LATE_SENDS = 3;
 constexpr milliseconds CRASHER_INTERVAL{ 150 };
 constexpr milliseconds OTHERS_INTERVAL{ 25 };
-/// Of the other requests.
+/// Minimum share of the other requests that are served.
 constexpr double MIN_SERVED_SHARE = 0.95;
 const std::string CRASHER = "crasher";
 const std::string IN_DEMAND = "in-demand";
 
 } // namespace
 
-/// One request that crashes each server which begins to run it comes again and again, at any
-/// daemon, among others that come once and one that is in demand.
+/// One request crashes every server that starts it, and is sent repeatedly through all daemons. It
+/// is mixed with harmless requests: some are sent once, and one is sent by many callers.
 struct CrashingRequestFixture : FailureTest
 {
     double m_inDemandCallers = 0;
@@ -58,7 +58,7 @@
         m_trial->callers().send(plan);
     }
 
-    /// Sends for `length`, and counts what reaches servers.
+    /// Sends requests for `length` and counts how often the crashing one reaches a server.
     TrafficResult runTraffic(const GraphCall &call, seconds length)
     {
         TrafficResult result;
@@ -95,7 +95,7 @@
         return result;
     }
 
-    /// The share of the others that ended with a whole answer.
+    /// Share of the requests sent once whose last attempt was answered with status 200.
     static double shareServed(const History &history)
     {
         double served = 0;
@@ -108,7 +108,8 @@
         return all > 0 ? served / all : 0;
     }
 
-    /// Each of its callers stops at the first whole answer.
+    /// Share of the callers of the in-demand request that were answered with status 200. A caller
+    /// stops at its first such answer.
     double shareServedInDemand(const History &history) const
     {
         double served = 0;
@@ -120,7 +121,7 @@
         return m_inDemandCallers > 0 ? served / m_inDemandCallers : 0;
     }
 
-    /// The fingerprint that the daemon lists as quarantined; empty if there is none.
+    /// The first fingerprint that the daemon lists as quarantined; empty if there is none.
     static std::string quarantinedFingerprintAt(const ivyspar::Endpoint &operators)
     {
         const auto answer = exchangeBlocking(operators, { "GET", "/status", {}, {} }, seconds(5));
@@ -157,7 +158,8 @@
 
 TEST_GROUP_BASE(CrashingRequest, CrashingRequestFixture){};
 
-// Guards against a request that is sent to server after server because each repetition is new.
+// Guards against a crashing request that reaches server after server because each repetition is
+// treated as a new request.
 TEST(CrashingRequest, IsQuarantinedAfterThreeCrashes)
 {
     startServers(CRASHER);
@@ -170,7 +172,7 @@
     checkContained(runTraffic(m_record, seconds(9)));
 }
 
-// Guards against a quarantine that nobody can see, or lift when its cause is mended.
+// Guards against a quarantine that operators cannot see, or cannot lift once its cause is fixed.
 TEST(CrashingRequest, IsListedAndReleasedByTheOperator)
 {
     startServers(CRASHER);
@@ -196,7 +198,7 @@
     LONGS_EQUAL(SERVER_COUNT, served);
 }
 
-// Guards against requests that are held responsible for crashes which no request caused.
+// Guards against quarantining requests for crashes that no request caused.
 TEST(CrashingRequest, CrashesWithoutACauseImplicateNoRequest)
 {
     startServers("");
--- a/tests/process/failuretest.h
+++ b/tests/process/failuretest.h
@@ -13,7 +13,7 @@
 
 namespace ivyspar::lab {
 
-/// Base of the test groups that provoke failures in a deployment of real processes.
+/// Base of the test groups that inject failures into a deployment of real processes.
 class FailureTest : public Utest
 {
 public:
@@ -38,7 +38,7 @@
         STRCMP_EQUAL("", join(violations).c_str());
     }
 
-    /// Attempts that were told this, over all actions.
+    /// Number of attempts with this outcome, over all actions.
     static std::size_t countTold(const History &history, Told told)
     {
         std::size_t count = 0;
@@ -50,7 +50,7 @@
         return count;
     }
 
-    /// Token and reason of each attempt that was told this.
+    /// Token, status and reason of each attempt with this outcome, one attempt per line.
     static std::string reasonsOf(const History &history, Told told)
     {
         std::string text;
@@ -65,7 +65,7 @@
         return text;
     }
 
-    /// Actions whose last attempt brought a 200.
+    /// Number of actions whose last attempt was answered with status 200.
     static std::size_t countServed(const History &history)
     {
         std::size_t count = 0;
@@ -76,6 +76,7 @@
         return count;
     }
 
+    /// Number of requests that the server has started so far.
     std::size_t startCountAt(const std::string &server)
     {
         std::size_t count = 0;
--- a/tests/process/historiestest.cpp
+++ b/tests/process/historiestest.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-/// Faults at random times, several at once, from fixed seeds. `ivyspar-lab histories` runs more.
+/// Injects several concurrent faults at random times, with fixed seeds. `ivyspar-lab histories`
+/// runs more seeds.
 TEST_GROUP(Histories){};
 
 TEST(Histories, HaveNoViolationsForFixedSeeds)
@@ -28,8 +29,7 @@
     }
 }
 
-// Counter-check: without their keys bookings run twice under the same faults, and the check sees
-// it.
+// Counter-check: without keys, bookings run twice under the same faults, and the check detects it.
 TEST(Histories, ViolateAtMostOnceWithoutKeys)
 {
     STRCMP_CONTAINS("must run at most once", historyViolations(1, true).c_str());
--- a/tests/process/notruntest.cpp
+++ b/tests/process/notruntest.cpp
@@ -11,11 +11,12 @@
 
 } // namespace
 
-/// Records may not be repeated, so what callers are told decides whether they send them again.
+/// Records are not repeatable, so callers retry only after the outcome "not run". That outcome must
+/// never be reported for a request that was started.
 struct NotRunOutcomeFixture : FailureTest
 {
 
-    /// Requests through all daemons; returns when the victim's server works on some of them.
+    /// Sends requests through all daemons until the victim's server runs at least one of them.
     void sendUntilVictimIsBusy()
     {
         startTrial(makeTrialGraph());
@@ -29,9 +30,10 @@
 
 TEST_GROUP_BASE(NotRunOutcome, NotRunOutcomeFixture){};
 
-// 1. Sixty records are sent through three daemons; the second daemon's server works on some.
-// 2. That daemon is killed. Its callers and the other entries lose their connections.
-// 3. What may have started is "unknown"; whoever hears "not run" can send again safely.
+// 1. Sixty records are sent through three daemons; the second daemon's server runs some of them.
+// 2. That daemon is killed. Its callers and the other daemons lose their connections to it.
+// 3. Requests that may have started are reported as "unknown"; "not run" means that it is safe to
+//    send the request again.
 TEST(NotRunOutcome, IsCorrectWhenADaemonIsKilled)
 {
     sendUntilVictimIsBusy();
@@ -42,8 +44,9 @@
     CHECK(countTold(history, Told::Answered) > 0);
 }
 
-// 1. As above, but the daemon is frozen until every caller has been told something.
-// 2. It wakes and may start what it still finds in its sockets: nobody was told "not run" of that.
+// 1. As above, but the daemon is suspended until every caller has an outcome.
+// 2. When resumed it may start requests still buffered in its sockets. None of them may have been
+//    reported as "not run".
 TEST(NotRunOutcome, IsCorrectWhenADaemonIsSuspendedAndResumed)
 {
     sendUntilVictimIsBusy();
--- a/tests/process/operatortest.cpp
+++ b/tests/process/operatortest.cpp
@@ -56,7 +56,7 @@
 
 } // namespace
 
-/// One daemon on its own, with its configuration from files and no upstream.
+/// Runs a single daemon that is configured from files and has no upstream.
 TEST_GROUP(OperatorProcess)
 {
     std::string m_folder;
@@ -108,7 +108,7 @@
     bodyOf(m_operators, "/other", 404);
 }
 
-// The age tells an operator when a change did not arrive. It has to grow without any event.
+// The age shows an operator that a change did not arrive, so it must increase without any event.
 TEST(OperatorProcess, ConfigurationAgeIncreases)
 {
     const std::string zeroAge = "\nivyspar_configuration_age_seconds 0\n";
@@ -121,8 +121,8 @@
     CHECK_TRUE(isOlder);
 }
 
-// No server of the service is there. The caller hears at once that its request was not run, and
-// the operator finds it in the metrics and, by its id, in the decision log.
+// The service has no server. The caller is told immediately that its request was not run, and the
+// operator finds the refusal in the metrics and, by request id, in the decision log.
 TEST(OperatorProcess, RefusalIsCountedAndLogged)
 {
     const auto answer = exchangeBlocking(
--- a/tests/process/partitiontest.cpp
+++ b/tests/process/partitiontest.cpp
@@ -13,7 +13,8 @@
 
 } // namespace
 
-/// Daemons reach each other through links that carry nothing across the partition, both ways.
+/// Daemons are connected through links that drop all traffic across the partition, in both
+/// directions.
 struct PartitionFixture : FailureTest
 {
 
@@ -27,7 +28,7 @@
         m_trial->deployment().separate(domains);
         CHECK(waitUntil([this] { return aliveMemberCount(0) == 1 && aliveMemberCount(1) == 2; }));
     }
-    /// Daemons that this one takes for alive, itself included.
+    /// Number of daemons that this daemon considers alive, including itself.
     std::size_t aliveMemberCount(std::size_t host)
     {
         const auto answer = exchangeBlocking(m_trial->host(host).operators,
@@ -49,6 +50,8 @@
             }
         }
     }
+    /// Sends a page request through the first daemon. Returns whether it completed and was started
+    /// exactly once.
     bool sendPage()
     {
         const std::string token = "page-" + std::to_string(++m_pageCount);
@@ -74,8 +77,9 @@
 
 TEST_GROUP_BASE(Partition, PartitionFixture){};
 
-// One failure domain is cut off from the others; all reach the platform. Callers send each booking
-// to both sides. Only one side can win its claim; both sides go on serving, and merge afterwards.
+// One failure domain is cut off from the others, and all can reach the platform. Callers send each
+// booking to both sides. Only one side can win its claim. Both sides continue to serve requests and
+// merge after the partition.
 TEST(Partition, BothSidesServeAndNoBookingRunsTwice)
 {
     startPartitioned({ "hall-a" });
@@ -87,8 +91,8 @@
     checkNoViolations(checkAll(history, m_trial->graph()));
 }
 
-// Two faults at once: the domain is cut off from its peers and from the platform. It goes on with
-// pages, and refuses bookings with a key, with proof that they did not run.
+// Two concurrent faults: the failure domain is cut off from its peers and from the platform. It
+// continues to serve pages and refuses bookings with a key as "not run".
 TEST(Partition, AnIsolatedDomainStillServesPages)
 {
     startPartitioned({ "hall-a" });
--- a/tests/process/plannedstoptest.cpp
+++ b/tests/process/plannedstoptest.cpp
@@ -41,8 +41,8 @@
 
 TEST_GROUP_BASE(PlannedStop, PlannedStopFixture){};
 
-// 1. A server works on requests and announces that it drains.
-// 2. What it has ends normally. From then on it gets nothing, whichever daemon is asked.
+// 1. A server announces that it drains while it runs requests.
+// 2. Its requests complete normally. After that it receives no request from any daemon.
 TEST(PlannedStop, ADrainingServerCompletesItsRequestsAndReceivesNoNewOnes)
 {
     startTrial(makeTrialGraph(), {}, false);
@@ -60,8 +60,8 @@
     CHECK_EQUAL(startsBefore, startCountAt("desk-1"));
 }
 
-// A daemon is stopped by SIGTERM with requests in flight: those that callers sent to it, and those
-// that others sent to its server. None is cut, and it ends with 0.
+// A daemon receives SIGTERM with requests in flight, both from its own callers and from other
+// daemons to its server. None is interrupted, and the daemon exits with code 0.
 TEST(PlannedStop, SigtermInterruptsNoRequest)
 {
     startTrial(makeTrialGraph(), {}, false);
@@ -76,7 +76,7 @@
     CHECK_EQUAL(REQUESTS, countServed(history));
 }
 
-// Two faults at once: the daemon is stopped while the platform's log is silent.
+// Two concurrent events: the daemon is stopped while the platform's log does not respond.
 TEST(PlannedStop, SigtermWhileTheLogIsUnresponsiveInterruptsNoRequest)
 {
     startTrial(makeTrialGraph());
@@ -91,7 +91,8 @@
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
 }
 
-// Counter-check: killed in place of stopped, requests are cut and the check sees it.
+// Counter-check: if the daemon is killed instead, requests are interrupted and the check detects
+// it.
 TEST(PlannedStop, SigkillInterruptsRequests)
 {
     startTrial(makeTrialGraph(), {}, false);
@@ -102,13 +103,14 @@
     CHECK(countTold(m_trial->history(), Told::Unknown) > 0);
 }
 
-// 1. Requests whose chain of eight calls goes back and forth between two daemons are in flight.
-// 2. One daemon is stopped. The calls that its server still has to make for them go through it, so
-//    it must go on taking those until the requests have ended.
+// 1. Requests are in flight whose chains of eight calls alternate between two daemons.
+// 2. One daemon is stopped. Its server makes the remaining calls of these requests through it, so
+// it
+//    must accept them until the requests have completed.
 TEST(PlannedStop, SigtermDuringCallChainsInterruptsNoRequest)
 {
     constexpr std::uint32_t DEPTH = 8;
-    // Each holds up to eight slots of the same service; a cold gate lets a hundred be taken.
+    // Each chain holds up to eight slots of the same service; a cold gate admits a hundred.
     constexpr std::uint32_t CHAINS = 10;
     startTrial(makeChainGraph(DEPTH), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":30})"));
--- a/tests/process/refusalordertest.cpp
+++ b/tests/process/refusalordertest.cpp
@@ -14,7 +14,8 @@
 struct RefusalOrderFixture : FailureTest
 {
 
-    /// Pages far beyond the capacity, then records on top. Returns the records that were refused.
+    /// Overloads the servers with pages, then sends records as well. Returns the number of records
+    /// that were refused.
     std::size_t refusedRecordCount(const std::vector<std::string> &flags)
     {
         startTrial(makeTrialGraph(), flags, false);
@@ -41,17 +42,17 @@
 
 TEST_GROUP_BASE(RefusalOrder, RefusalOrderFixture){};
 
-// Three servers, 60 slots, 200 people who look through pages and come back when refused. Records
-// that arrive on top must all be taken, while pages are refused: the queue is ordered by rank, and
-// what is less important leaves it first.
+// Three servers with 60 slots get page requests from 200 callers that retry when refused. Records
+// that arrive during the overload must all be admitted while pages are refused: the queue is
+// ordered by rank, and less important requests are removed first.
 TEST(RefusalOrder, RecordsAreAdmittedWhilePagesAreRefused)
 {
-    // Once: the check evaluates its argument again to print it, and that would be another run.
+    // CHECK_EQUAL may evaluate its arguments again to print them, which would repeat the run.
     const std::size_t refused = refusedRecordCount({});
     CHECK_EQUAL(0, refused);
 }
 
-// Counter-check: in the order of arrival, without ranks and floor, records are refused as well.
+// Counter-check: in order of arrival, without ranks and priority floor, records are refused too.
 TEST(RefusalOrder, RecordsAreAlsoRefusedWithoutRanks)
 {
     CHECK(refusedRecordCount({ "--ablate=rank,floor" }) > 0);
--- a/tests/process/triggerstest.cpp
+++ b/tests/process/triggerstest.cpp
@@ -38,9 +38,9 @@
 
 TEST_GROUP_BASE(Triggers, TriggersFixture){};
 
-// All at once: every call of a chain takes sixty times as long, more callers than slots arrive, and
-// they come back whatever they are told. Attempts stay bounded; when the slowness is gone a new
-// request is served whole.
+// Three concurrent triggers: every call of a chain is slowed down by a factor of 60, more callers
+// than slots arrive, and they retry whatever the outcome. Attempts stay bounded, and a new request
+// is served completely once the slowdown ends.
 TEST(Triggers, SlownessSurgeAndRetriesStayBoundedAndServiceRecovers)
 {
     startTrial(makeChainGraph(DEPTH), {}, false);
@@ -57,8 +57,9 @@
     checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
 
-// A server is as slow as after a cold start, many times slower than the others, and announces slots
-// that it does not have. Requests are refused or served whole; none is told "not run" that ran.
+// A server is many times slower than the others, as after a cold start, and announces more slots
+// than it has. Requests are refused or served completely; "not run" is never reported for a request
+// that ran.
 TEST(Triggers, AColdServerThatOverstatesItsSlotsIsTolerated)
 {
     startTrial(makeTrialGraph(), {}, false);
--- a/tests/process/wholeanswerstest.cpp
+++ b/tests/process/wholeanswerstest.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// An upstream that answers each connection's first request with fixed bytes and closes.
+/// An upstream that sends fixed bytes in answer to the first request of each connection and closes
+/// the connection.
 class RawUpstream
 {
 public:
@@ -64,7 +65,7 @@
 struct WholeAnswersFixture : FailureTest
 {
 
-    /// The only server goes silent and another takes its place at the daemon.
+    /// Makes the only server unresponsive and announces a replacement for it to the daemon.
     void announceReplacement(const Endpoint &endpoint)
     {
         CHECK(m_trial->setBehaviour("", R"({"silent":true})"));
@@ -93,9 +94,9 @@
 
 TEST_GROUP_BASE(WholeAnswers, WholeAnswersFixture){};
 
-// 300 requests of five kinds, from 5 ms to 200 ms, all through one daemon: their answers come back
-// over two links in another order than they were sent. Each caller gets the answer with its own
-// token, whole.
+// 300 requests of five kinds, taking 5 ms to 200 ms, are sent through one daemon. Their answers
+// arrive over two links in a different order. Each caller gets the complete answer with its own
+// token.
 TEST(WholeAnswers, AnswersOutOfOrderReachTheirOwnCallers)
 {
     startTrial(makeTrialGraph(), {}, false);
@@ -112,9 +113,9 @@
     CHECK_EQUAL(REQUESTS, countServed(history));
 }
 
-// Requests take about as long as their callers wait, so that about half of the answers come after
-// their caller was told "unknown". A late answer goes nowhere; above all not to the next request on
-// the same connections, for which the same callers then wait long enough.
+// Requests take about as long as their callers wait, so about half of the answers arrive after the
+// caller was told "unknown". A late answer is discarded. In particular it must not be delivered to
+// the next request on the same connections, for which the same callers wait long enough.
 TEST(WholeAnswers, LateAnswersAreNotDeliveredToOtherRequests)
 {
     startTrial(makeTrialGraph(), {}, false);
@@ -136,8 +137,8 @@
     checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
 
-// The server dies in the middle of its answer. It did start the request, so the caller hears
-// "unknown": neither a short answer nor "not run".
+// The server closes the connection in the middle of its answer. It had started the request, so the
+// caller is told "unknown": it gets neither a truncated answer nor "not run".
 TEST(WholeAnswers, ATruncatedAnswerIsUnknown)
 {
     startTrial(makeTrialGraph(1), {}, false);
