--- a/tests/process/crashingrequesttest.cpp
+++ b/tests/process/crashingrequesttest.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::uint32_t SERVER_COUNT = 6;
 /// Number of servers that a request may crash before it is quarantined.
-constexpr std::uint32_t MAX_CRASHES = 3;
+constexpr std::uint32_t CRASH_LIMIT = 3;
 /// Time within which information about a crash reaches all daemons.
 constexpr seconds PROPAGATION_TIME{ 3 };
 /// Number of times that the request may still reach a server after that.
@@ -75,7 +75,7 @@
                 nextCrasher += CRASHER_INTERVAL;
                 result.sends = m_trial->startCount(CRASHER);
                 const bool isLimitReached =
-                    result.sends >= MAX_CRASHES && m_trial->crashCount() >= MAX_CRASHES;
+                    result.sends >= CRASH_LIMIT && m_trial->crashCount() >= CRASH_LIMIT;
                 limitReachedAt = isLimitReached ? std::min(limitReachedAt, now) : limitReachedAt;
                 earlySends = now < limitReachedAt + PROPAGATION_TIME || !isLimitReached
                     ? result.sends
@@ -146,7 +146,7 @@
 
     void checkContained(const TrafficResult &result)
     {
-        CHECK_COMPARE(result.sends, >=, MAX_CRASHES);
+        CHECK_COMPARE(result.sends, >=, CRASH_LIMIT);
         CHECK_COMPARE(result.lateSends, <=, MAX_LATE_SENDS);
         const History history = m_trial->history();
         checkNoViolations(checkNotRun(history));
@@ -173,7 +173,7 @@
 }
 
 // Guards against a quarantine that operators cannot see, or cannot lift once its cause is fixed.
-TEST(CrashingRequest, IsListedAndReleasedByTheOperator)
+TEST(CrashingRequest, IsListedAndLiftedByTheOperator)
 {
     startServers(CRASHER);
     checkContained(runTraffic({ "desk", "GET", "/wait/4" }, seconds(9)));
