--- a/tests/knownred.cpp
+++ b/tests/knownred.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::set<std::string> readList(const std::string &path)
+std::set<std::string> readTestNames(const std::string &path)
 {
     std::set<std::string> tests;
     std::ifstream file(path);
@@ -32,17 +32,18 @@
 
 } // namespace
 
-/// The runner's own filters cannot exclude more than one test.
-void leaveOutKnownRed(const std::string &path)
+/// Replaces the test registry because the filters of the test runner cannot exclude more than one
+/// test.
+void excludeKnownRedTests(const std::string &path)
 {
-    const std::set<std::string> red = readList(path);
-    if (red.empty()) {
+    const std::set<std::string> excluded = readTestNames(path);
+    if (excluded.empty()) {
         return;
     }
     std::vector<UtestShell *> kept;
-    TestRegistry *all = TestRegistry::getCurrentRegistry();
-    for (UtestShell *test = all->getFirstTest(); test != nullptr; test = test->getNext()) {
-        if (red.count(nameOf(*test)) == 0) {
+    TestRegistry *current = TestRegistry::getCurrentRegistry();
+    for (UtestShell *test = current->getFirstTest(); test != nullptr; test = test->getNext()) {
+        if (excluded.count(nameOf(*test)) == 0) {
             kept.push_back(test);
         } else {
             std::printf("known red, not run: %s\n", nameOf(*test).c_str());
--- a/tests/process/acceptedconfigurationtest.cpp
+++ b/tests/process/acceptedconfigurationtest.cpp
@@ -13,7 +13,7 @@
 struct AcceptedConfigurationFixture : FailureTest
 {
 
-    History m_seen;
+    History m_observed;
 
     ChildProcess publish(const std::string &name, const std::string &base)
     {
@@ -28,27 +28,28 @@
     {
         return publish("publish", base).wait(seconds(30));
     }
-    /// Looks at every daemon that answers and notes its version.
-    bool isInForce(std::uint64_t version)
+    /// Records the version in force at every daemon that answers. Returns whether all daemons
+    /// answered and have this version in force.
+    bool recordVersions(std::uint64_t version)
     {
-        bool isEverywhere = true;
+        bool isInForceEverywhere = true;
         for (const DeployedHost &host : m_trial->deployment().hosts()) {
             const auto answer =
                 exchangeBlocking(host.operators, { "GET", "/status", {}, {} }, seconds(5));
             const auto status = nlohmann::json::parse(answer ? answer->body : "", nullptr, false);
             if (!status.is_object()) {
-                isEverywhere = false;
+                isInForceEverywhere = false;
                 continue;
             }
-            const std::uint64_t seen = status.value("configuration_version", std::uint64_t(0));
-            m_seen.versions[host.name].push_back(seen);
-            isEverywhere = isEverywhere && seen == version;
+            const std::uint64_t observed = status.value("configuration_version", std::uint64_t(0));
+            m_observed.versions[host.name].push_back(observed);
+            isInForceEverywhere = isInForceEverywhere && observed == version;
         }
-        return isEverywhere;
+        return isInForceEverywhere;
     }
     void checkInForce(std::uint64_t version)
     {
-        CHECK(waitUntil([this, version] { return isInForce(version); }));
+        CHECK(waitUntil([this, version] { return recordVersions(version); }));
     }
     void restart(DeployedHost &host)
     {
@@ -59,9 +60,10 @@
 
 TEST_GROUP_BASE(AcceptedConfiguration, AcceptedConfigurationFixture){};
 
-// Two operators publish on the same base at once, five times. Exactly one wins each time and the
-// other is told so; every daemon of every domain has the winner's version, and none goes back.
-TEST(AcceptedConfiguration, OneOfTwoRacingOperatorsWins)
+// Two operators publish concurrently on the same base version, five times. Each time exactly one
+// succeeds and the other is told that it failed. Every daemon of every failure domain applies the
+// accepted version, and none reverts to an older one.
+TEST(AcceptedConfiguration, OneOfTwoConcurrentPublishersWins)
 {
     startTrial(makeTrialGraph());
     for (std::uint64_t version = 1; version <= 5; ++version) {
@@ -74,12 +76,12 @@
         CHECK(firstCode == 0 || secondCode == 0);
         checkInForce(version);
     }
-    checkClean(checkVersions(m_seen));
+    checkNoViolations(checkVersions(m_observed));
 }
 
-// All daemons are killed, one after another, and then all at once: hosts keep nothing, and what was
-// accepted is in the platform's log.
-TEST(AcceptedConfiguration, SurvivesTheDeathOfEveryDaemon)
+// All daemons are killed, first one after another and then all at once. Hosts store no state, so
+// the accepted configuration is recovered from the platform's log.
+TEST(AcceptedConfiguration, SurvivesKillingEveryDaemon)
 {
     startTrial(makeTrialGraph());
     CHECK_EQUAL(0, publishAndWait("0"));
@@ -102,8 +104,8 @@
     CHECK_EQUAL(3, publishAndWait("1"));
 }
 
-// Reads of the log are stale and its answers lost while daemons are killed and changes accepted: a
-// daemon that knows a version never takes an older one for the current.
+// Log reads are stale and log answers are lost while a daemon is killed and changes are accepted. A
+// daemon that knows a version never treats an older one as current.
 TEST(AcceptedConfiguration, NeverRevertsUnderStaleReads)
 {
     startTrial(makeTrialGraph());
@@ -119,6 +121,6 @@
     CHECK(m_trial->setLogFaults(R"({"stale_ms":0})"));
     restart(victim);
     checkInForce(3);
-    m_seen.versions.erase(victim.name);
-    checkClean(checkVersions(m_seen));
+    m_observed.versions.erase(victim.name);
+    checkNoViolations(checkVersions(m_observed));
 }
--- a/tests/process/configurationtest.cpp
+++ b/tests/process/configurationtest.cpp
@@ -24,11 +24,11 @@
 constexpr char INVENTORY[] = IVYSPAR_SOURCE_DIR "/examples/tallowood/inventory.toml";
 constexpr char RULES[] = IVYSPAR_SOURCE_DIR "/examples/tallowood/rules.toml";
 const char *const DOMAINS[] = { "fortitude-hall", "southbank-hall", "coorparoo-dc", "eagle-farm" };
-constexpr Duration PATIENCE = seconds(30);
+constexpr Duration TIMEOUT = seconds(30);
 
 bool waitUntil(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + PATIENCE;
+    const auto end = std::chrono::steady_clock::now() + TIMEOUT;
     while (!condition() && std::chrono::steady_clock::now() < end) {
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
@@ -54,7 +54,7 @@
 
 } // namespace
 
-/// Daemons, the log stand-in and the operators' program as processes.
+/// Runs daemons, the log stand-in and `ivyspar publish` as processes.
 TEST_GROUP(ConfigurationProcess)
 {
     std::string m_folder;
@@ -69,7 +69,7 @@
         const std::string ready = m_folder + "/log.ready";
         m_log = ChildProcess(IVYSPAR_LAB_BINARY, { "log", "--ready_file", ready },
                              m_folder + "/log.out");
-        const json document = json::parse(waitForFile(ready, PATIENCE), nullptr, false);
+        const json document = json::parse(waitForFile(ready, TIMEOUT), nullptr, false);
         CHECK(document.is_object());
         m_logEndpoint = Endpoint::parse(document["endpoint"].get<std::string>()).value();
     }
@@ -103,7 +103,7 @@
             flags.push_back("--seeds=" + m_daemons.front()->peer.text());
         }
         daemon->process = ChildProcess(IVYSPAR_BINARY, flags, m_folder + "/" + name + ".out");
-        const json document = json::parse(waitForFile(ready, PATIENCE), nullptr, false);
+        const json document = json::parse(waitForFile(ready, TIMEOUT), nullptr, false);
         CHECK(document.is_object());
         daemon->peer = Endpoint::parse(document["peer"].get<std::string>()).value();
         daemon->operators = Endpoint::parse(document["operator"].get<std::string>()).value();
@@ -122,14 +122,14 @@
             exchangeBlocking(m_logEndpoint, { "POST", "/faults", {}, faults }, seconds(5));
         CHECK(answer && answer->status == 200);
     }
-    /// Exit code of `ivyspar publish`.
+    /// Runs `ivyspar publish` and returns its exit code.
     int publish(const std::vector<std::string> &flags)
     {
         std::vector<std::string> arguments{ "publish", "--log_endpoints=" + m_logEndpoint.text() };
         arguments.insert(arguments.end(), flags.begin(), flags.end());
         arguments.insert(arguments.end(), { INVENTORY, RULES });
         ChildProcess process(IVYSPAR_BINARY, arguments, m_folder + "/publish.out");
-        return process.wait(PATIENCE);
+        return process.wait(TIMEOUT);
     }
     std::string publishOutput() const
     {
@@ -160,9 +160,9 @@
     CHECK(waitForVersion(2));
 }
 
-// The answer to the append is lost after it took effect. The operator must be told "accepted", and
-// the change must not be made a second time.
-TEST(ConfigurationProcess, ALostAnswerMakesNoSecondChange)
+// The answer to the append is lost after the append took effect. The operator must be told
+// "accepted", and the change must not be applied twice.
+TEST(ConfigurationProcess, ALostAnswerCausesNoDuplicateChange)
 {
     startDaemon("a", DOMAINS[0]);
     setFaults(R"({"lost_after":1})");
@@ -171,9 +171,9 @@
     CHECK(waitForVersion(1));
 }
 
-// 1. The log goes down. A new host is started; it must take its configuration from its peers.
-// 2. A change cannot be published meanwhile, and its operator is told that nothing was.
-TEST(ConfigurationProcess, AnOutageOfTheLogStopsChangesOnly)
+// 1. The log becomes unavailable. A newly started daemon must get its configuration from its peers.
+// 2. During the outage a change cannot be published, and the operator is told so.
+TEST(ConfigurationProcess, ALogOutageBlocksOnlyChanges)
 {
     startDaemons();
     CHECK_EQUAL(0, publish({}));
@@ -188,8 +188,8 @@
     CHECK(waitForVersion(2));
 }
 
-// A failure domain is cut from the platform but not from its peers: it follows them.
-TEST(ConfigurationProcess, ADomainCutFromThePlatformFollows)
+// A failure domain that loses the platform, but not its peers, gets the configuration from them.
+TEST(ConfigurationProcess, ADomainCutOffFromThePlatformFollowsItsPeers)
 {
     startDaemons();
     setFaults(R"({"cut_clients":["eagle-farm-1"]})");
--- a/tests/process/crashingrequesttest.cpp
+++ b/tests/process/crashingrequesttest.cpp
@@ -14,29 +14,29 @@
 
 namespace {
 
-constexpr std::uint32_t SERVERS = 6;
-/// Servers that a request may crash before it is kept from all others.
-constexpr std::uint32_t CRASHES = 3;
-/// What is known of a crash by then has reached all daemons.
-constexpr seconds CONTACT{ 3 };
-/// Sends to servers that are still allowed after that.
-constexpr std::uint32_t LATE_SENDS = 3;
+constexpr std::uint32_t SERVER_COUNT = 6;
+/// Number of servers that a request may crash before it is quarantined.
+constexpr std::uint32_t CRASH_LIMIT = 3;
+/// Time within which information about a crash reaches all daemons.
+constexpr seconds PROPAGATION_TIME{ 3 };
+/// Number of times that the request may still reach a server after that.
+constexpr std::uint32_t MAX_LATE_SENDS = 3;
 constexpr milliseconds CRASHER_INTERVAL{ 150 };
 constexpr milliseconds OTHERS_INTERVAL{ 25 };
-/// Of the other requests.
-constexpr double SERVED_SHARE = 0.95;
+/// Minimum share of the other requests that are served.
+constexpr double MIN_SERVED_SHARE = 0.95;
 const std::string CRASHER = "crasher";
 const std::string IN_DEMAND = "in-demand";
 
 } // namespace
 
-/// One request that crashes each server which begins to run it comes again and again, at any
-/// daemon, among others that come once and one that is in demand.
+/// One request crashes every server that starts it, and is sent repeatedly through all daemons. It
+/// is mixed with harmless requests: some are sent once, and one is sent by many callers.
 struct CrashingRequestFixture : FailureTest
 {
     double m_inDemandCallers = 0;
 
-    struct Course
+    struct TrafficResult
     {
         std::uint32_t sends = 0;
         std::uint32_t lateSends = 0;
@@ -44,7 +44,7 @@
 
     void startServers(const std::string &crasher)
     {
-        startTrial(makeTrialGraph(SERVERS), {}, false);
+        startTrial(makeTrialGraph(SERVER_COUNT), {}, false);
         CHECK(m_trial->setBehaviour("", "{\"crashToken\":\"" + crasher + "\"}"));
     }
 
@@ -58,25 +58,28 @@
         m_trial->callers().send(plan);
     }
 
-    /// Sends for `length`, and counts what reaches servers.
-    Course play(const GraphCall &call, seconds length)
+    /// Sends requests for `length` and counts how often the crashing one reaches a server.
+    TrafficResult runTraffic(const GraphCall &call, seconds length)
     {
-        Course course;
+        TrafficResult result;
         const auto startedAt = steady_clock::now();
-        auto crashedAt = steady_clock::time_point::max();
+        auto limitReachedAt = steady_clock::time_point::max();
         auto nextCrasher = startedAt;
         auto nextOther = startedAt;
         std::uint32_t sent = 0;
-        std::uint32_t before = 0;
+        std::uint32_t earlySends = 0;
         while (steady_clock::now() < startedAt + length) {
             const auto now = steady_clock::now();
             if (now >= nextCrasher) {
                 m_trial->callers().send(m_trial->plan(call, CRASHER, ++sent));
                 nextCrasher += CRASHER_INTERVAL;
-                course.sends = m_trial->startCount(CRASHER);
-                const bool isThird = course.sends >= CRASHES && m_trial->crashCount() >= CRASHES;
-                crashedAt = isThird ? std::min(crashedAt, now) : crashedAt;
-                before = now < crashedAt + CONTACT || !isThird ? course.sends : before;
+                result.sends = m_trial->startCount(CRASHER);
+                const bool isLimitReached =
+                    result.sends >= CRASH_LIMIT && m_trial->crashCount() >= CRASH_LIMIT;
+                limitReachedAt = isLimitReached ? std::min(limitReachedAt, now) : limitReachedAt;
+                earlySends = now < limitReachedAt + PROPAGATION_TIME || !isLimitReached
+                    ? result.sends
+                    : earlySends;
             }
             if (now >= nextOther) {
                 const std::string number = std::to_string(++sent);
@@ -87,12 +90,12 @@
             std::this_thread::sleep_for(milliseconds(5));
         }
         m_trial->callers().waitForAll();
-        course.sends = m_trial->startCount(CRASHER);
-        course.lateSends = course.sends - before;
-        return course;
+        result.sends = m_trial->startCount(CRASHER);
+        result.lateSends = result.sends - earlySends;
+        return result;
     }
 
-    /// The share of the others that ended with a whole answer.
+    /// Share of the requests sent once whose last attempt was answered with status 200.
     static double shareServed(const History &history)
     {
         double served = 0;
@@ -105,7 +108,8 @@
         return all > 0 ? served / all : 0;
     }
 
-    /// Each of its callers stops at the first whole answer.
+    /// Share of the callers of the in-demand request that were answered with status 200. A caller
+    /// stops at its first such answer.
     double shareServedInDemand(const History &history) const
     {
         double served = 0;
@@ -117,8 +121,8 @@
         return m_inDemandCallers > 0 ? served / m_inDemandCallers : 0;
     }
 
-    /// The fingerprint that the daemon lists as quarantined; empty if there is none.
-    static std::string quarantinedAt(const ivyspar::Endpoint &operators)
+    /// The first fingerprint that the daemon lists as quarantined; empty if there is none.
+    static std::string quarantinedFingerprintAt(const ivyspar::Endpoint &operators)
     {
         const auto answer = exchangeBlocking(operators, { "GET", "/status", {}, {} }, seconds(5));
         const auto status =
@@ -131,56 +135,57 @@
         return "";
     }
 
-    std::uint32_t countQuarantining()
+    std::uint32_t quarantiningDaemonCount()
     {
         std::uint32_t count = 0;
-        for (std::uint32_t host = 0; host < SERVERS; ++host) {
-            count += quarantinedAt(m_trial->host(host).operators).empty() ? 0 : 1;
+        for (std::uint32_t host = 0; host < SERVER_COUNT; ++host) {
+            count += quarantinedFingerprintAt(m_trial->host(host).operators).empty() ? 0 : 1;
         }
         return count;
     }
 
-    void checkContained(const Course &course)
+    void checkContained(const TrafficResult &result)
     {
-        CHECK_COMPARE(course.sends, >=, CRASHES);
-        CHECK_COMPARE(course.lateSends, <=, LATE_SENDS);
+        CHECK_COMPARE(result.sends, >=, CRASH_LIMIT);
+        CHECK_COMPARE(result.lateSends, <=, MAX_LATE_SENDS);
         const History history = m_trial->history();
-        checkClean(checkNotRun(history));
-        checkClean(checkAccused(history, CRASHER));
-        CHECK_COMPARE(shareServed(history), >=, SERVED_SHARE);
-        CHECK_COMPARE(shareServedInDemand(history), >=, SERVED_SHARE);
+        checkNoViolations(checkNotRun(history));
+        checkNoViolations(checkAccused(history, CRASHER));
+        CHECK_COMPARE(shareServed(history), >=, MIN_SERVED_SHARE);
+        CHECK_COMPARE(shareServedInDemand(history), >=, MIN_SERVED_SHARE);
     }
 };
 
 TEST_GROUP_BASE(CrashingRequest, CrashingRequestFixture){};
 
-// Guards against a request that is sent to server after server because each repetition is new.
-TEST(CrashingRequest, IsKeptFromServersAfterThreeCrashes)
+// Guards against a crashing request that reaches server after server because each repetition is
+// treated as a new request.
+TEST(CrashingRequest, IsQuarantinedAfterThreeCrashes)
 {
     startServers(CRASHER);
-    checkContained(play({ "desk", "GET", "/wait/4" }, seconds(9)));
+    checkContained(runTraffic({ "desk", "GET", "/wait/4" }, seconds(9)));
 }
 
-TEST(CrashingRequest, IsKeptFromServersThoughItMayNotBeRepeated)
+TEST(CrashingRequest, IsQuarantinedAlthoughNotRepeatable)
 {
     startServers(CRASHER);
-    checkContained(play(m_record, seconds(9)));
+    checkContained(runTraffic(m_record, seconds(9)));
 }
 
-// Guards against a quarantine that nobody can see, or lift when its cause is mended.
-TEST(CrashingRequest, IsListedAndLiftedByHand)
+// Guards against a quarantine that operators cannot see, or cannot lift once its cause is fixed.
+TEST(CrashingRequest, IsListedAndLiftedByTheOperator)
 {
     startServers(CRASHER);
-    checkContained(play({ "desk", "GET", "/wait/4" }, seconds(9)));
+    checkContained(runTraffic({ "desk", "GET", "/wait/4" }, seconds(9)));
     const ivyspar::Endpoint &operators = m_trial->host(2).operators;
-    const std::string fingerprint = quarantinedAt(operators);
+    const std::string fingerprint = quarantinedFingerprintAt(operators);
     LONGS_EQUAL(32, fingerprint.size());
     CHECK(m_trial->setBehaviour("", R"({"crashToken":""})"));
     const auto lifted = exchangeBlocking(
         operators, { "POST", "/quarantine/lift/" + fingerprint, {}, {} }, seconds(5));
     CHECK(lifted && lifted->status == 200);
-    CHECK(waitUntil([this] { return countQuarantining() == 0; }));
-    for (std::uint32_t entry = 0; entry < SERVERS; ++entry) {
+    CHECK(waitUntil([this] { return quarantiningDaemonCount() == 0; }));
+    for (std::uint32_t entry = 0; entry < SERVER_COUNT; ++entry) {
         sendOther({ "desk", "GET", "/wait/4" }, CRASHER, entry);
     }
     const History history = m_trial->history();
@@ -190,17 +195,17 @@
             served += action.token == CRASHER && attempt.status == 200 ? 1 : 0;
         }
     }
-    LONGS_EQUAL(SERVERS, served);
+    LONGS_EQUAL(SERVER_COUNT, served);
 }
 
-// Guards against requests that are held responsible for crashes which no request caused.
-TEST(CrashingRequest, CrashesWithoutACauseAccuseNobody)
+// Guards against quarantining requests for crashes that no request caused.
+TEST(CrashingRequest, CrashesWithoutACauseImplicateNoRequest)
 {
     startServers("");
     const auto startedAt = steady_clock::now();
     std::uint32_t sent = 0;
     for (std::uint32_t crash = 0; crash < 10; ++crash) {
-        CHECK(m_trial->crash(m_trial->host(crash % SERVERS).name));
+        CHECK(m_trial->crash(m_trial->host(crash % SERVER_COUNT).name));
         while (steady_clock::now() < startedAt + (crash + 1) * milliseconds(700)) {
             sendOther(m_page, IN_DEMAND, ++sent);
             sendOther({ "desk", "GET", "/wait/3" }, "once-" + std::to_string(sent), sent);
@@ -208,8 +213,8 @@
         }
     }
     const History history = m_trial->history();
-    checkClean(checkNotRun(history));
-    CHECK_COMPARE(shareServed(history), >=, SERVED_SHARE);
-    CHECK_COMPARE(shareServedInDemand(history), >=, SERVED_SHARE);
-    checkClean(checkAccused(history, ""));
+    checkNoViolations(checkNotRun(history));
+    CHECK_COMPARE(shareServed(history), >=, MIN_SERVED_SHARE);
+    CHECK_COMPARE(shareServedInDemand(history), >=, MIN_SERVED_SHARE);
+    checkNoViolations(checkAccused(history, ""));
 }
--- a/tests/process/failuretest.h
+++ b/tests/process/failuretest.h
@@ -13,7 +13,7 @@
 
 namespace ivyspar::lab {
 
-/// Base of the test groups that provoke failures in a deployment of real processes.
+/// Base of the test groups that inject failures into a deployment of real processes.
 class FailureTest : public Utest
 {
 public:
@@ -33,9 +33,12 @@
         CHECK_TRUE_TEXT(isStarted, error.c_str());
     }
 
-    void checkClean(const Violations &violations) { STRCMP_EQUAL("", join(violations).c_str()); }
+    void checkNoViolations(const Violations &violations)
+    {
+        STRCMP_EQUAL("", join(violations).c_str());
+    }
 
-    /// Attempts that were told this, over all actions.
+    /// Number of attempts with this outcome, over all actions.
     static std::size_t countTold(const History &history, Told told)
     {
         std::size_t count = 0;
@@ -47,7 +50,7 @@
         return count;
     }
 
-    /// Token and reason of each attempt that was told this.
+    /// Token, status and reason of each attempt with this outcome, one attempt per line.
     static std::string reasonsOf(const History &history, Told told)
     {
         std::string text;
@@ -62,7 +65,7 @@
         return text;
     }
 
-    /// Actions whose last attempt brought a 200.
+    /// Number of actions whose last attempt was answered with status 200.
     static std::size_t countServed(const History &history)
     {
         std::size_t count = 0;
@@ -73,7 +76,8 @@
         return count;
     }
 
-    std::size_t startsAt(const std::string &server)
+    /// Number of requests that the server has started so far.
+    std::size_t startCountAt(const std::string &server)
     {
         std::size_t count = 0;
         for (const StartedWork &start : m_trial->starts()) {
--- a/tests/process/historiestest.cpp
+++ b/tests/process/historiestest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::string violationsOf(std::uint64_t seed, bool isWithoutKeys)
+std::string historyViolations(std::uint64_t seed, bool isWithoutKeys)
 {
     HistoryRunOptions options;
     options.binary = IVYSPAR_BINARY;
@@ -18,19 +18,19 @@
 
 } // namespace
 
-/// Faults at random times, several at once, from fixed seeds. `ivyspar-lab histories` runs more.
+/// Injects several concurrent faults at random times, with fixed seeds. `ivyspar-lab histories`
+/// runs more seeds.
 TEST_GROUP(Histories){};
 
-TEST(Histories, AreCleanForAFewSeeds)
+TEST(Histories, HaveNoViolationsForFixedSeeds)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-        STRCMP_EQUAL("", violationsOf(seed, false).c_str());
+        STRCMP_EQUAL("", historyViolations(seed, false).c_str());
     }
 }
 
-// Counter-check: without their keys bookings run twice under the same faults, and the check sees
-// it.
-TEST(Histories, AreViolatedWithoutKeys)
+// Counter-check: without keys, bookings run twice under the same faults, and the check detects it.
+TEST(Histories, ViolateAtMostOnceWithoutKeys)
 {
-    STRCMP_CONTAINS("must run at most once", violationsOf(1, true).c_str());
+    STRCMP_CONTAINS("must run at most once", historyViolations(1, true).c_str());
 }
--- a/tests/process/partitiontest.cpp
+++ b/tests/process/partitiontest.cpp
@@ -13,11 +13,12 @@
 
 } // namespace
 
-/// Daemons reach each other through links that carry nothing across the partition, both ways.
+/// Daemons are connected through links that drop all traffic across the partition, in both
+/// directions.
 struct PartitionFixture : FailureTest
 {
 
-    std::uint32_t m_pages = 0;
+    std::uint32_t m_pageCount = 0;
 
     void startPartitioned(const std::set<std::string> &domains)
     {
@@ -25,10 +26,10 @@
         startTrial(makeTrialGraph(), {}, true, hasLinks);
         CHECK(m_trial->setBehaviour("", R"({"slowdown":5})"));
         m_trial->deployment().separate(domains);
-        CHECK(waitUntil([this] { return aliveMembers(0) == 1 && aliveMembers(1) == 2; }));
+        CHECK(waitUntil([this] { return aliveMemberCount(0) == 1 && aliveMemberCount(1) == 2; }));
     }
-    /// Daemons that this one takes for alive, itself included.
-    std::size_t aliveMembers(std::size_t host)
+    /// Number of daemons that this daemon considers alive, including itself.
+    std::size_t aliveMemberCount(std::size_t host)
     {
         const auto answer = exchangeBlocking(m_trial->host(host).operators,
                                              { "GET", "/status", {}, {} }, std::chrono::seconds(5));
@@ -49,20 +50,22 @@
             }
         }
     }
-    bool isPageServed()
+    /// Sends a page request through the first daemon. Returns whether it completed and was started
+    /// exactly once.
+    bool sendPage()
     {
-        const std::string token = "page-" + std::to_string(++m_pages);
+        const std::string token = "page-" + std::to_string(++m_pageCount);
         CallerPlan plan = m_trial->plan(m_page, token);
         plan.entries = { m_trial->host(0).caller };
         m_trial->callers().send(plan);
-        const auto isTold = [&](const CallerAction &action) { return action.token == token; };
-        const bool isEnded = waitUntil([&] {
+        const auto isForToken = [&](const CallerAction &action) { return action.token == token; };
+        const bool isCompleted = waitUntil([&] {
             const auto actions = m_trial->callers().actions();
-            return std::any_of(actions.begin(), actions.end(), isTold);
+            return std::any_of(actions.begin(), actions.end(), isForToken);
         });
-        return isEnded && m_trial->startCount(token) == 1;
+        return isCompleted && m_trial->startCount(token) == 1;
     }
-    void checkMerged()
+    void healPartition()
     {
         std::string error;
         m_trial->deployment().separate({});
@@ -74,29 +77,30 @@
 
 TEST_GROUP_BASE(Partition, PartitionFixture){};
 
-// One failure domain is cut off from the others; all reach the platform. Callers send each booking
-// to both sides. Only one side can win its claim; both sides go on serving, and merge afterwards.
+// One failure domain is cut off from the others, and all can reach the platform. Callers send each
+// booking to both sides. Only one side can win its claim. Both sides continue to serve requests and
+// merge after the partition.
 TEST(Partition, BothSidesServeAndNoBookingRunsTwice)
 {
     startPartitioned({ "hall-a" });
     sendBookings(0);
     CHECK(m_trial->isServingAgain("during"));
-    checkMerged();
+    healPartition();
     sendBookings(BOOKINGS);
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
 }
 
-// Two faults at once: the domain is cut off from its peers and from the platform. It goes on with
-// pages, and refuses bookings with a key, with proof that they did not run.
-TEST(Partition, ADomainCutOffFromEverythingStillServesPages)
+// Two concurrent faults: the failure domain is cut off from its peers and from the platform. It
+// continues to serve pages and refuses bookings with a key as "not run".
+TEST(Partition, AnIsolatedDomainStillServesPages)
 {
     startPartitioned({ "hall-a" });
     CHECK(m_trial->setLogFaults(R"({"cut_clients":["desk-1"]})"));
     sendBookings(0);
-    CHECK(waitUntil([this] { return isPageServed(); }));
+    CHECK(waitUntil([this] { return sendPage(); }));
     CHECK(m_trial->setLogFaults(R"({"cut_clients":[]})"));
-    checkMerged();
+    healPartition();
     CHECK(m_trial->isServingAgain("after"));
-    checkClean(checkAll(m_trial->history(), m_trial->graph()));
+    checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
--- a/tests/process/plannedstoptest.cpp
+++ b/tests/process/plannedstoptest.cpp
@@ -41,74 +41,76 @@
 
 TEST_GROUP_BASE(PlannedStop, PlannedStopFixture){};
 
-// 1. A server works on requests and announces that it drains.
-// 2. What it has ends normally. From then on it gets nothing, whichever daemon is asked.
-TEST(PlannedStop, ADrainingServerFinishesAndGetsNothingNew)
+// 1. A server announces that it drains while it runs requests.
+// 2. Its requests complete normally. After that it receives no request from any daemon.
+TEST(PlannedStop, ADrainingServerCompletesItsRequestsAndReceivesNoNewOnes)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":10})"));
     sendRecords("before-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     CHECK(m_trial->setBehaviour("desk-1", R"({"draining":true})"));
     CHECK(waitUntil([this] { return isGateIdleAndDraining(0); }));
-    const std::size_t startsBefore = startsAt("desk-1");
+    const std::size_t startsBefore = startCountAt("desk-1");
     sendRecords("after-");
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     CHECK_EQUAL(2 * REQUESTS, countServed(history));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
-    CHECK_EQUAL(startsBefore, startsAt("desk-1"));
+    CHECK_EQUAL(startsBefore, startCountAt("desk-1"));
 }
 
-// A daemon is stopped by SIGTERM with requests in flight: those that callers sent to it, and those
-// that others sent to its server. None is cut, and it ends with 0.
-TEST(PlannedStop, ADaemonThatIsStoppedCutsNothing)
+// A daemon receives SIGTERM with requests in flight, both from its own callers and from other
+// daemons to its server. None is interrupted, and the daemon exits with code 0.
+TEST(PlannedStop, SigtermInterruptsNoRequest)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
     sendRecords("record-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     m_trial->host(0).process.signal(SIGTERM);
     CHECK_EQUAL(0, m_trial->host(0).process.wait(seconds(30)));
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
     CHECK_EQUAL(REQUESTS, countServed(history));
 }
 
-// Two faults at once: the daemon is stopped while the platform's log is silent.
-TEST(PlannedStop, AStopWhileTheLogIsSilentCutsNothing)
+// Two concurrent events: the daemon is stopped while the platform's log does not respond.
+TEST(PlannedStop, SigtermWhileTheLogIsUnresponsiveInterruptsNoRequest)
 {
     startTrial(makeTrialGraph());
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
     CHECK(m_trial->setLogFaults(R"({"silent":true})"));
     sendRecords("record-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     m_trial->host(0).process.signal(SIGTERM);
     CHECK_EQUAL(0, m_trial->host(0).process.wait(seconds(30)));
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
 }
 
-// Counter-check: killed in place of stopped, requests are cut and the check sees it.
-TEST(PlannedStop, ADaemonThatIsKilledCutsRequests)
+// Counter-check: if the daemon is killed instead, requests are interrupted and the check detects
+// it.
+TEST(PlannedStop, SigkillInterruptsRequests)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":20})"));
     sendRecords("record-");
-    CHECK(waitUntil([this] { return startsAt("desk-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("desk-1") > 0; }));
     m_trial->host(0).process.signal(SIGKILL);
     CHECK(countTold(m_trial->history(), Told::Unknown) > 0);
 }
 
-// 1. Requests whose chain of eight calls goes back and forth between two daemons are in flight.
-// 2. One daemon is stopped. The calls that its server still has to make for them go through it, so
-//    it must go on taking those until the requests have ended.
-TEST(PlannedStop, AStopInTheMiddleOfChainsCutsNothing)
+// 1. Requests are in flight whose chains of eight calls alternate between two daemons.
+// 2. One daemon is stopped. Its server makes the remaining calls of these requests through it, so
+// it
+//    must accept them until the requests have completed.
+TEST(PlannedStop, SigtermDuringCallChainsInterruptsNoRequest)
 {
     constexpr std::uint32_t DEPTH = 8;
-    // Each holds up to eight slots of the same service; a cold gate lets a hundred be taken.
+    // Each chain holds up to eight slots of the same service; a cold gate admits a hundred.
     constexpr std::uint32_t CHAINS = 10;
     startTrial(makeChainGraph(DEPTH), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":30})"));
@@ -118,11 +120,11 @@
         plan.attempts = 20;
         m_trial->callers().send(plan);
     }
-    CHECK(waitUntil([this] { return startsAt("chain-1") > 0; }));
+    CHECK(waitUntil([this] { return startCountAt("chain-1") > 0; }));
     m_trial->host(0).process.signal(SIGTERM);
     CHECK_EQUAL(0, m_trial->host(0).process.wait(seconds(30)));
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     STRCMP_EQUAL("", reasonsOf(history, Told::Unknown).c_str());
     CHECK_EQUAL(CHAINS, countServed(history));
 }
--- a/tests/process/triggerstest.cpp
+++ b/tests/process/triggerstest.cpp
@@ -5,14 +5,14 @@
 namespace {
 
 constexpr std::uint32_t DEPTH = 8;
-constexpr std::uint32_t BOUND = chainAttempts(DEPTH) * CHAIN_CALLER_ATTEMPTS;
+constexpr std::uint32_t ATTEMPT_BUDGET = chainAttempts(DEPTH) * CHAIN_CALLER_ATTEMPTS;
 constexpr std::uint32_t CALLERS = 150;
 
 } // namespace
 
 struct TriggersFixture : FailureTest
 {
-    void sendHard(const std::string &prefix, std::uint32_t callers)
+    void sendRetryingCallers(const std::string &prefix, std::uint32_t callers)
     {
         for (std::uint32_t i = 0; i < callers; ++i) {
             CallerPlan plan =
@@ -20,46 +20,47 @@
             plan.attempts = 10;
             plan.isRepeatingErrors = true;
             plan.isRepeatingUnknown = true;
-            plan.budget = BOUND;
+            plan.budget = ATTEMPT_BUDGET;
             m_trial->callers().send(plan);
         }
     }
-    std::size_t countServedWith(const History &history, const std::string &prefix)
+    std::size_t countServedWithPrefix(const History &history, const std::string &prefix)
     {
-        History part;
+        History matching;
         for (const CallerAction &action : history.actions) {
             if (action.token.rfind(prefix, 0) == 0) {
-                part.actions.push_back(action);
+                matching.actions.push_back(action);
             }
         }
-        return countServed(part);
+        return countServed(matching);
     }
 };
 
 TEST_GROUP_BASE(Triggers, TriggersFixture){};
 
-// All at once: every call of a chain takes sixty times as long, more callers than slots arrive, and
-// they come back whatever they are told. Attempts stay bounded; when the slowness is gone a new
-// request is served whole.
-TEST(Triggers, SlownessASurgeAndHardRetriesStayBoundedAndEnd)
+// Three concurrent triggers: every call of a chain is slowed down by a factor of 60, more callers
+// than slots arrive, and they retry whatever the outcome. Attempts stay bounded, and a new request
+// is served completely once the slowdown ends.
+TEST(Triggers, SlownessSurgeAndRetriesStayBoundedAndServiceRecovers)
 {
     startTrial(makeChainGraph(DEPTH), {}, false);
     CHECK(m_trial->setBehaviour("", R"({"slowdown":60})"));
-    sendHard("surge-", CALLERS);
+    sendRetryingCallers("surge-", CALLERS);
     CHECK(waitUntil([this] { return m_trial->callers().attemptCount() >= CALLERS; }));
     CHECK(m_trial->setBehaviour("", R"({"slowdown":1})"));
-    std::uint32_t tries = 0;
+    std::uint32_t requestNumber = 0;
     CHECK(waitUntil([&] {
-        const std::string token = "later-" + std::to_string(++tries) + '-';
-        sendHard(token, 1);
-        return countServedWith(m_trial->history(), token) == 1;
+        const std::string token = "later-" + std::to_string(++requestNumber) + '-';
+        sendRetryingCallers(token, 1);
+        return countServedWithPrefix(m_trial->history(), token) == 1;
     }));
-    checkClean(checkAll(m_trial->history(), m_trial->graph()));
+    checkNoViolations(checkAll(m_trial->history(), m_trial->graph()));
 }
 
-// A server is as slow as after a cold start, many times slower than the others, and announces slots
-// that it does not have. Requests are refused or served whole; none is told "not run" that ran.
-TEST(Triggers, AColdServerWithAMisleadingAnnouncementIsSurvived)
+// A server is many times slower than the others, as after a cold start, and announces more slots
+// than it has. Requests are refused or served completely; "not run" is never reported for a request
+// that ran.
+TEST(Triggers, AColdServerThatOverstatesItsSlotsIsTolerated)
 {
     startTrial(makeTrialGraph(), {}, false);
     CHECK(m_trial->setBehaviour("desk-1", R"({"slowdown":40,"announcedSlots":400})"));
@@ -70,6 +71,6 @@
         m_trial->callers().send(plan);
     }
     const History history = m_trial->history();
-    checkClean(checkAll(history, m_trial->graph()));
+    checkNoViolations(checkAll(history, m_trial->graph()));
     CHECK(countServed(history) > CALLERS / 2);
 }
