--- a/src/app/internal/control/controlnode.cpp
+++ b/src/app/internal/control/controlnode.cpp
@@ -259,7 +259,7 @@
 HttpResponse ControlNode::answerLift(const HttpRequest &request)
 {
     if (request.method != "POST") {
-        return makeAnswer(METHOD_NOT_ALLOWED, "text/plain", "use POST to lift a quarantine\n");
+        return makeAnswer(METHOD_NOT_ALLOWED, "text/plain", "a quarantine is lifted by POST\n");
     }
     const Fingerprint fingerprint(request.target.substr(sizeof(LIFT_PREFIX) - 1));
     // Shared, as the answer of the traffic thread may come after this handler gave up.
@@ -269,10 +269,10 @@
     });
     const auto isKnown = answer->wait(STATUS_TIMEOUT);
     if (!isKnown) {
-        return makeAnswer(UNAVAILABLE, "text/plain", "the traffic thread did not answer in time\n");
+        return makeAnswer(UNAVAILABLE, "text/plain", "the daemon is too busy to answer\n");
     }
     return *isKnown ? makeAnswer(OK, "text/plain", "lifted\n")
-                    : makeAnswer(NOT_FOUND, "text/plain", "the fingerprint is unknown\n");
+                    : makeAnswer(NOT_FOUND, "text/plain", "no such fingerprint is known\n");
 }
 
 HttpResponse ControlNode::answerHealth() const
--- a/src/app/internal/trafficnode.cpp
+++ b/src/app/internal/trafficnode.cpp
@@ -324,7 +324,7 @@
 HttpResponse TrafficNode::issueTicket(const HttpRequest &request)
 {
     if (request.method != "POST") {
-        return makeText(METHOD_NOT_ALLOWED, "method not allowed: tickets are issued by POST");
+        return makeText(METHOD_NOT_ALLOWED, "tickets are handed out by POST");
     }
     return HttpResponse{ CREATED,
                          { { "Content-Type", "text/plain" } },
--- a/src/app/tests/membershipdrivertest.cpp
+++ b/src/app/tests/membershipdrivertest.cpp
@@ -54,8 +54,8 @@
 };
 
 // Guards against a daemon that stops because of the record of its previous run. The record looks
-// newer if the clock of the host was set back between the runs, so that the daemon would stop at
-// each start until the clock has caught up.
+// newer if the clock of the host was set back by two seconds between the runs. The daemon would
+// then stop at each start until the clock has caught up, and its server would get no calls.
 TEST(MembershipDriver, RaisesIncarnationAbovePreviousRunAfterClockSetBack)
 {
     CHECK(m_driver->receive(DaemonId("b"), makeGossip(900)));
--- a/src/app/tests/mocks/simulatedfollowers.h
+++ b/src/app/tests/mocks/simulatedfollowers.h
@@ -23,7 +23,7 @@
     std::size_t domains = 3;
     std::uint64_t seed = 1;
     std::uint32_t readersPerDomain = 2;
-    /// Share of the messages between daemons that are lost.
+    /// Percentage of the messages between daemons that are lost.
     std::uint64_t lossPercent = 1;
 };
 
--- a/src/protocol/internal/ownreportdialect.cpp
+++ b/src/protocol/internal/ownreportdialect.cpp
@@ -21,7 +21,7 @@
 RetVal<UpstreamReport> OwnReportDialect::read(const HttpRequest &request) const
 {
     if (request.method != "PUT") {
-        return makeError(ErrorCode::NotFound, "announcements must use the method PUT");
+        return makeError(ErrorCode::NotFound, "announcements are PUT");
     }
     return readAnnouncement(request.body);
 }
