--- a/src/app/tests/daemonsettingstest.cpp
+++ b/src/app/tests/daemonsettingstest.cpp
@@ -101,7 +101,7 @@
     checkError({ "--seeds" }, "--seeds (IVYSPAR_SEEDS): the value is missing");
     checkError({ "--region=r", "--region=r" }, "--region (IVYSPAR_REGION): given more than once");
     checkError({ "stray" }, "unexpected argument \"stray\"");
-    checkError({ "--caller_listen=localhost:80" }, "\"localhost\" is not an IP address");
+    checkError({ "--caller_listen=localhost:80" }, "\"localhost\" is not an IP number");
     checkError({ "--peer_listen=10.0.0.1" }, "expected IP:PORT");
     checkError({ "--seeds=10.0.0.1:0" }, "port 0");
     checkError({ "--seeds=10.0.0.1:1,10.0.0.1:1" }, "listed more than once");
--- a/src/state/internal/endpoint.cpp
+++ b/src/state/internal/endpoint.cpp
@@ -38,7 +38,7 @@
     }
     if (!isIpAddress(endpoint.address)) {
         return makeError(ErrorCode::InvalidArgument,
-                         '"' + endpoint.address + "\" is not an IP address");
+                         '"' + endpoint.address + "\" is not an IP number");
     }
     const char *first = text.data() + colon + 1;
     const char *last = text.data() + text.size();
--- a/tests/process/commandlinetest.cpp
+++ b/tests/process/commandlinetest.cpp
@@ -131,7 +131,7 @@
     const CommandResult result = runBinary("daemon --typo --seeds=host:1 --max_in_flight=0");
     checkResult(result, 2, "unknown flag --typo");
     STRCMP_CONTAINS("--daemon_id (IVYSPAR_DAEMON_ID): must be set", result.output.c_str());
-    STRCMP_CONTAINS("\"host\" is not an IP address", result.output.c_str());
+    STRCMP_CONTAINS("\"host\" is not an IP number", result.output.c_str());
     STRCMP_CONTAINS("--max_in_flight (IVYSPAR_MAX_IN_FLIGHT): 0 is not", result.output.c_str());
     STRCMP_CONTAINS("ivyspar daemon: 5 errors", result.output.c_str());
 }
@@ -139,7 +139,7 @@
 TEST(CommandLine, EnvironmentVariablesSetFlags)
 {
     checkResult(runBinary("daemon --domain=d --daemon_id=d1", "IVYSPAR_SEEDS=host:1"), 2,
-                "--seeds (IVYSPAR_SEEDS): \"host\" is not an IP address");
+                "--seeds (IVYSPAR_SEEDS): \"host\" is not an IP number");
     const CommandResult result =
         runBinary("daemon --domain=d --daemon_id=d1 --seeds=10.0.0.1:0", "IVYSPAR_SEEDS=host:1");
     checkResult(result, 2, "port 0 in \"10.0.0.1:0\"");
@@ -170,6 +170,5 @@
 {
     // Port 1 is privileged, so nothing is expected to listen there on a test machine.
     checkResult(runBinary("status --operator=127.0.0.1:1"), 1, "127.0.0.1:1: Connection refused");
-    checkResult(runBinary("status --operator=localhost:1"), 2,
-                "\"localhost\" is not an IP address");
+    checkResult(runBinary("status --operator=localhost:1"), 2, "\"localhost\" is not an IP number");
 }
