--- a/src/coordination/once/internal/ticketregistry.cpp
+++ b/src/coordination/once/internal/ticketregistry.cpp
@@ -17,7 +17,7 @@
 {
     TicketOwner owner;
     std::uint64_t counter = 0;
-    std::uint64_t checkValue = 0;
+    std::uint64_t checksum = 0;
 };
 
 bool readNumber(const std::string &text, std::uint64_t &value)
@@ -44,7 +44,7 @@
 {
     Ticket ticket;
     std::uint64_t incarnation = 0;
-    const bool isValid = readNumber(takeField(text), ticket.checkValue)
+    const bool isValid = readNumber(takeField(text), ticket.checksum)
         && readNumber(takeField(text), ticket.counter) && readNumber(takeField(text), incarnation)
         && !text.empty();
     if (!isValid) {
@@ -104,10 +104,10 @@
     }
     const std::uint64_t counter = ++m_lastCounter;
     return m_self.value() + SEPARATOR + std::to_string(m_incarnation.value()) + SEPARATOR
-        + std::to_string(counter) + SEPARATOR + std::to_string(checkValueOf(counter));
+        + std::to_string(counter) + SEPARATOR + std::to_string(checksumOf(counter));
 }
 
-std::uint64_t TicketRegistry::checkValueOf(std::uint64_t counter) const
+std::uint64_t TicketRegistry::checksumOf(std::uint64_t counter) const
 {
     const std::string text = m_self.value() + SEPARATOR + std::to_string(m_incarnation.value())
         + SEPARATOR + std::to_string(counter);
@@ -156,7 +156,7 @@
         // Whether the ticket was used is no longer known.
         return makeVerdict(Outcome::Unknown, Reason::KeyHolderGone);
     }
-    if (counter > m_lastCounter || ticket->checkValue != checkValueOf(counter)) {
+    if (counter > m_lastCounter || ticket->checksum != checksumOf(counter)) {
         return makeVerdict(Outcome::NotRun, Reason::BadRequest);
     }
     if (now >= request.deadline) {
--- a/src/coordination/once/internal/ticketregistry.h
+++ b/src/coordination/once/internal/ticketregistry.h
@@ -44,7 +44,9 @@
         std::vector<Attempt> waiters;
     };
 
-    std::uint64_t checkValueOf(std::uint64_t counter) const;
+    /// Checksum over a ticket, keyed with `m_secret`: rejects tickets that this daemon did not
+    /// issue.
+    std::uint64_t checksumOf(std::uint64_t counter) const;
     /// The refusal of a request with an unusable ticket; none if it is usable, with its `counter`.
     std::optional<Verdict> refuse(TimePoint now, const TicketRequest &request,
                                   std::uint64_t &counter) const;
--- a/src/coordination/once/iticketregistry.h
+++ b/src/coordination/once/iticketregistry.h
@@ -27,7 +27,7 @@
 };
 
 /// Issues tickets, and runs the request of each at most once. State is kept in memory only, so no
-/// log is needed and a ticket is valid only for this run of the daemon. The check value in a ticket
+/// log is needed and a ticket is valid only for this run of the daemon. The checksum in a ticket
 /// detects made-up and mistyped tickets; it is a keyed hash without cryptographic strength, since a
 /// forged ticket only allows a request that runs at most once, which any caller may send anyway.
 /// Does no I/O and reads no clock; not thread-safe.
--- a/src/coordination/once/oncefactory.h
+++ b/src/coordination/once/oncefactory.h
@@ -69,7 +69,7 @@
     std::size_t maxOutcomeBytes = 64 * 1024;
 };
 
-/// Random bytes known only to this run of the daemon; the key of the check values in tickets.
+/// Random bytes known only to this run of the daemon; the key of the checksums in tickets.
 using TicketSecret = std::array<std::uint8_t, 192>;
 
 /// `hashSeed` is random and secret, so that callers cannot choose keys that collide in the table.
