--- a/src/coordination/once/tests/oncehistorytest.cpp
+++ b/src/coordination/once/tests/oncehistorytest.cpp
@@ -144,7 +144,7 @@
 // log fails, reads are stale, and processes crash or freeze past every timeout. In any order, a key
 // runs at most once within its lifetime, a request reported as not run did not run, and all daemons
 // serve again afterwards.
-TEST(OnceHistory, RandomFaultsKeepAtMostOnceExecution)
+TEST(OnceHistory, ExecutesAtMostOnceUnderRandomFaults)
 {
     std::size_t executions = 0;
     for (std::uint64_t seed = 1; seed <= SEEDS; ++seed) {
