--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -155,8 +155,8 @@
     }
     setLogError({});
     applyPage(*page);
-    if (m_snapshot.update(m_loop.now(), *m_stateMachine, page->first, page->end, m_poll.isFast(),
-                          m_random)) {
+    if (m_snapshot.updateAndCheckDue(m_loop.now(), *m_stateMachine, page->first, page->end,
+                                     m_poll.isFast(), m_random)) {
         renewSnapshot();
     }
     const bool isAtEnd = m_stateMachine->nextOffset() >= page->end || page->records.empty();
--- a/src/coordination/configuration/internal/snapshotschedule.cpp
+++ b/src/coordination/configuration/internal/snapshotschedule.cpp
@@ -17,8 +17,10 @@
 {
 }
 
-bool SnapshotSchedule::update(TimePoint now, const IConfigurationStateMachine &stateMachine,
-                              LogOffset first, LogOffset end, bool isFast, IRandom &random)
+bool SnapshotSchedule::updateAndCheckDue(TimePoint now,
+                                         const IConfigurationStateMachine &stateMachine,
+                                         LogOffset first, LogOffset end, bool isFast,
+                                         IRandom &random)
 {
     const AcceptedConfiguration *logState = stateMachine.logState();
     const bool isAtEnd = stateMachine.nextOffset() >= end;
--- a/src/coordination/configuration/internal/snapshotschedule.h
+++ b/src/coordination/configuration/internal/snapshotschedule.h
@@ -31,8 +31,8 @@
 
     /// To be called after a page of the log was applied. `first` is the oldest offset that the log
     /// still has, `end` the offset after its last record. True if a snapshot is to be appended now.
-    bool update(TimePoint now, const IConfigurationStateMachine &stateMachine, LogOffset first,
-                LogOffset end, bool isFast, IRandom &random);
+    bool updateAndCheckDue(TimePoint now, const IConfigurationStateMachine &stateMachine,
+                           LogOffset first, LogOffset end, bool isFast, IRandom &random);
     /// The snapshot was not appended, or the result is unknown. Schedules another attempt.
     void onFailure(TimePoint now, IRandom &random);
 
--- a/src/coordination/configuration/tests/configurationschedulestest.cpp
+++ b/src/coordination/configuration/tests/configurationschedulestest.cpp
@@ -151,16 +151,16 @@
     std::unique_ptr<IConfigurationStateMachine> m_stateMachine = makeConfigurationStateMachine();
     TimePoint m_now{ std::chrono::hours(100) };
 
-    bool update(std::uint64_t first, bool isFast = true)
+    bool updateAndCheckDue(std::uint64_t first, bool isFast = true)
     {
-        return m_schedule.update(m_now, *m_stateMachine, LogOffset(first),
-                                 m_stateMachine->nextOffset(), isFast, m_random);
+        return m_schedule.updateAndCheckDue(m_now, *m_stateMachine, LogOffset(first),
+                                            m_stateMachine->nextOffset(), isFast, m_random);
     }
     /// Time until an append is due, checked each second; at most five hours.
     Duration waitForAppend(std::uint64_t first, bool isFast = true)
     {
         const TimePoint start = m_now;
-        while (!update(first, isFast) && m_now - start < std::chrono::hours(5)) {
+        while (!updateAndCheckDue(first, isFast) && m_now - start < std::chrono::hours(5)) {
             m_now += seconds(1);
         }
         return m_now - start;
@@ -188,7 +188,7 @@
     CHECK(waitForAppend(0) <= m_settings.retention / 4 + m_settings.jitter + seconds(1));
     for (int i = 0; i < 20; ++i) {
         appendSnapshot();
-        update(0);
+        updateAndCheckDue(0);
         const Duration wait = waitForAppend(0);
         CHECK(wait >= m_settings.retention / 4);
         CHECK(wait <= m_settings.retention / 4 + m_settings.jitter + seconds(1));
@@ -198,9 +198,9 @@
 TEST(SnapshotSchedule, SlowPollersWaitLonger)
 {
     appendChange();
-    update(0, false);
+    updateAndCheckDue(0, false);
     appendSnapshot();
-    update(0, false);
+    updateAndCheckDue(0, false);
     CHECK(waitForAppend(0, false) >= m_settings.retention / 2);
 }
 
@@ -208,30 +208,30 @@
 {
     appendChange();
     for (int i = 0; i < 100; ++i) {
-        update(0);
+        updateAndCheckDue(0);
         appendSnapshot();
-        update(0);
+        updateAndCheckDue(0);
         m_now += m_settings.retention / 4;
-        update(0);
+        updateAndCheckDue(0);
         appendSnapshot();
         m_now += m_settings.jitter;
-        CHECK_FALSE(update(0));
+        CHECK_FALSE(updateAndCheckDue(0));
     }
 }
 
 TEST(SnapshotSchedule, RenewsWhenAnchorIsTruncatedOrInOlderHalf)
 {
     appendChange();
-    update(0);
+    updateAndCheckDue(0);
     appendSnapshot();
-    update(0);
+    updateAndCheckDue(0);
     CHECK(waitForAppend(5) <= m_settings.jitter + seconds(1));
     appendSnapshot();
     for (std::uint64_t i = m_stateMachine->nextOffset().value(); i < 40; ++i) {
         m_stateMachine->skip(LogOffset(i));
     }
-    update(0);
-    CHECK_FALSE(update(0));
+    updateAndCheckDue(0);
+    CHECK_FALSE(updateAndCheckDue(0));
     CHECK(waitForAppend(1) <= m_settings.jitter + seconds(1));
 }
 
