--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -228,15 +228,17 @@
         return;
     }
     ++m_snapshotsAppended;
-    notice("snapshot of version " + std::to_string(record.base.value()) + " written at offset "
-           + std::to_string(offset->value()));
+    notice("configuration snapshot of version " + std::to_string(record.base.value())
+           + " written at offset " + std::to_string(offset->value()));
 }
 
 /// Logs only transitions: an outage may last for hours.
 void ConfigurationFollower::setLogError(const std::string &text)
 {
     if (text.empty() != m_logError.empty()) {
-        notice(text.empty() ? "the log can be read again" : "the log cannot be read: " + text);
+        notice(text.empty()
+                   ? "the configuration stream of the platform's log can be read again"
+                   : "the configuration stream of the platform's log cannot be read: " + text);
     }
     m_logError = text;
 }
--- a/src/app/internal/control/configurationpublisher.cpp
+++ b/src/app/internal/control/configurationpublisher.cpp
@@ -183,8 +183,8 @@
     // the old base cannot be accepted; with a new base the change would be made twice.
     if (m_settings.isRepeat && !m_settings.base && !m_isHistoryComplete) {
         finish(PublishResult::Kind::Unknown,
-               "older records were truncated, so this change may already be made; repeat it with "
-               "the --base that was printed with its id");
+               "older records were truncated, so this change may already have been accepted; "
+               "repeat the command with the --base that was printed with its id");
         return true;
     }
     m_base = m_settings.base.value_or(logState->version);
--- a/src/app/internal/control/membershipdriver.h
+++ b/src/app/internal/control/membershipdriver.h
@@ -41,7 +41,7 @@
     void startLeaving();
     /// Announces that this daemon ends; the process may exit once the messages have been sent.
     void leave();
-    /// Returns false if the payload is no membership message.
+    /// Returns false if the payload is not a membership message.
     bool receive(const DaemonId &from, const std::string &payload);
     void onUnreachable(const DaemonId &daemon);
     std::vector<MemberStatus> allMembers() const { return m_membership->allMembers(); }
--- a/src/app/internal/entry/entryservice.h
+++ b/src/app/internal/entry/entryservice.h
@@ -120,7 +120,7 @@
     void refundAccountToken(Incoming &incoming);
     void inherit(const CallContext &context, Incoming &incoming);
     bool admit(Incoming &incoming);
-    /// Returns after which time a refused caller is to retry.
+    /// Returns how long a refused caller should wait before it retries.
     Duration retryAfterOf(const Incoming &incoming);
     static Rejection rejectAccount(const Incoming &incoming, const Verdict &verdict);
     Rejection rejectOverload(const Incoming &incoming, Duration lag);
--- a/src/app/internal/settings/daemonsettings.cpp
+++ b/src/app/internal/settings/daemonsettings.cpp
@@ -146,8 +146,8 @@
         if (endpoint.address.empty() || isPermitted || isLoopback(endpoint)) {
             return;
         }
-        m_values.addError(flag,
-                          endpoint.text() + " is not loopback; --" + permission + " allows it");
+        m_values.addError(
+            flag, endpoint.text() + " is not a loopback address; --" + permission + " allows it");
     }
 
     struct Listener
--- a/src/app/internal/settings/policies.cpp
+++ b/src/app/internal/settings/policies.cpp
@@ -62,6 +62,7 @@
         options.countsUpstreamAttemptsOnly = true;
         options.retryRatio = settings.retryBudget->ratio * OWN_BUDGET_SHARE;
         // A daemon that has just started does not know how many others start at the same time.
+        // Their initial tokens together could exceed the budget.
         options.initialRetryTokens = 0;
         options.sharedRetryTokens = settings.retryBudget->slack;
         options.hedgesUseRetryTokens = true;
--- a/src/app/internal/settings/settingvalues.cpp
+++ b/src/app/internal/settings/settingvalues.cpp
@@ -96,7 +96,7 @@
 {
     if (value < minimum || value > maximum) {
         addError(flag,
-                 std::to_string(value) + " is not within " + std::to_string(minimum) + " to "
+                 std::to_string(value) + " is not between " + std::to_string(minimum) + " and "
                      + std::to_string(maximum));
     }
     return value;
--- a/src/app/tests/daemonsettingstest.cpp
+++ b/src/app/tests/daemonsettingstest.cpp
@@ -92,7 +92,7 @@
                              { { "IVYSPAR_ALLOW_REMOTE_OPERATOR", "true" },
                                { "IVYSPAR_OPERATOR_LISTEN", "10.0.0.1:7401" } });
     CHECK_EQUAL(1U, result.errors.size());
-    STRCMP_CONTAINS("not loopback", result.errors.front().c_str());
+    STRCMP_CONTAINS("is not a loopback address", result.errors.front().c_str());
 }
 
 TEST(DaemonSettings, EachErrorIsReportedOnItsOwnLine)
@@ -113,10 +113,10 @@
     checkError({ "--upstream_listen=10.0.0.1:7402" }, "--allow_remote_upstream allows it");
     checkError({ "--peer_listen=127.0.0.1:7400" }, "also taken by --caller_listen");
     checkError({ "--caller_listen=0.0.0.0:7401" }, "also taken by --caller_listen");
-    checkError({ "--max_connections=0" }, "0 is not within 1 to 100000");
-    checkError({ "--max_in_flight=0" }, "0 is not within");
-    checkError({ "--max_body_bytes=0" }, "0 is not within");
-    checkError({ "--max_header_bytes=0" }, "0 is not within");
+    checkError({ "--max_connections=0" }, "0 is not between 1 and 100000");
+    checkError({ "--max_in_flight=0" }, "0 is not between");
+    checkError({ "--max_body_bytes=0" }, "0 is not between");
+    checkError({ "--max_header_bytes=0" }, "0 is not between");
     checkError({ "--max_connections=-1" }, "\"-1\" is not a whole number");
     checkError({ "--heartbeat_timeout=3" }, "not a duration with a unit");
     checkError({ "--heartbeat_timeout=2min" }, "not within 100ms to 1min");
--- a/src/coordination/accounts/internal/accounthome.cpp
+++ b/src/coordination/accounts/internal/accounthome.cpp
@@ -208,8 +208,9 @@
     });
 }
 
-/// Until a partition is detected, the home would otherwise grant the full rate to the entries on
-/// its side, while the other entries already admit requests by lease.
+/// Whether an entry may be cut off by a partition that is not detected yet, and may admit requests
+/// by its lease. grantableShare() subtracts its lease: the home would otherwise grant the full rate
+/// to the entries on its own side.
 bool AccountHome::isUnresponsive(TimePoint now, const Holder &holder) const
 {
     const Duration expected =
--- a/src/coordination/accounts/internal/accounttokencache.h
+++ b/src/coordination/accounts/internal/accounttokencache.h
@@ -16,7 +16,8 @@
     /// `options` outlives the object.
     AccountTokenCache(TimePoint now, const AccountLimitOptions &options);
 
-    /// Counts a client request of the account; once per request.
+    /// Counts a client request of the account. To be called once per request, not again when a
+    /// waiting request tries again to take a token.
     void recordDemand(TimePoint now);
     void recordRefusal(TimePoint now);
     double demandRate(TimePoint now) const { return m_demand.rate(now, m_options.demandWindow); }
--- a/src/coordination/accounts/internal/sharedaccountlimits.h
+++ b/src/coordination/accounts/internal/sharedaccountlimits.h
@@ -8,7 +8,8 @@
 
 namespace ivyspar {
 
-/// Account limits whose token buckets are kept at the accounts' homes.
+/// Enforces account limits across daemons. One daemon, the home of the account, keeps its token
+/// bucket.
 class SharedAccountLimits : public IAccountLimits
 {
 public:
@@ -42,8 +43,8 @@
     AccountDecision refuse(TimePoint now, AccountTokenCache &cache, Duration retryAfter);
     void requestTokens(TimePoint now, const AccountName &account, const AccountLimit &limit,
                        AccountTokenCache &cache, std::uint32_t waiting);
-    /// The daemon to request tokens from: the home, the fallback while the home is unresponsive, or
-    /// none.
+    /// The daemon to request tokens from: the account's home, or its fallback daemon while the home
+    /// is unresponsive. Unset while both are.
     std::optional<DaemonId> requestTarget(TimePoint now, const AccountName &account) const;
     bool isUnresponsive(TimePoint now, const DaemonId &daemon) const;
     void recordUnanswered(TimePoint now, const DaemonId &daemon);
--- a/src/coordination/admission/internal/floorcontrol.h
+++ b/src/coordination/admission/internal/floorcontrol.h
@@ -29,7 +29,8 @@
     /// A call was refused for lack of capacity.
     void onCapacityRefusal() { ++m_capacityRefusals; }
 
-    /// `fill`: queue length over its maximum. `isIdle`: a slot is free and the queue is empty.
+    /// `fill`: queue length divided by its maximum. `isIdle`: a slot is free and the queue is
+    /// empty.
     void setQueue(double fill, bool isIdle);
     /// Ends the window if it is over.
     void advance(TimePoint now, Duration serviceTime);
--- a/src/coordination/admission/internal/probinglimit.cpp
+++ b/src/coordination/admission/internal/probinglimit.cpp
@@ -16,7 +16,8 @@
 constexpr double KEPT_THROUGHPUT = 0.97;
 /// … and a higher limit if the throughput grows by this factor.
 constexpr double GAINED_THROUGHPUT = 1.05;
-/// After this number of calls a trial ends early if the throughput falls below this share.
+/// A trial of a lower limit ends early if, after at least EARLY_CALLS calls, the throughput is
+/// below LOST_THROUGHPUT times the throughput before the trial.
 constexpr std::uint32_t EARLY_CALLS = 30;
 constexpr double LOST_THROUGHPUT = 0.9;
 /// Time for which calls must have been slow before a trial.
--- a/src/coordination/calls/tests/parentfindertest.cpp
+++ b/src/coordination/calls/tests/parentfindertest.cpp
@@ -23,7 +23,8 @@
     {
         return m_now + std::chrono::milliseconds(milliseconds);
     }
-    /// Calls of PARENT end right after calls of INNER were answered; call 1 keeps running.
+    /// Lets the finder learn that INNER is called from within PARENT: each PARENT call ends right
+    /// after an INNER call was answered. Call 1 keeps running.
     void learnInner()
     {
         m_finder->onStart(CallId(1), PARENT, in(800));
--- a/src/coordination/membership/membershipfactory.h
+++ b/src/coordination/membership/membershipfactory.h
@@ -37,7 +37,8 @@
     Duration freezeThreshold = std::chrono::seconds(2);
     /// Time after a freeze during which no member is suspected or declared dead.
     Duration postFreezeGrace = std::chrono::seconds(2);
-    /// Mean interval between two attempts to reach a dead member or, less often, a seed.
+    /// Mean interval between two pings of a random dead member. At some of these times a seed is
+    /// contacted as well.
     Duration recontactInterval = std::chrono::seconds(5);
     /// Retention of dead and departed members: by age, and by number.
     Duration deadRetention = std::chrono::minutes(30);
--- a/src/coordination/membership/membershipmessages.h
+++ b/src/coordination/membership/membershipmessages.h
@@ -19,7 +19,8 @@
 };
 
 /// State of one member as seen by the sender. Of two updates the one with the larger version
-/// (incarnation, counter) is newer; of two with the same version the one with the larger health.
+/// (incarnation, counter) is newer; of two with the same version, the one whose health comes later
+/// in `MemberHealth`.
 struct MemberUpdate
 {
     DaemonId id;
@@ -27,7 +28,7 @@
     /// Grows with each change of the record and with each refutation of a suspicion.
     std::uint64_t counter = 0;
     MemberHealth health = MemberHealth::Alive;
-    /// The counter at which the record itself last changed.
+    /// Value of `counter` when the record of the member last changed.
     std::uint64_t recordCounter = 0;
     /// Omitted if the receiver is expected to have it: suspicions, deaths and refutations are most
     /// of the traffic, and omitting the record cuts them to a quarter of the size.
--- a/src/coordination/membership/tests/mocks/membershipsimulation.h
+++ b/src/coordination/membership/tests/mocks/membershipsimulation.h
@@ -82,7 +82,8 @@
 
     void run(Duration time) { m_time.run(time); }
 
-    /// Runs until `condition` holds. Returns the simulated time that it took, or at least `limit`.
+    /// Runs until `condition` holds. Returns the simulated time that it took; `limit` or more if it
+    /// did not hold at any check before `limit`.
     template <typename Condition> Duration runUntil(Condition condition, Duration limit)
     {
         const Duration step = m_options.gossipInterval;
--- a/src/coordination/retries/tests/localretrybudgettest.cpp
+++ b/src/coordination/retries/tests/localretrybudgettest.cpp
@@ -99,8 +99,8 @@
 }
 
 // A server sheds 45 % of its calls, so each important call needs 0.8 repeats, and there are far
-// more minor calls. Served first come, first served, the minor calls would take four fifths of the
-// repeats, and half of the important requests would fail after their work was done.
+// more minor calls. If repeats were granted in order of arrival, the minor calls would take four
+// fifths of them, and half of the important requests would fail after their work was done.
 TEST(LocalRetryBudget, ReservesRepeatsForCallsOfHigherPriority)
 {
     recordArrivals(20000, 500us);
--- a/src/protocol/internal/cborhead.h
+++ b/src/protocol/internal/cborhead.h
@@ -26,8 +26,9 @@
 /// Removes a head from the front of `bytes`. False at the end of the input and for indefinite
 /// lengths, which are never written.
 bool takeHead(std::string_view &bytes, Head &head);
-/// Removes an item with all nested ones from the front of `bytes`. False if it is truncated, has a
-/// length beyond the input or a tag, or is nested too deeply.
+/// Removes an item with all nested ones from the front of `bytes`. False if it is truncated,
+/// declares an indefinite length or one beyond the end of the input, contains a tag, or is nested
+/// too deeply.
 bool takeItem(std::string_view &bytes);
 /// Appends a head in its shortest form.
 void appendHead(std::string &bytes, const Head &head);
