--- a/src/app/internal/control/configurationfollower.cpp
+++ b/src/app/internal/control/configurationfollower.cpp
@@ -155,8 +155,8 @@
     }
     setLogError({});
     applyPage(*page);
-    if (m_snapshot.update(m_loop.now(), *m_stateMachine, page->first, page->end, m_poll.isFast(),
-                          m_random)) {
+    if (m_snapshot.updateAndCheckDue(m_loop.now(), *m_stateMachine, page->first, page->end,
+                                     m_poll.isFast(), m_random)) {
         renewSnapshot();
     }
     const bool isAtEnd = m_stateMachine->nextOffset() >= page->end || page->records.empty();
@@ -228,15 +228,17 @@
         return;
     }
     ++m_snapshotsAppended;
-    notice("snapshot of version " + std::to_string(record.base.value()) + " written at offset "
-           + std::to_string(offset->value()));
+    notice("configuration snapshot of version " + std::to_string(record.base.value())
+           + " written at offset " + std::to_string(offset->value()));
 }
 
 /// Logs only transitions: an outage may last for hours.
 void ConfigurationFollower::setLogError(const std::string &text)
 {
     if (text.empty() != m_logError.empty()) {
-        notice(text.empty() ? "the log can be read again" : "the log cannot be read: " + text);
+        notice(text.empty()
+                   ? "the configuration stream of the platform's log can be read again"
+                   : "the configuration stream of the platform's log cannot be read: " + text);
     }
     m_logError = text;
 }
